--- a/config/accept.cc
+++ b/config/accept.cc
@@ -20,11 +20,11 @@
     return std::string{to_name(change.table)} + '/' + change.row;
 }
 
-std::vector<std::string> first_rows(const std::vector<row_change>& changes)
+std::vector<std::string> first_row_names(const std::vector<row_change>& changes)
 {
     std::vector<std::string> names;
     for (const row_change& change : changes) {
-        if (names.size() == most_history_rows)
+        if (names.size() == max_history_rows)
             break;
         names.push_back(row_name(change));
     }
@@ -32,8 +32,8 @@
 }
 
 /// The newest change after `base` that names the row; the head's own if none does.
-const history_entry& who_changed(const head_record& head, config_revision base,
-                                 const std::string& row)
+const history_entry& last_change_of(const head_record& head, config_revision base,
+                                    const std::string& row)
 {
     for (const history_entry& entry : head.history) {
         if (entry.revision <= base)
@@ -44,31 +44,31 @@
     return head.history.front();
 }
 
-error conflict_error(const standing& seen, const std::vector<row_change>& clashes)
+error conflict_error(const stored_state& stored, const std::vector<row_change>& conflicting_rows)
 {
     std::string message;
-    for (const row_change& clash : clashes) {
-        const std::string row = row_name(clash);
-        const history_entry& by = who_changed(seen.head, seen.base.revision, row);
+    for (const row_change& conflicting_row : conflicting_rows) {
+        const std::string row = row_name(conflicting_row);
+        const history_entry& by = last_change_of(stored.head, stored.base.revision, row);
         if (!message.empty())
             message += "; ";
-        message += row + " was " + std::string{to_name(clash.kind)} + " by " + by.author + " at " +
-                   std::to_string(by.time_ms) + " ms since 1970 in revision " +
+        message += row + " was " + std::string{to_name(conflicting_row.kind)} + " by " + by.author +
+                   " at " + std::to_string(by.time_ms) + " ms since 1970 in revision " +
                    std::to_string(by.revision.value());
         if (!by.message.empty())
             message += " (\"" + by.message + "\")";
     }
     return {error_kind::conflict, std::move(message),
-            "get revision " + std::to_string(seen.head.revision().value()) +
+            "get revision " + std::to_string(stored.head.revision().value()) +
                 ", make the edit on it and apply again"};
 }
 
-result<configuration> combine(const standing& seen, const configuration& wanted)
+result<configuration> merge_edit(const stored_state& stored, const configuration& wanted)
 {
-    const std::vector<row_change> clashes = conflicts(seen.base, seen.current, wanted);
-    if (!clashes.empty())
-        return conflict_error(seen, clashes);
-    return merge(seen.base, seen.current, wanted);
+    const std::vector<row_change> conflicting_rows = conflicts(stored.base, stored.current, wanted);
+    if (!conflicting_rows.empty())
+        return conflict_error(stored, conflicting_rows);
+    return merge(stored.base, stored.current, wanted);
 }
 
 std::size_t size_of(const kv_operation& operation)
@@ -78,14 +78,15 @@
 }
 
 /// Puts of pages, cut into lists that each fit a transaction.
-std::vector<std::vector<kv_operation>> batches(const std::vector<kv_operation>& operations)
+std::vector<std::vector<kv_operation>>
+split_into_batches(const std::vector<kv_operation>& operations)
 {
     std::vector<std::vector<kv_operation>> out;
     std::size_t bytes = 0;
     for (const kv_operation& operation : operations) {
         const std::size_t size = size_of(operation);
-        const bool full = out.empty() || out.back().size() >= most_transaction_operations ||
-                          bytes + size > most_transaction_bytes;
+        const bool full = out.empty() || out.back().size() >= max_transaction_operations ||
+                          bytes + size > max_transaction_bytes;
         if (full) {
             out.emplace_back();
             bytes = 0;
@@ -96,64 +97,66 @@
     return out;
 }
 
-history_entry next_entry(const standing& seen, const edit& wanted, const configuration& merged)
+history_entry next_entry(const stored_state& stored, const edit& wanted,
+                         const configuration& merged)
 {
-    history_entry entry = wanted.made_by;
-    entry.revision = config_revision{seen.head.revision().value() + 1};
-    entry.rows = first_rows(diff(seen.current, merged));
+    history_entry entry = wanted.metadata;
+    entry.revision = config_revision{stored.head.revision().value() + 1};
+    entry.rows = first_row_names(diff(stored.current, merged));
     return entry;
 }
 
 } // namespace
 
-result<acceptance> plan_acceptance(const config_keys& keys, const standing& seen,
-                                   const edit& wanted)
+result<acceptance_plan> plan_acceptance(const config_keys& keys, const stored_state& stored,
+                                        const edit& wanted)
 {
-    acceptance plan;
-    const bool first = seen.head_mod_revision == 0;
-    plan.merged = !first && seen.base.revision != seen.head.revision();
+    acceptance_plan plan;
+    const bool first = stored.head_mod_revision == 0;
+    plan.merged = !first && stored.base.revision != stored.head.revision();
     configuration tables = wanted.tables;
     if (!first) {
-        BOOST_OUTCOME_TRY(tables, combine(seen, wanted.tables));
-        plan.unchanged = diff(seen.current, tables).empty();
+        BOOST_OUTCOME_TRY(tables, merge_edit(stored, wanted.tables));
+        plan.unchanged = diff(stored.current, tables).empty();
     }
     BOOST_OUTCOME_TRY(const paged_tables paged, to_pages(tables));
-    plan.next.manifest = paged.manifest;
-    plan.next.history = seen.head.history;
-    plan.next.history.insert(plan.next.history.begin(), next_entry(seen, wanted, tables));
-    if (plan.next.history.size() > most_history)
-        plan.next.history.resize(most_history);
-
-    const std::string head_text = render_head(plan.next);
-    if (head_text.size() > most_value_bytes) {
+    plan.next_head.manifest = paged.manifest;
+    plan.next_head.history = stored.head.history;
+    plan.next_head.history.insert(plan.next_head.history.begin(),
+                                  next_entry(stored, wanted, tables));
+    if (plan.next_head.history.size() > max_history_entries)
+        plan.next_head.history.resize(max_history_entries);
+
+    const std::string head_text = render_head(plan.next_head);
+    if (head_text.size() > max_value_bytes) {
         return error{error_kind::too_large, "the tables have too many pages for one head record",
                      "take rows out, or shorten the messages of changes"};
     }
-    head_record alone = plan.next;
-    alone.history.resize(1);
+    head_record revision_record = plan.next_head;
+    revision_record.history.resize(1);
 
-    const std::vector<std::string> standing_pages = pages_of(seen.head.manifest);
+    const std::vector<std::string> stored_pages = pages_of(stored.head.manifest);
     std::vector<kv_operation> puts;
     for (const table_page& page : paged.pages) {
-        if (!std::binary_search(standing_pages.begin(), standing_pages.end(), page.digest))
+        if (!std::binary_search(stored_pages.begin(), stored_pages.end(), page.digest))
             plan.new_pages.push_back(page);
     }
     for (const table_page& page : plan.new_pages)
         puts.emplace_back(kv_put{keys.page(page.digest), page.bytes, {}});
-    std::vector<std::vector<kv_operation>> parts = batches(puts);
+    std::vector<std::vector<kv_operation>> parts = split_into_batches(puts);
     // One batch goes along with the head; more of them go before it.
     const bool fits =
-        parts.size() <= 1 && head_text.size() < most_value_bytes - most_transaction_bytes;
+        parts.size() <= 1 && head_text.size() < max_value_bytes - max_transaction_bytes;
     if (!fits) {
         for (auto& part : parts)
             plan.prepare.push_back({{}, std::move(part), {}});
         parts.clear();
     }
-    plan.swap.compares.push_back({keys.head(), seen.head_mod_revision});
+    plan.swap.compares.push_back({keys.head(), stored.head_mod_revision});
     if (!parts.empty())
         plan.swap.then = std::move(parts.front());
     plan.swap.then.emplace_back(
-        kv_put{keys.revision(plan.next.revision()), render_head(alone), {}});
+        kv_put{keys.revision(plan.next_head.revision()), render_head(revision_record), {}});
     plan.swap.then.emplace_back(kv_put{keys.head(), head_text, {}});
     return plan;
 }
--- a/config/accept.h
+++ b/config/accept.h
@@ -39,7 +39,7 @@
 };
 
 /// What stands in the key-value service when the change is planned.
-struct standing {
+struct stored_state {
     std::int64_t head_mod_revision = 0; ///< 0: no head yet
     head_record head;                   ///< empty if none
     configuration current;              ///< the tables of `head`
@@ -49,29 +49,29 @@
 /// An edit that was parsed.
 struct edit {
     configuration tables;
-    history_entry made_by; ///< revision and rows are filled in by the plan
+    history_entry metadata; ///< revision and rows are filled in by the plan
 };
 
-struct acceptance {
+struct acceptance_plan {
     std::vector<kv_transaction> prepare; ///< pages that don't fit into the swap itself
     kv_transaction swap;
-    head_record next;
+    head_record next_head;
     std::vector<table_page> new_pages; ///< that the standing head does not name
     bool merged = false;
     bool unchanged = false; ///< nothing to do
 };
 
 /// Errors: conflict (who, when, which revision, what to do), invalid_table, too_large.
-result<acceptance> plan_acceptance(const config_keys& keys, const standing& seen,
-                                   const edit& wanted);
+result<acceptance_plan> plan_acceptance(const config_keys& keys, const stored_state& stored,
+                                        const edit& wanted);
 
 /// The change with this id if it is in the head's history.
 std::optional<accepted_change> find_change(const head_record& head, const std::string& change_id);
 
 /// Most operations and bytes of one transaction.
-inline constexpr std::size_t most_transaction_operations = 100;
-inline constexpr std::size_t most_transaction_bytes = 768U << 10U;
+inline constexpr std::size_t max_transaction_operations = 100;
+inline constexpr std::size_t max_transaction_bytes = 768U << 10U;
 /// Largest value that the key-value service takes.
-inline constexpr std::size_t most_value_bytes = 1'000'000;
+inline constexpr std::size_t max_value_bytes = 1'000'000;
 
 } // namespace jaynotch
--- a/config/collect.cc
+++ b/config/collect.cc
@@ -21,7 +21,7 @@
 
 namespace {
 
-constexpr std::size_t deletions_at_once = 40;
+constexpr std::size_t deletions_per_transaction = 40;
 
 const kv_entry* find_key(const std::vector<kv_entry>& entries, const std::string& key)
 {
@@ -30,15 +30,15 @@
     return found == entries.end() ? nullptr : &*found;
 }
 
-struct needed {
+struct retained_keys {
     std::set<std::string> keys;
-    bool certain = true; ///< every kept revision could be read
+    bool complete = true; ///< every kept revision could be read
 };
 
-needed needed_keys(const config_keys& keys, const std::vector<kv_entry>& entries,
-                   const head_record& head)
+retained_keys find_retained_keys(const config_keys& keys, const std::vector<kv_entry>& entries,
+                                 const head_record& head)
 {
-    needed out;
+    retained_keys out;
     const auto keep_pages = [&](const page_manifest& manifest) {
         for (const std::string& digest : pages_of(manifest))
             out.keys.insert(keys.page(digest));
@@ -52,7 +52,7 @@
             continue;
         const result<head_record> parsed = parse_head(record->value);
         if (!parsed) {
-            out.certain = false;
+            out.complete = false;
             return out;
         }
         keep_pages(parsed.value().manifest);
@@ -72,8 +72,8 @@
     const result<head_record> head = parse_head(head_entry->value);
     if (!head)
         return out;
-    const needed kept = needed_keys(keys, entries, head.value());
-    if (!kept.certain)
+    const retained_keys kept = find_retained_keys(keys, entries, head.value());
+    if (!kept.complete)
         return out;
     for (const kv_entry& entry : entries) {
         const bool ours =
@@ -81,7 +81,7 @@
         if (!ours || kept.keys.contains(entry.key) ||
             entry.mod_revision >= head_entry->mod_revision)
             continue;
-        if (out.empty() || out.back().then.size() >= deletions_at_once)
+        if (out.empty() || out.back().then.size() >= deletions_per_transaction)
             out.push_back({{{keys.head(), head_entry->mod_revision}}, {}, {}});
         out.back().compares.push_back({entry.key, entry.mod_revision});
         out.back().then.emplace_back(kv_delete{entry.key});
--- a/config/config_service.cc
+++ b/config/config_service.cc
@@ -26,8 +26,8 @@
 constexpr duration watch_wait = std::chrono::seconds{5};
 constexpr duration registry_retry = std::chrono::seconds{5};
 /// Accepted changes between two collections of old pages.
-constexpr std::int64_t collect_each = 32;
-constexpr std::size_t nodes_asked_at_once = 32;
+constexpr std::int64_t collection_interval = 32;
+constexpr std::size_t max_nodes_queried = 32;
 
 spread_settings core_settings(const config_settings& settings, const peer_service& peers)
 {
@@ -53,16 +53,16 @@
           m_tick{io}, m_registry_wait{io}
     {}
 
-    void listen()
+    void subscribe_to_peers()
     {
         const std::weak_ptr<state> self = weak_from_this();
         m_peers.on_config([self](const config_message& message) {
-            if (const auto held = self.lock())
-                held->heard(message);
+            if (const auto service_state = self.lock())
+                service_state->heard(message);
         });
         m_peers.on_confirmation([self](const confirmation& told) {
-            if (const auto held = self.lock())
-                held->heard(told);
+            if (const auto service_state = self.lock())
+                service_state->heard(told);
         });
     }
 
@@ -70,8 +70,8 @@
     {
         asio::co_spawn(m_io, registry_loop(keep), asio::detached);
         while (!m_stopped) {
-            note_members();
-            carry_out(m_core.tick(runtime_clock::now()));
+            update_members();
+            execute(m_core.tick(runtime_clock::now()));
             m_tick.expires_after(tick_interval);
             co_await m_tick.async_wait(use_result);
         }
@@ -92,15 +92,15 @@
         const auto keep = shared_from_this();
         // Copied, since an installation while this waits replaces the core's own.
         const std::map<std::string, std::string> known = m_core.pages();
-        auto done = co_await m_store.swap_in(base, wanted, known);
+        auto done = co_await m_store.commit_edit(base, wanted, known);
         if (!done)
             co_return done.error();
         if (!done.value().head_text.empty() && !m_stopped) {
             std::vector<config_page> pages;
             for (const table_page& page : done.value().pages)
                 pages.push_back({page.digest, page.bytes});
-            carry_out(m_core.accepted(runtime_clock::now(), done.value().head_text, pages));
-            if (done.value().change.revision.value() % collect_each == 0)
+            execute(m_core.accepted(runtime_clock::now(), done.value().head_text, pages));
+            if (done.value().change.revision.value() % collection_interval == 0)
                 asio::co_spawn(m_io, collect(keep), asio::detached);
         }
         co_return done.value().change;
@@ -109,7 +109,7 @@
     [[nodiscard]] std::vector<node_confirmation> confirmations() const
     {
         std::vector<node_confirmation> out;
-        std::vector<node_id> unheard;
+        std::vector<node_id> unconfirmed;
         for (const member& known : m_peers.members()) {
             node_confirmation told{known.node, known.failure_domain, known.state, {}, false};
             const auto found = m_confirmed.find(wire_key(known.node.value()));
@@ -122,14 +122,14 @@
                 told.platform_lost = m_core.platform_lost();
             }
             else if (known.live() && told.revision < m_core.revision()) {
-                unheard.push_back(known.node);
+                unconfirmed.push_back(known.node);
             }
             out.push_back(std::move(told));
         }
         // Confirmations are gossiped sparingly; whoever waits for some asks for them.
-        if (unheard.size() > nodes_asked_at_once)
-            unheard.resize(nodes_asked_at_once);
-        m_peers.ask(unheard);
+        if (unconfirmed.size() > max_nodes_queried)
+            unconfirmed.resize(max_nodes_queried);
+        m_peers.ask(unconfirmed);
         return out;
     }
 
@@ -144,22 +144,22 @@
     std::function<void(std::shared_ptr<const configuration>)> m_installed_handler;
 
 private:
-    void note_members()
+    void update_members()
     {
-        if (m_peers.members_version() == m_members_seen)
+        if (m_peers.members_version() == m_members_version)
             return;
-        m_members_seen = m_peers.members_version();
+        m_members_version = m_peers.members_version();
         std::vector<node_id> live;
-        m_alone = true;
+        m_no_live_peers = true;
         for (const member& known : m_peers.members()) {
             if (!known.live())
                 continue;
-            m_alone = m_alone && known.node == m_peers.self().node;
+            m_no_live_peers = m_no_live_peers && known.node == m_peers.self().node;
             if (known.failure_domain == m_peers.self().failure_domain)
                 live.push_back(known.node);
         }
         std::sort(live.begin(), live.end());
-        carry_out(m_core.domain_changed(runtime_clock::now(), std::move(live)));
+        execute(m_core.domain_changed(runtime_clock::now(), std::move(live)));
     }
 
     void heard(const config_message& message)
@@ -171,7 +171,7 @@
                                                            digest->revision, digest->platform_lost,
                                                            duration{0}};
         }
-        carry_out(m_core.peer_spoke(runtime_clock::now(), message));
+        execute(m_core.peer_message_received(runtime_clock::now(), message));
     }
 
     void heard(const confirmation& told)
@@ -180,29 +180,29 @@
             return;
         if (m_confirmed.size() < 2 * max_members)
             m_confirmed[told.node] = told;
-        carry_out(m_core.peer_confirmed(runtime_clock::now(), told));
+        execute(m_core.peer_confirmation_received(runtime_clock::now(), told));
     }
 
-    void carry_out(const spread_commands& commands)
+    void execute(const spread_commands& commands)
     {
         for (const spread_command& command : commands)
-            std::visit([this](const auto& order) { carry_out(order); }, command);
+            std::visit([this](const auto& order) { execute(order); }, command);
     }
-    void carry_out(const watch_head& /*order*/)
+    void execute(const watch_head& /*order*/)
     {
         asio::co_spawn(m_io, watch_loop(shared_from_this(), ++m_watch_generation), asio::detached);
     }
-    void carry_out(const stop_watch& /*order*/) { ++m_watch_generation; }
-    void carry_out(const read_head& /*order*/)
+    void execute(const stop_watch& /*order*/) { ++m_watch_generation; }
+    void execute(const read_head& /*order*/)
     {
         asio::co_spawn(m_io, read_head_once(shared_from_this()), asio::detached);
     }
-    void carry_out(const read_pages& order)
+    void execute(const read_pages& order)
     {
         asio::co_spawn(m_io, read_pages_once(shared_from_this(), order.digests), asio::detached);
     }
-    void carry_out(const tell_peer& order) { m_peers.send_config(order.to, order.body); }
-    void carry_out(const install& order)
+    void execute(const send_to_peer& order) { m_peers.send_config(order.to, order.body); }
+    void execute(const install& order)
     {
         log_event(log_level::info, "config_installed",
                   {{"revision", order.tables->revision.value()},
@@ -211,34 +211,34 @@
         if (m_installed_handler)
             m_installed_handler(order.tables);
     }
-    void carry_out(const announce& order)
+    void execute(const announce& order)
     {
-        if (order.digest.platform_lost != m_told_lost) {
-            m_told_lost = order.digest.platform_lost;
+        if (order.digest.platform_lost != m_logged_platform_lost) {
+            m_logged_platform_lost = order.digest.platform_lost;
             log_event(log_level::warning,
-                      m_told_lost ? "config_platform_lost" : "config_platform_back",
+                      m_logged_platform_lost ? "config_platform_lost" : "config_platform_back",
                       {{"revision", order.digest.revision.value()}});
         }
         m_peers.set_config(order.digest.revision, order.digest.platform_lost);
     }
-    void carry_out(const report& order)
+    void execute(const report& order)
     {
         m_last_error = to_string(order.failure);
         log_event(log_level::warning, order.kind, {{"error", m_last_error}});
     }
 
-    void head_arrived(const std::optional<kv_entry>& entry)
+    void head_received(const std::optional<kv_entry>& entry)
     {
         std::optional<std::string> value;
         if (entry)
             value = entry->value;
-        carry_out(m_core.platform_head(runtime_clock::now(), value));
+        execute(m_core.platform_head_received(runtime_clock::now(), value));
     }
 
     void call_failed(const error& failure)
     {
         m_last_error = to_string(failure);
-        carry_out(m_core.platform_failed(runtime_clock::now()));
+        execute(m_core.platform_call_failed(runtime_clock::now()));
     }
 
     awaitable<void> read_head_once([[maybe_unused]] std::shared_ptr<state> keep)
@@ -247,7 +247,7 @@
         if (m_stopped)
             co_return;
         if (read)
-            head_arrived(read.value().entry);
+            head_received(read.value().entry);
         else
             call_failed(read.error());
     }
@@ -267,7 +267,7 @@
             if (read.value().entry)
                 pages.push_back({digest, read.value().entry->value});
         }
-        carry_out(m_core.platform_pages(runtime_clock::now(), pages));
+        execute(m_core.platform_pages_received(runtime_clock::now(), pages));
     }
 
     awaitable<void> watch_loop([[maybe_unused]] std::shared_ptr<state> keep,
@@ -282,7 +282,7 @@
             call_failed(read.error());
             co_return;
         }
-        head_arrived(read.value().entry);
+        head_received(read.value().entry);
         auto watch = co_await m_kv.watch(key, read.value().revision + 1);
         if (!current())
             co_return;
@@ -300,7 +300,7 @@
             }
             for (const kv_event& event : batch.value().events) {
                 if (event.entry.key == key && !event.deleted)
-                    head_arrived(event.entry);
+                    head_received(event.entry);
             }
         }
     }
@@ -309,10 +309,10 @@
     {
         time_point renew_at{};
         while (!m_stopped) {
-            if (m_alone) {
-                const auto others = co_await m_registry.others();
-                if (others && !others.value().empty() && !m_stopped)
-                    m_peers.add_seeds(others.value());
+            if (m_no_live_peers) {
+                const auto peer_addresses = co_await m_registry.peer_addresses();
+                if (peer_addresses && !peer_addresses.value().empty() && !m_stopped)
+                    m_peers.add_seeds(peer_addresses.value());
             }
             if (!m_stopped && runtime_clock::now() >= renew_at) {
                 const auto renewed = co_await m_registry.renew();
@@ -336,10 +336,10 @@
     timer m_tick;
     timer m_registry_wait;
     std::unordered_map<std::uint32_t, confirmation> m_confirmed;
-    std::uint64_t m_members_seen = 0;
+    std::uint64_t m_members_version = 0;
     std::uint64_t m_watch_generation = 0;
-    bool m_alone = true;
-    bool m_told_lost = false;
+    bool m_no_live_peers = true;
+    bool m_logged_platform_lost = false;
     bool m_stopped = false;
 };
 
@@ -354,12 +354,12 @@
     std::string prefix = settings.key_prefix;
     if (prefix.empty())
         prefix = "/jaynotch/" + settings.deployment + "/";
-    auto hidden = std::make_shared<state>(io, settings, kv, peers, prefix);
-    hidden->listen();
-    return std::unique_ptr<config_service>{new config_service{std::move(hidden)}};
+    auto impl = std::make_shared<state>(io, settings, kv, peers, prefix);
+    impl->subscribe_to_peers();
+    return std::unique_ptr<config_service>{new config_service{std::move(impl)}};
 }
 
-config_service::config_service(std::shared_ptr<state> hidden) : m_state{std::move(hidden)} {}
+config_service::config_service(std::shared_ptr<state> impl) : m_state{std::move(impl)} {}
 
 config_service::~config_service()
 {
@@ -378,7 +378,7 @@
 
 awaitable<result<accepted_change>> config_service::apply(const change_request& request)
 {
-    const std::shared_ptr<state> held = m_state;
+    const std::shared_ptr<state> service_state = m_state;
     if (request.change_id.empty() || request.author.empty()) {
         co_return error{error_kind::invalid_argument, "a change needs an id and an author",
                         "give a change id that is your own, the same when you ask again"};
@@ -386,38 +386,38 @@
     auto tables = parse_tables(request.routes_toml, request.pools_toml);
     if (!tables)
         co_return tables.error();
-    if (tables.value().deployment != held->m_deployment) {
+    if (tables.value().deployment != service_state->m_deployment) {
         co_return error{error_kind::invalid_table,
                         "the tables are of deployment '" + tables.value().deployment +
-                            "', this is '" + held->m_deployment + "'",
+                            "', this is '" + service_state->m_deployment + "'",
                         "apply them to their own deployment"};
     }
     edit wanted;
     wanted.tables = std::move(tables).value();
-    wanted.made_by.change_id = request.change_id;
-    wanted.made_by.author = request.author;
-    wanted.made_by.message = request.message;
-    wanted.made_by.time_ms = wall_time_ms();
-    co_return co_await held->accept(request.base, wanted);
+    wanted.metadata.change_id = request.change_id;
+    wanted.metadata.author = request.author;
+    wanted.metadata.message = request.message;
+    wanted.metadata.time_ms = wall_time_ms();
+    co_return co_await service_state->accept(request.base, wanted);
 }
 
-awaitable<result<accepted_change>> config_service::go_back(config_revision to, std::string author,
-                                                           std::string change_id)
+awaitable<result<accepted_change>> config_service::roll_back(config_revision to, std::string author,
+                                                             std::string change_id)
 {
-    const std::shared_ptr<state> held = m_state;
+    const std::shared_ptr<state> service_state = m_state;
     auto tables = co_await at(to);
     if (!tables)
         co_return tables.error();
-    const auto now = co_await held->m_store.read();
+    const auto now = co_await service_state->m_store.read();
     if (!now)
         co_return now.error();
     edit wanted;
     wanted.tables = std::move(tables).value();
-    wanted.made_by.change_id = std::move(change_id);
-    wanted.made_by.author = std::move(author);
-    wanted.made_by.message = "back to revision " + std::to_string(to.value());
-    wanted.made_by.time_ms = wall_time_ms();
-    co_return co_await held->accept(now.value().head.revision(), wanted);
+    wanted.metadata.change_id = std::move(change_id);
+    wanted.metadata.author = std::move(author);
+    wanted.metadata.message = "back to revision " + std::to_string(to.value());
+    wanted.metadata.time_ms = wall_time_ms();
+    co_return co_await service_state->accept(now.value().head.revision(), wanted);
 }
 
 awaitable<result<std::vector<history_entry>>> config_service::history()
@@ -436,11 +436,11 @@
     const auto& installed = m_state->m_core.installed();
     if (installed && installed->head.revision() == revision)
         co_return *installed->tables;
-    const auto record = co_await m_state->m_store.record_of(revision);
+    const auto record = co_await m_state->m_store.read_revision(revision);
     if (!record)
         co_return record.error();
     const std::map<std::string, std::string> known = m_state->m_core.pages();
-    co_return co_await m_state->m_store.tables_of(record.value(), known);
+    co_return co_await m_state->m_store.read_tables(record.value(), known);
 }
 
 std::shared_ptr<const configuration> config_service::current() const
@@ -453,7 +453,7 @@
 {
     const spread_core& core = m_state->m_core;
     return {core.revision(),
-            std::max(core.highest_heard(), core.revision()),
+            std::max(core.highest_known(), core.revision()),
             core.installed().has_value(),
             core.watching(),
             core.platform_lost(),
--- a/config/config_service.h
+++ b/config/config_service.h
@@ -64,8 +64,8 @@
     /// revision, what to do), unavailable, unknown_outcome (ask again with the same change_id).
     boost::asio::awaitable<result<accepted_change>> apply(const change_request& request);
     /// Makes the tables of an earlier revision a new one.
-    boost::asio::awaitable<result<accepted_change>> go_back(config_revision to, std::string author,
-                                                            std::string change_id);
+    boost::asio::awaitable<result<accepted_change>>
+    roll_back(config_revision to, std::string author, std::string change_id);
     /// Accepted changes that are still kept, newest first; from the key-value service, or from
     /// what is installed while that is down.
     boost::asio::awaitable<result<std::vector<history_entry>>> history();
@@ -83,7 +83,7 @@
 
 private:
     class state;
-    explicit config_service(std::shared_ptr<state> hidden);
+    explicit config_service(std::shared_ptr<state> impl);
     std::shared_ptr<state> m_state;
 };
 
--- a/config/config_service_test.cc
+++ b/config/config_service_test.cc
@@ -94,8 +94,8 @@
     }
 
     template <class T>
-    static boost::asio::awaitable<void> keep_answer(boost::asio::awaitable<T> step,
-                                                    std::optional<T>& out)
+    static boost::asio::awaitable<void> store_result(boost::asio::awaitable<T> step,
+                                                     std::optional<T>& out)
     {
         out.emplace(co_await std::move(step));
     }
@@ -104,7 +104,7 @@
     T wait(boost::asio::awaitable<T> step)
     {
         std::optional<T> out;
-        co_spawn(io, keep_answer(std::move(step), out), boost::asio::detached);
+        co_spawn(io, store_result(std::move(step), out), boost::asio::detached);
         cr_assert(until([&] { return out.has_value(); }, 20), "no answer");
         return std::move(*out);
     }
@@ -132,7 +132,7 @@
     cr_assert_eq(node.config->current()->pools.size(), 1U);
 }
 
-Test(config_service, a_second_node_hears_from_its_peers)
+Test(config_service, a_second_node_installs_from_its_peers)
 {
     fixture test;
     test_node first{test.io, test.server, "n1"};
@@ -182,7 +182,7 @@
 
 // Two operators edit at once. Different rows: both edits stand. The same row: the second is told
 // who was first, in which revision, and what to do, and the running tables don't change.
-Test(config_service, racing_operators_merge_or_are_told)
+Test(config_service, concurrent_edits_merge_or_conflict)
 {
     fixture test;
     test_node node{test.io, test.server, "n1"};
@@ -202,7 +202,7 @@
 
 // A file of another deployment is applied by mistake, or one that does not join: refused, and
 // what runs is untouched.
-Test(config_service, bad_input_leaves_the_running_tables_alone)
+Test(config_service, invalid_input_leaves_the_installed_tables_unchanged)
 {
     fixture test;
     test_node node{test.io, test.server, "n1"};
@@ -220,7 +220,7 @@
 
 // The platform goes down. The nodes serve on what they have and say that it is lost; an apply
 // fails truthfully; when the platform is back the next change reaches both.
-Test(config_service, an_outage_is_served_through)
+Test(config_service, an_outage_keeps_the_installed_tables)
 {
     fixture test;
     test_node first{test.io, test.server, "n1"};
@@ -241,7 +241,7 @@
 
 // A VM is replaced while the platform is down: the new node gets the tables from its peers, found
 // through a seed, and only then is ready.
-Test(config_service, a_fresh_node_learns_from_peers_during_an_outage)
+Test(config_service, a_new_node_installs_from_peers_during_an_outage)
 {
     fixture test;
     test_node first{test.io, test.server, "n1"};
@@ -256,7 +256,7 @@
 
 // A daemon is destroyed without a stop, as in a crash, while its timers, calls and frames are under
 // way. What is left on the io_context must not touch it.
-Test(config_service, destroyed_in_the_middle_of_everything)
+Test(config_service, destruction_with_operations_pending)
 {
     fixture test;
     test_node survivor{test.io, test.server, "n1"};
@@ -275,13 +275,13 @@
 }
 
 // A mistake is undone: going back makes a new revision with the old rows, never a lower one.
-Test(config_service, going_back_is_a_new_revision)
+Test(config_service, rolling_back_makes_a_new_revision)
 {
     fixture test;
     test_node node{test.io, test.server, "n1"};
     cr_assert(test.apply(node, 0, routes, pools(1), "c1").has_value());
     cr_assert(test.apply(node, 1, routes, pools(7), "c2").has_value());
-    const auto back = test.wait(node.config->go_back(config_revision{1}, "ana", "c3"));
+    const auto back = test.wait(node.config->roll_back(config_revision{1}, "ana", "c3"));
     cr_assert(back.has_value());
     cr_assert_eq(node.config->current()->revision.value(), 3);
     cr_assert_eq(node.config->current()->pools.front().replicas, 1U);
--- a/config/head.cc
+++ b/config/head.cc
@@ -26,7 +26,7 @@
     return out;
 }
 
-std::string text_of(const json::object& object, std::string_view field)
+std::string string_field(const json::object& object, std::string_view field)
 {
     return std::string{object.at(field).as_string()};
 }
@@ -41,18 +41,18 @@
             {"rows", to_json(entry.rows)}};
 }
 
-history_entry entry_from(const json::value& value)
+history_entry parse_history_entry(const json::value& value)
 {
     const json::object& object = value.as_object();
     return {config_revision{object.at("revision").to_number<std::int64_t>()},
-            text_of(object, "change_id"),
-            text_of(object, "author"),
+            string_field(object, "change_id"),
+            string_field(object, "author"),
             object.at("time_ms").to_number<std::int64_t>(),
-            text_of(object, "message"),
+            string_field(object, "message"),
             to_strings(object.at("rows"))};
 }
 
-std::string check_of(const page_manifest& manifest)
+std::string manifest_checksum(const page_manifest& manifest)
 {
     std::string all = manifest.deployment;
     for (const std::string& digest : manifest.routes)
@@ -76,7 +76,7 @@
     return out;
 }
 
-void change_buckets(std::vector<std::string>& buckets, const json::value& changes)
+void apply_bucket_changes(std::vector<std::string>& buckets, const json::value& changes)
 {
     const json::array& list = changes.as_array();
     for (std::size_t i = 0; i + 1 < list.size(); i += 2)
@@ -108,10 +108,10 @@
     try {
         const json::object& object = value.as_object();
         head_record head;
-        head.manifest = {text_of(object, "deployment"), to_strings(object.at("routes")),
+        head.manifest = {string_field(object, "deployment"), to_strings(object.at("routes")),
                          to_strings(object.at("pools"))};
         for (const json::value& entry : object.at("history").as_array())
-            head.history.push_back(entry_from(entry));
+            head.history.push_back(parse_history_entry(entry));
         if (head.history.empty() || head.revision() <= config_revision{0})
             return malformed;
         return head;
@@ -134,35 +134,36 @@
                               {"routes", changed_buckets(from.manifest.routes, to.manifest.routes)},
                               {"pools", changed_buckets(from.manifest.pools, to.manifest.pools)},
                               {"history", std::move(history)},
-                              {"check", check_of(to.manifest)}};
+                              {"check", manifest_checksum(to.manifest)}};
     return json::serialize(object);
 }
 
 result<head_record> apply_delta(const head_record& from, std::string_view text)
 {
-    const error unfit{error_kind::protocol, "a peer's delta does not fit the head it is based on",
-                      "nothing; the whole head is asked for"};
+    const error mismatch{error_kind::protocol,
+                         "a peer's delta does not fit the head it is based on",
+                         "nothing; the whole head is asked for"};
     boost::system::error_code failed;
     const json::value value = json::parse(text, failed);
     if (failed)
-        return unfit;
+        return mismatch;
     try {
         const json::object& object = value.as_object();
         if (object.at("base").to_number<std::int64_t>() != from.revision().value())
-            return unfit;
+            return mismatch;
         head_record head{from.manifest, {}};
-        change_buckets(head.manifest.routes, object.at("routes"));
-        change_buckets(head.manifest.pools, object.at("pools"));
+        apply_bucket_changes(head.manifest.routes, object.at("routes"));
+        apply_bucket_changes(head.manifest.pools, object.at("pools"));
         for (const json::value& entry : object.at("history").as_array())
-            head.history.push_back(entry_from(entry));
-        const bool whole = !head.history.empty() && head.revision() > from.revision() &&
-                           check_of(head.manifest) == text_of(object, "check");
-        if (!whole)
-            return unfit;
+            head.history.push_back(parse_history_entry(entry));
+        const bool valid = !head.history.empty() && head.revision() > from.revision() &&
+                           manifest_checksum(head.manifest) == string_field(object, "check");
+        if (!valid)
+            return mismatch;
         return head;
     }
     catch (const std::exception&) { // a field is missing, of another type, or a bucket too high
-        return unfit;
+        return mismatch;
     }
 }
 
--- a/config/head.h
+++ b/config/head.h
@@ -18,9 +18,9 @@
 namespace jaynotch {
 
 /// Accepted changes that are kept, and can be gone back to.
-inline constexpr std::size_t most_history = 64;
+inline constexpr std::size_t max_history_entries = 64;
 /// Rows that one history entry names.
-inline constexpr std::size_t most_history_rows = 16;
+inline constexpr std::size_t max_history_rows = 16;
 
 /// Who changed the tables, when and why.
 struct history_entry {
--- a/config/node_registry.cc
+++ b/config/node_registry.cc
@@ -6,7 +6,7 @@
 
 namespace {
 
-constexpr std::chrono::seconds registration_life{3600};
+constexpr std::chrono::seconds registration_ttl{3600};
 
 std::string render_address(const std::string& address)
 {
@@ -41,7 +41,7 @@
             co_return renewed.error();
         m_lease.reset(); // lapsed in an outage: register anew
     }
-    const auto lease = co_await m_kv.grant(registration_life);
+    const auto lease = co_await m_kv.grant(registration_ttl);
     if (!lease)
         co_return lease.error();
     kv_transaction put;
@@ -53,7 +53,7 @@
     co_return success();
 }
 
-boost::asio::awaitable<result<std::vector<std::string>>> node_registry::others()
+boost::asio::awaitable<result<std::vector<std::string>>> node_registry::peer_addresses()
 {
     const auto range = co_await m_kv.get_prefix(m_prefix);
     if (!range)
--- a/config/node_registry.h
+++ b/config/node_registry.h
@@ -22,7 +22,7 @@
     /// Writes this node's key, or renews its lease.
     boost::asio::awaitable<result<void>> renew();
     /// Addresses of all nodes but this one.
-    boost::asio::awaitable<result<std::vector<std::string>>> others();
+    boost::asio::awaitable<result<std::vector<std::string>>> peer_addresses();
 
     static constexpr duration renew_interval = std::chrono::minutes{20};
 
--- a/config/spread_bench.cc
+++ b/config/spread_bench.cc
@@ -47,7 +47,7 @@
         for (const auto& node : fleet.nodes) {
             // A node may install a later revision without this one.
             const auto in_force = node->installed_at.lower_bound(revision);
-            if (node->link->crashed || in_force == node->installed_at.end())
+            if (node->peer_node->crashed || in_force == node->installed_at.end())
                 continue;
             const bool waited = in_force->second >= healed;
             const time_point from = waited ? std::max(accepted, healed) : accepted;
@@ -72,12 +72,12 @@
 {
     for (std::size_t i = turn * 7 * 3;; i += 3) {
         fleet_node& node = *fleet.nodes[i % fleet.nodes.size()];
-        if (!node.link->crashed && !node.cut_off)
+        if (!node.peer_node->crashed && !node.platform_unreachable)
             return node;
     }
 }
 
-struct bringer {
+struct fault_injector {
     test_fleet& fleet;
     fault injected;
     time_point healed = time_point::min();
@@ -87,7 +87,7 @@
         if (injected == fault::watcher_lost) {
             for (const auto& node : fleet.nodes) {
                 if (node->watching && node != fleet.nodes.front()) {
-                    node->link->crashed = true;
+                    node->peer_node->crashed = true;
                     return;
                 }
             }
@@ -116,8 +116,8 @@
             };
         }
         for (const auto& node : fleet.nodes) {
-            if (node->link->core.self().failure_domain == lost)
-                fleet.cut_platform(*node, off);
+            if (node->peer_node->core.self().failure_domain == lost)
+                fleet.set_platform_unreachable(*node, off);
         }
     }
 };
@@ -133,11 +133,12 @@
         fleet.net.run_for(std::chrono::seconds{30});
         for (const auto& node : fleet.nodes) {
             node->calls = 0;
-            node->link->bytes_sent = node->link->bytes_received = node->link->frames_sent = 0;
+            node->peer_node->bytes_sent = node->peer_node->bytes_received =
+                node->peer_node->frames_sent = 0;
         }
         const time_point start = fleet.net.now;
         const std::clock_t cpu_before = std::clock();
-        bringer faults{fleet, injected};
+        fault_injector faults{fleet, injected};
         faults.begin();
         for (std::uint32_t mark = 1; mark <= changes; ++mark) {
             fleet.accept(acceptor(fleet, mark), test_fleet::tables(rows, mark, mark),
@@ -158,8 +159,9 @@
         double frames = 0;
         double most = 0;
         for (const auto& node : fleet.nodes) {
-            const auto sent = static_cast<double>(node->link->frames_sent);
-            const double all = static_cast<double>(node->link->bytes_sent) + header_bytes * sent;
+            const auto sent = static_cast<double>(node->peer_node->frames_sent);
+            const double all =
+                static_cast<double>(node->peer_node->bytes_sent) + header_bytes * sent;
             bytes += all;
             frames += sent;
             most = std::max(most, all);
--- a/config/spread_test.cc
+++ b/config/spread_test.cc
@@ -32,7 +32,7 @@
 {
     std::vector<fleet_node*> out;
     for (const auto& node : fleet.nodes) {
-        if (node->watching && node->link->core.self().failure_domain == domain)
+        if (node->watching && node->peer_node->core.self().failure_domain == domain)
             out.push_back(node.get());
     }
     return out;
@@ -56,16 +56,16 @@
     // Six watchers see ten changes and look each ten seconds; a node that hears of a change from
     // none of its peers never turns to the platform here.
     cr_assert_lt(fleet->calls(), 300U, "%lu calls", fleet->calls());
-    cr_assert(fleet->none_went_down());
+    cr_assert(fleet->no_revision_decreased());
 }
 
 // Both watches of a domain die without a sign. The domain must still hear of the change, from its
 // bridges to the others, and the watchers notice within ten seconds.
-Test(spread, watches_that_died_silently_are_made_up_for)
+Test(spread, silent_watches_do_not_delay_a_domain_for_long)
 {
     const auto fleet = settled_fleet(2, 30, 3);
     for (const auto& node : fleet->nodes)
-        node->watch_dead = true;
+        node->watch_silent = true;
     cr_assert_eq(fleet->accept(*fleet->nodes[4], edited(1), "c1", true), 2);
     cr_assert(fleet->net.until([&] { return fleet->all_at(2); }, seconds{12}));
 }
@@ -74,15 +74,15 @@
 Test(spread, crashed_watchers_are_replaced)
 {
     const auto fleet = settled_fleet(3, 30, 3);
-    const failure_domain_id domain = fleet->nodes[1]->link->core.self().failure_domain;
+    const failure_domain_id domain = fleet->nodes[1]->peer_node->core.self().failure_domain;
     const auto before = watchers_of(*fleet, domain);
     cr_assert_eq(before.size(), 2U);
     for (fleet_node* watcher : before)
-        watcher->link->crashed = true;
+        watcher->peer_node->crashed = true;
     const auto running = [&] {
         const auto now = watchers_of(*fleet, domain);
         return std::count_if(now.begin(), now.end(),
-                             [](const fleet_node* node) { return !node->link->crashed; });
+                             [](const fleet_node* node) { return !node->peer_node->crashed; });
     };
     cr_assert(fleet->net.until([&] { return running() == 2; }, seconds{60}));
     fleet->accept(*fleet->nodes[0], edited(1), "c1");
@@ -93,9 +93,9 @@
 Test(spread, a_watcher_without_the_platform_is_replaced)
 {
     const auto fleet = settled_fleet(4, 30, 3);
-    const failure_domain_id domain = fleet->nodes[0]->link->core.self().failure_domain;
+    const failure_domain_id domain = fleet->nodes[0]->peer_node->core.self().failure_domain;
     fleet_node* lost = watchers_of(*fleet, domain).front();
-    fleet->cut_platform(*lost, true);
+    fleet->set_platform_unreachable(*lost, true);
     cr_assert(fleet->net.until(
         [&] {
             const auto now = watchers_of(*fleet, domain);
@@ -116,18 +116,18 @@
             return inside(a.core.self()) != inside(b.core.self());
         };
         for (const auto& node : fleet->nodes) {
-            if (inside(node->link->core.self()))
-                fleet->cut_platform(*node, true);
+            if (inside(node->peer_node->core.self()))
+                fleet->set_platform_unreachable(*node, true);
         }
         fleet->accept(*fleet->nodes[0], edited(1), "c1");
         fleet->accept(*fleet->nodes[2], edited(2), "c2");
         fleet->net.run_for(minutes{2});
         for (const auto& node : fleet->nodes)
-            cr_assert_eq(node->highest, inside(node->link->core.self()) ? 1 : 3);
+            cr_assert_eq(node->highest, inside(node->peer_node->core.self()) ? 1 : 3);
         const std::uint64_t calls = fleet->calls();
         fleet->net.cut = nullptr;
         for (const auto& node : fleet->nodes)
-            fleet->cut_platform(*node, false);
+            fleet->set_platform_unreachable(*node, false);
         cr_assert(fleet->net.until([&] { return fleet->all_at(3); }, seconds{2}), "seed %lu", seed);
         cr_assert_lt(fleet->calls() - calls, 60U, "a storm of %lu calls", fleet->calls() - calls);
     }
@@ -135,7 +135,7 @@
 
 // The platform is dark for ten minutes: every node serves on, few of them call it, and a change
 // after its return is everywhere within two seconds of being accepted.
-Test(spread, an_outage_is_served_through_without_a_storm)
+Test(spread, an_outage_causes_no_call_storm)
 {
     const auto fleet = settled_fleet(20, 90, 3);
     fleet->set_outage(true);
@@ -153,20 +153,20 @@
 
 // A node is paused while the tables change, and a watcher's old answer waits in its socket. When
 // it returns it must catch up and never put the old answer in force over a newer one.
-Test(spread, a_paused_node_never_steps_back)
+Test(spread, a_paused_node_never_lowers_its_revision)
 {
     const auto fleet = settled_fleet(30, 12, 2);
-    fleet_node* sleeper = watchers_of(*fleet, failure_domain_id{"domain-0"}).front();
+    fleet_node* paused_node = watchers_of(*fleet, failure_domain_id{"domain-0"}).front();
     fleet->accept(*fleet->nodes[1], edited(1), "c1");
-    sleeper->link->paused = true;
+    paused_node->peer_node->paused = true;
     for (std::uint32_t mark = 2; mark < 30; ++mark) {
         fleet->accept(*fleet->nodes[1], edited(mark), "c" + std::to_string(mark));
         fleet->net.run_for(seconds{5});
     }
-    fleet->net.resume(*sleeper->link);
+    fleet->net.resume(*paused_node->peer_node);
     const std::int64_t newest = fleet->nodes[1]->highest;
     cr_assert(fleet->net.until([&] { return fleet->all_at(newest); }, seconds{5}));
-    cr_assert(fleet->none_went_down());
+    cr_assert(fleet->no_revision_decreased());
 }
 
 // The store is restored from an old backup, or a key of another deployment is copied over the
@@ -181,12 +181,12 @@
     restore.then.emplace_back(kv_put{fleet->keys.head(), old_head, {}});
     cr_assert(fleet->store.transact(restore).has_value());
     fleet->net.run_for(seconds{30});
-    cr_assert(fleet->all_at(2) && fleet->none_went_down());
-    const auto told = [&](const std::string& kind) {
-        return std::find(fleet->refused.begin(), fleet->refused.end(), kind) !=
-               fleet->refused.end();
+    cr_assert(fleet->all_at(2) && fleet->no_revision_decreased());
+    const auto was_reported = [&](const std::string& kind) {
+        return std::find(fleet->reported_kinds.begin(), fleet->reported_kinds.end(), kind) !=
+               fleet->reported_kinds.end();
     };
-    cr_assert(told("config_older_head"));
+    cr_assert(was_reported("config_older_head"));
 
     head_record foreign = parse_head(old_head).value();
     foreign.manifest.deployment = "prod";
@@ -195,13 +195,13 @@
     copy.then.emplace_back(kv_put{fleet->keys.head(), render_head(foreign), {}});
     cr_assert(fleet->store.transact(copy).has_value());
     fleet->net.run_for(seconds{30});
-    cr_assert(told("config_foreign_deployment"));
+    cr_assert(was_reported("config_foreign_deployment"));
     cr_assert(std::all_of(fleet->nodes.begin(), fleet->nodes.end(),
                           [](const auto& node) { return node->highest == 2; }));
 }
 
 // A peer sends a page whose bytes are not what its name says. It is not taken.
-Test(spread, a_forged_page_is_not_taken)
+Test(spread, a_page_with_a_wrong_digest_is_rejected)
 {
     const auto fleet = settled_fleet(41, 2, 1);
     const head_record head = parse_head(fleet->store.find(fleet->keys.head())->value).value();
@@ -215,14 +215,14 @@
     config_reply reply{head.revision(), render_head(head), {}, {}};
     for (const std::string& digest : pages_of(head.manifest))
         reply.pages.push_back({digest, "[]"});
-    (void)core.peer_spoke(now, {node_id{"y"}, config_digest{head.revision(), false}});
-    (void)core.peer_spoke(now, {node_id{"y"}, reply});
+    (void)core.peer_message_received(now, {node_id{"y"}, config_digest{head.revision(), false}});
+    (void)core.peer_message_received(now, {node_id{"y"}, reply});
     cr_assert_not(core.installed().has_value());
 }
 
 // A node has moved on since it asked, or a peer's delta was made from another head: applied all the
 // same it would put tables in force that nobody accepted. It is refused, and so is a damaged one.
-Test(spread, a_delta_fits_only_the_head_it_was_made_from)
+Test(spread, a_delta_applies_only_to_its_base_head)
 {
     const auto head_of = [](std::int64_t revision, std::uint32_t mark) {
         history_entry entry;
@@ -243,15 +243,15 @@
 
 // Every order of one collector's two steps (look, delete) and one editor's two steps (look, swap)
 // that brings an old page back: afterwards each page that the head names must be there.
-Test(collect, never_deletes_a_page_that_is_named)
+Test(collect, never_deletes_a_referenced_page)
 {
     const std::vector<std::string> orders{"CcEe", "CEce", "CEec", "ECce", "ECec", "EeCc"};
     for (const std::string& order : orders) {
         kv_store store;
         const config_keys keys{"/t/"};
-        standing seen;
+        stored_state seen;
         const auto look = [&] {
-            standing out;
+            stored_state out;
             const kv_entry* head = store.find(keys.head());
             if (head == nullptr)
                 return out;
@@ -265,17 +265,17 @@
             out.base = out.current;
             return out;
         };
-        const auto swap = [&](const standing& from, std::uint32_t mark) {
+        const auto swap = [&](const stored_state& from, std::uint32_t mark) {
             edit change{test_fleet::tables(rows, 0, mark), {}};
-            change.made_by.change_id = std::to_string(mark);
-            change.made_by.author = "ana";
+            change.metadata.change_id = std::to_string(mark);
+            change.metadata.author = "ana";
             const auto plan = plan_acceptance(keys, from, change);
             for (const kv_transaction& part : plan.value().prepare)
                 (void)store.transact(part);
             return store.transact(plan.value().swap).value().succeeded;
         };
-        // Row 0 as of mark 1 is forgotten after most_history further revisions.
-        for (std::uint32_t mark = 1; mark <= most_history + 2; ++mark)
+        // Row 0 as of mark 1 is forgotten after max_history_entries further revisions.
+        for (std::uint32_t mark = 1; mark <= max_history_entries + 2; ++mark)
             cr_assert(swap(look(), mark));
         std::vector<kv_transaction> deletions;
         std::size_t planned = 0;
@@ -324,13 +324,13 @@
             fleet_node& one = *fleet->nodes[random.index(fleet->nodes.size())];
             switch (random.index(8)) {
             case 0:
-                if (!one.link->crashed)
-                    one.link->paused = true;
+                if (!one.peer_node->crashed)
+                    one.peer_node->paused = true;
                 break;
             case 1:
                 for (const auto& node : fleet->nodes) {
-                    if (node->link->paused)
-                        fleet->net.resume(*node->link);
+                    if (node->peer_node->paused)
+                        fleet->net.resume(*node->peer_node);
                 }
                 break;
             case 2:
@@ -340,18 +340,18 @@
                 cut_domain = random.chance(0.5) ? "domain-" + std::to_string(random.index(3)) : "";
                 break;
             case 4:
-                fleet->cut_platform(one, random.chance(0.5));
+                fleet->set_platform_unreachable(one, random.chance(0.5));
                 break;
             case 5:
-                if (!one.link->crashed && boot < 6) { // replaced: same name, later boot
-                    one.link->crashed = true;
-                    const std::string name = one.link->core.self().node.value();
+                if (!one.peer_node->crashed && boot < 6) { // replaced: same name, later boot
+                    one.peer_node->crashed = true;
+                    const std::string name = one.peer_node->core.self().node.value();
                     const std::size_t index = std::stoul(name.substr(name.find('-') + 1));
                     fleet->add(index, 3, ++boot);
                 }
                 break;
             default:
-                if (!one.link->crashed && !one.link->paused) {
+                if (!one.peer_node->crashed && !one.peer_node->paused) {
                     const std::int64_t revision =
                         fleet->accept(one, edited(step), std::to_string(step), random.chance(0.3));
                     newest = std::max(newest, revision);
@@ -362,12 +362,12 @@
         cut_domain.clear();
         fleet->set_outage(false);
         for (const auto& node : fleet->nodes) {
-            fleet->cut_platform(*node, false);
-            if (node->link->paused)
-                fleet->net.resume(*node->link);
+            fleet->set_platform_unreachable(*node, false);
+            if (node->peer_node->paused)
+                fleet->net.resume(*node->peer_node);
         }
         cr_assert(fleet->net.until([&] { return fleet->all_at(newest); }, seconds{60}),
                   "seed %lu: revision %ld is not in force everywhere", seed, newest);
-        cr_assert(fleet->none_went_down(), "seed %lu: a revision went down", seed);
+        cr_assert(fleet->no_revision_decreased(), "seed %lu: a revision went down", seed);
     }
 }
--- a/config/store.cc
+++ b/config/store.cc
@@ -17,9 +17,9 @@
 
 namespace {
 
-constexpr std::size_t most_tries = 8;
-constexpr std::size_t single_reads = 8; ///< above it, all pages are read with one call
-constexpr duration first_pause = std::chrono::milliseconds{50};
+constexpr std::size_t max_attempts = 8;
+constexpr std::size_t max_single_page_reads = 8; ///< above it, all pages are read with one call
+constexpr duration backoff_step = std::chrono::milliseconds{50};
 
 bool may_have_taken_effect(const error& failure)
 {
@@ -40,18 +40,18 @@
     : m_io{io}, m_kv{kv}, m_keys{std::move(keys)}, m_deployment{std::move(deployment)}
 {}
 
-awaitable<void> config_store::pause(std::size_t attempt)
+awaitable<void> config_store::backoff(std::size_t attempt)
 {
-    timer wait{m_io, first_pause * static_cast<std::int64_t>(attempt + 1)};
+    timer wait{m_io, backoff_step * static_cast<std::int64_t>(attempt + 1)};
     co_await wait.async_wait(boost::asio::as_tuple(boost::asio::use_awaitable));
 }
 
-awaitable<result<read_back>> config_store::read()
+awaitable<result<stored_head>> config_store::read()
 {
     const auto read = co_await m_kv.get(m_keys.head());
     if (!read)
         co_return read.error();
-    read_back out;
+    stored_head out;
     if (!read.value().entry)
         co_return out;
     out.mod_revision = read.value().mod_revision();
@@ -63,7 +63,7 @@
 }
 
 awaitable<result<configuration>>
-config_store::tables_of(const head_record& head, const std::map<std::string, std::string>& known)
+config_store::read_tables(const head_record& head, const std::map<std::string, std::string>& known)
 {
     std::vector<table_page> pages;
     std::vector<std::string> missing;
@@ -74,7 +74,7 @@
         else
             missing.push_back(digest);
     }
-    if (missing.size() > single_reads) {
+    if (missing.size() > max_single_page_reads) {
         const auto all = co_await m_kv.get_prefix(m_keys.pages());
         if (!all)
             co_return all.error();
@@ -96,7 +96,7 @@
     co_return tables;
 }
 
-awaitable<result<head_record>> config_store::record_of(config_revision revision)
+awaitable<result<head_record>> config_store::read_revision(config_revision revision)
 {
     const auto read = co_await m_kv.get(m_keys.revision(revision));
     if (!read)
@@ -107,9 +107,9 @@
 }
 
 awaitable<result<configuration>>
-config_store::base_tables(config_revision base, const head_record& head,
-                          const configuration& current,
-                          const std::map<std::string, std::string>& known)
+config_store::read_base_tables(config_revision base, const head_record& head,
+                               const configuration& current,
+                               const std::map<std::string, std::string>& known)
 {
     if (base == head.revision())
         co_return current;
@@ -123,7 +123,7 @@
     empty.deployment = m_deployment;
     if (base == config_revision{0})
         co_return empty;
-    const auto record = co_await record_of(base);
+    const auto record = co_await read_revision(base);
     if (!record && record.error().kind == error_kind::not_found) {
         co_return error{error_kind::conflict,
                         "the edit is based on revision " + std::to_string(base.value()) +
@@ -133,34 +133,34 @@
     }
     if (!record)
         co_return record.error();
-    co_return co_await tables_of(record.value(), known);
+    co_return co_await read_tables(record.value(), known);
 }
 
-awaitable<result<standing>> config_store::stand(config_revision base,
-                                                const std::map<std::string, std::string>& known)
+awaitable<result<stored_state>>
+config_store::read_state(config_revision base, const std::map<std::string, std::string>& known)
 {
     auto read_head = co_await read();
     if (!read_head)
         co_return read_head.error();
-    standing seen;
-    seen.head_mod_revision = read_head.value().mod_revision;
-    seen.head = std::move(read_head.value().head);
-    if (seen.head_mod_revision == 0 && base > config_revision{0}) {
+    stored_state stored;
+    stored.head_mod_revision = read_head.value().mod_revision;
+    stored.head = std::move(read_head.value().head);
+    if (stored.head_mod_revision == 0 && base > config_revision{0}) {
         co_return error{error_kind::invalid_argument,
                         "the edit is based on revision " + std::to_string(base.value()) +
                             ", but this deployment has none yet",
                         "apply the first tables with base revision 0"};
     }
-    if (seen.head_mod_revision == 0)
-        co_return seen;
-    auto current = co_await tables_of(seen.head, known);
+    if (stored.head_mod_revision == 0)
+        co_return stored;
+    auto current = co_await read_tables(stored.head, known);
     if (!current)
         co_return current.error();
-    seen.current = std::move(current).value();
-    co_return seen;
+    stored.current = std::move(current).value();
+    co_return stored;
 }
 
-awaitable<result<kv_outcome>> config_store::carry_out(const acceptance& plan)
+awaitable<result<kv_outcome>> config_store::execute(const acceptance_plan& plan)
 {
     for (const kv_transaction& part : plan.prepare) {
         const auto done = co_await m_kv.transact(part);
@@ -170,32 +170,32 @@
     co_return co_await m_kv.transact(plan.swap);
 }
 
-awaitable<result<swapped_change>>
-config_store::swap_in(config_revision base, const edit& wanted,
-                      const std::map<std::string, std::string>& known)
+awaitable<result<committed_change>>
+config_store::commit_edit(config_revision base, const edit& wanted,
+                          const std::map<std::string, std::string>& known)
 {
     error last{error_kind::unavailable, "the configuration's head kept changing", "apply again"};
-    bool in_doubt = false;
-    for (std::size_t attempt = 0; attempt < most_tries; ++attempt) {
+    bool outcome_unknown = false;
+    for (std::size_t attempt = 0; attempt < max_attempts; ++attempt) {
         if (attempt > 0)
-            co_await pause(attempt);
-        auto seen = co_await stand(base, known);
-        if (!seen) {
-            last = seen.error();
+            co_await backoff(attempt);
+        auto stored = co_await read_state(base, known);
+        if (!stored) {
+            last = stored.error();
             if (last.kind == error_kind::invalid_argument || last.kind == error_kind::invalid_table)
                 co_return last;
             continue;
         }
         // An earlier try of ours, or of the client's, has been accepted.
-        if (const auto made = find_change(seen.value().head, wanted.made_by.change_id)) {
-            swapped_change out;
+        if (const auto made = find_change(stored.value().head, wanted.metadata.change_id)) {
+            committed_change out;
             out.change = *made;
-            out.change.repeated = !in_doubt;
+            out.change.repeated = !outcome_unknown;
             co_return out;
         }
-        if (seen.value().head_mod_revision != 0) {
+        if (stored.value().head_mod_revision != 0) {
             auto original =
-                co_await base_tables(base, seen.value().head, seen.value().current, known);
+                co_await read_base_tables(base, stored.value().head, stored.value().current, known);
             if (!original) {
                 last = original.error();
                 if (last.kind == error_kind::unavailable ||
@@ -203,35 +203,35 @@
                     continue;
                 co_return last;
             }
-            seen.value().base = std::move(original).value();
+            stored.value().base = std::move(original).value();
         }
-        auto plan = plan_acceptance(m_keys, seen.value(), wanted);
+        auto plan = plan_acceptance(m_keys, stored.value(), wanted);
         if (!plan)
             co_return plan.error();
-        swapped_change out;
-        out.change = {plan.value().next.revision(),
-                      wanted.made_by.change_id,
-                      wanted.made_by.time_ms,
+        committed_change out;
+        out.change = {plan.value().next_head.revision(),
+                      wanted.metadata.change_id,
+                      wanted.metadata.time_ms,
                       plan.value().merged,
                       false,
                       plan.value().unchanged};
         if (plan.value().unchanged) {
-            out.change.revision = seen.value().head.revision();
+            out.change.revision = stored.value().head.revision();
             co_return out;
         }
-        const auto done = co_await carry_out(plan.value());
+        const auto done = co_await execute(plan.value());
         if (!done) {
             last = done.error();
-            in_doubt = in_doubt || may_have_taken_effect(last);
+            outcome_unknown = outcome_unknown || may_have_taken_effect(last);
             continue;
         }
         if (!done.value().succeeded)
             continue; // another editor was first, or an earlier try of ours
-        out.head_text = render_head(plan.value().next);
+        out.head_text = render_head(plan.value().next_head);
         out.pages = std::move(plan.value().new_pages);
         co_return out;
     }
-    if (in_doubt) {
+    if (outcome_unknown) {
         co_return error{error_kind::unknown_outcome,
                         "the change may have been accepted: " + last.message,
                         "apply again with the same change id; it is not accepted twice"};
--- a/config/test_fleet.h
+++ b/config/test_fleet.h
@@ -19,16 +19,16 @@
 namespace jaynotch::testing {
 
 struct fleet_node {
-    test_node* link = nullptr;
+    test_node* peer_node = nullptr;
     std::unique_ptr<spread_core> spread;
-    bool watching = false;   ///< has a watch registered in the store
-    bool watch_dead = false; ///< the watch lives on but delivers nothing
-    bool cut_off = false;    ///< can't reach the platform
-    std::uint64_t calls = 0; ///< on the platform
+    bool watching = false;             ///< has a watch registered in the store
+    bool watch_silent = false;         ///< the watch lives on but delivers nothing
+    bool platform_unreachable = false; ///< can't reach the platform
+    std::uint64_t calls = 0;           ///< on the platform
     std::int64_t highest = 0;
     std::map<std::int64_t, time_point> installed_at;
     std::size_t members_seen = 0;
-    bool went_down = false; ///< a revision was installed that was not higher
+    bool revision_decreased = false; ///< a revision was installed that was not higher
 };
 
 class test_fleet {
@@ -44,33 +44,33 @@
     kv_store store;
     config_keys keys{"/t/"};
     const bool everyone_watches; ///< the baseline: no spread through peers
-    duration call_time = std::chrono::milliseconds{2};
+    duration call_delay = std::chrono::milliseconds{2};
     std::vector<std::unique_ptr<fleet_node>> nodes;
-    std::vector<std::string> refused; ///< kinds of reports
+    std::vector<std::string> reported_kinds; ///< kinds of reports
 
     fleet_node& add(std::size_t index, std::size_t domains, std::uint64_t boot = 1)
     {
         auto made = std::make_unique<fleet_node>();
         fleet_node& node = *made;
-        node.link = &net.add(index, domains, boot);
+        node.peer_node = &net.add(index, domains, boot);
         spread_settings settings;
         settings.deployment = "test";
-        settings.self = node.link->core.self().node;
-        settings.failure_domain = node.link->core.self().failure_domain;
+        settings.self = node.peer_node->core.self().node;
+        settings.failure_domain = node.peer_node->core.self().failure_domain;
         if (everyone_watches)
-            settings.watchers = settings.candidates = std::size_t{1} << 20U;
+            settings.watchers_per_domain = settings.watcher_candidates = std::size_t{1} << 20U;
         node.spread = std::make_unique<spread_core>(settings, random_source{net.random.bits()});
-        node.link->on_command = [this, &node](const membership_command& command) {
+        node.peer_node->on_command = [this, &node](const membership_command& command) {
             if (const auto* message = std::get_if<config_message>(&command))
-                run(node, node.spread->peer_spoke(net.now, *message));
-            if (const auto* news = std::get_if<rumor_heard>(&command)) {
-                if (const auto* told = std::get_if<confirmation>(&news->item))
-                    run(node, node.spread->peer_confirmed(net.now, *told));
+                run(node, node.spread->peer_message_received(net.now, *message));
+            if (const auto* rumor = std::get_if<rumor_heard>(&command)) {
+                if (const auto* told = std::get_if<confirmation>(&rumor->item))
+                    run(node, node.spread->peer_confirmation_received(net.now, *told));
             }
             if (std::holds_alternative<member_changed>(command))
                 node.members_seen = 0;
         };
-        node.link->on_tick = [this, &node] { tick(node); };
+        node.peer_node->on_tick = [this, &node] { tick(node); };
         nodes.push_back(std::move(made));
         return node;
     }
@@ -100,63 +100,63 @@
     }
 
     /// The store stops answering, or answers again; watches end.
-    void set_outage(bool now_out)
+    void set_outage(bool outage)
     {
-        m_outage = now_out;
+        m_outage = outage;
         for (const auto& node : nodes)
-            end_watch(*node);
+            fail_watch(*node);
     }
-    void cut_platform(fleet_node& node, bool cut)
+    void set_platform_unreachable(fleet_node& node, bool cut)
     {
-        node.cut_off = cut;
-        end_watch(node);
+        node.platform_unreachable = cut;
+        fail_watch(node);
     }
 
     /// Accepts tables at `node` as of now, on top of whatever stands; 0 if it failed.
     std::int64_t accept(fleet_node& node, const configuration& wanted, const std::string& id,
                         bool lose_reply = false)
     {
-        if (m_outage || node.cut_off)
+        if (m_outage || node.platform_unreachable)
             return 0;
-        standing seen;
+        stored_state stored;
         if (const kv_entry* head = store.find(keys.head())) {
-            seen.head_mod_revision = head->mod_revision;
-            seen.head = parse_head(head->value).value();
-            seen.current = from_pages(seen.head.manifest, pages()).value();
-            seen.current.revision = seen.head.revision();
-            seen.base = seen.current;
+            stored.head_mod_revision = head->mod_revision;
+            stored.head = parse_head(head->value).value();
+            stored.current = from_pages(stored.head.manifest, pages()).value();
+            stored.current.revision = stored.head.revision();
+            stored.base = stored.current;
         }
         edit change{wanted, {}};
-        change.made_by.change_id = id;
-        change.made_by.author = "ana";
-        const auto plan = plan_acceptance(keys, seen, change);
+        change.metadata.change_id = id;
+        change.metadata.author = "ana";
+        const auto plan = plan_acceptance(keys, stored, change);
         if (!plan || plan.value().unchanged)
             return 0;
         for (const kv_transaction& part : plan.value().prepare)
             (void)transact(node, part);
         if (!transact(node, plan.value().swap).succeeded)
             return 0;
-        publish();
-        accepted_at[plan.value().next.revision().value()] = net.now;
+        notify_watchers();
+        accepted_at[plan.value().next_head.revision().value()] = net.now;
         if (!lose_reply) {
             std::vector<config_page> fresh;
             for (const table_page& page : plan.value().new_pages)
                 fresh.push_back({page.digest, page.bytes});
-            run(node, node.spread->accepted(net.now, render_head(plan.value().next), fresh));
+            run(node, node.spread->accepted(net.now, render_head(plan.value().next_head), fresh));
         }
-        return plan.value().next.revision().value();
+        return plan.value().next_head.revision().value();
     }
 
     [[nodiscard]] bool all_at(std::int64_t revision) const
     {
         return std::all_of(nodes.begin(), nodes.end(), [&](const auto& node) {
-            return node->link->crashed || node->highest >= revision;
+            return node->peer_node->crashed || node->highest >= revision;
         });
     }
-    [[nodiscard]] bool none_went_down() const
+    [[nodiscard]] bool no_revision_decreased() const
     {
         return std::none_of(nodes.begin(), nodes.end(),
-                            [](const auto& node) { return node->went_down; });
+                            [](const auto& node) { return node->revision_decreased; });
     }
     [[nodiscard]] std::uint64_t calls() const
     {
@@ -171,12 +171,12 @@
 private:
     bool m_outage = false;
 
-    void end_watch(fleet_node& node)
+    void fail_watch(fleet_node& node)
     {
-        if (!node.watching || node.link->crashed || node.link->paused)
+        if (!node.watching || node.peer_node->crashed || node.peer_node->paused)
             return;
         node.watching = false;
-        run(node, node.spread->platform_failed(net.now));
+        run(node, node.spread->platform_call_failed(net.now));
     }
 
     std::vector<table_page> pages() const
@@ -195,11 +195,11 @@
 
     void tick(fleet_node& node)
     {
-        const std::size_t known = node.link->core.members().size() + 1;
+        const std::size_t known = node.peer_node->core.members().size() + 1;
         if (node.members_seen != known) {
             node.members_seen = known;
-            const member& self = node.link->core.self();
-            std::vector<node_id> live = node.link->core.members().select([&](const member& m) {
+            const member& self = node.peer_node->core.self();
+            std::vector<node_id> live = node.peer_node->core.members().select([&](const member& m) {
                 return m.live() && m.failure_domain == self.failure_domain;
             });
             live.push_back(self.node);
@@ -212,24 +212,24 @@
     void run(fleet_node& node, const spread_commands& commands)
     {
         for (const spread_command& command : commands)
-            std::visit([&](const auto& order) { carry_out(node, order); }, command);
+            std::visit([&](const auto& order) { execute(node, order); }, command);
     }
     /// A call on the platform: takes its time, may fail, never reaches a crashed node.
     void call(fleet_node& node, const std::function<void()>& done)
     {
         ++node.calls;
-        net.after(call_time, [this, &node, done] {
-            if (node.link->crashed)
+        net.after(call_delay, [this, &node, done] {
+            if (node.peer_node->crashed)
                 return;
-            if (node.link->paused) { // the answer waits in the socket
+            if (node.peer_node->paused) { // the answer waits in the socket
                 net.after(std::chrono::milliseconds{100}, [this, &node, done] {
                     --node.calls;
                     call(node, done);
                 });
                 return;
             }
-            if (m_outage || node.cut_off)
-                run(node, node.spread->platform_failed(net.now));
+            if (m_outage || node.platform_unreachable)
+                run(node, node.spread->platform_call_failed(net.now));
             else
                 done();
         });
@@ -238,23 +238,23 @@
     {
         const kv_entry* head = store.find(keys.head());
         const auto value = head == nullptr ? std::nullopt : std::optional{head->value};
-        run(node, node.spread->platform_head(net.now, value));
+        run(node, node.spread->platform_head_received(net.now, value));
     }
-    void carry_out(fleet_node& node, const watch_head& /*order*/)
+    void execute(fleet_node& node, const watch_head& /*order*/)
     {
         call(node, [this, &node] {
             ++node.calls; // the watch
             node.watching = true;
-            node.watch_dead = false;
+            node.watch_silent = false;
             deliver_head(node);
         });
     }
-    void carry_out(fleet_node& node, const stop_watch& /*order*/) { node.watching = false; }
-    void carry_out(fleet_node& node, const read_head& /*order*/)
+    void execute(fleet_node& node, const stop_watch& /*order*/) { node.watching = false; }
+    void execute(fleet_node& node, const read_head& /*order*/)
     {
         call(node, [this, &node] { deliver_head(node); });
     }
-    void carry_out(fleet_node& node, const read_pages& order)
+    void execute(fleet_node& node, const read_pages& order)
     {
         node.calls += order.digests.size() - std::min<std::size_t>(1, order.digests.size());
         call(node, [this, &node, order] {
@@ -263,41 +263,46 @@
                 if (const kv_entry* page = store.find(keys.page(digest)))
                     out.push_back({digest, page->value});
             }
-            run(node, node.spread->platform_pages(net.now, out));
+            run(node, node.spread->platform_pages_received(net.now, out));
         });
     }
-    void carry_out(fleet_node& node, const tell_peer& order)
+    void execute(fleet_node& node, const send_to_peer& order)
     {
         if (!everyone_watches)
-            net.run(*node.link, node.link->core.send_config(net.now, order.to, order.body));
+            net.run(*node.peer_node,
+                    node.peer_node->core.send_config(net.now, order.to, order.body));
     }
-    void carry_out(fleet_node& node, const install& order)
+    void execute(fleet_node& node, const install& order)
     {
         const std::int64_t revision = order.tables->revision.value();
-        node.went_down = node.went_down || revision <= node.highest;
+        node.revision_decreased = node.revision_decreased || revision <= node.highest;
         node.highest = revision;
         node.installed_at[revision] = net.now;
     }
-    void carry_out(fleet_node& node, const announce& order)
+    void execute(fleet_node& node, const announce& order)
     {
         if (!everyone_watches) {
-            net.run(*node.link, node.link->core.config_installed(net.now, order.digest.revision,
-                                                                 order.digest.platform_lost));
+            net.run(*node.peer_node,
+                    node.peer_node->core.config_installed(net.now, order.digest.revision,
+                                                          order.digest.platform_lost));
         }
     }
-    void carry_out(fleet_node& /*node*/, const report& order) { refused.push_back(order.kind); }
+    void execute(fleet_node& /*node*/, const report& order)
+    {
+        reported_kinds.push_back(order.kind);
+    }
 
-    void publish()
+    void notify_watchers()
     {
         for (const auto& node : nodes) {
-            if (!node->watching || node->watch_dead || node->link->crashed)
+            if (!node->watching || node->watch_silent || node->peer_node->crashed)
                 continue;
-            net.after(call_time, [this, raw = node.get()] {
-                if (raw->link->paused || raw->link->crashed)
+            net.after(call_delay, [this, raw = node.get()] {
+                if (raw->peer_node->paused || raw->peer_node->crashed)
                     return;
-                if (m_outage || raw->cut_off) {
+                if (m_outage || raw->platform_unreachable) {
                     raw->watching = false;
-                    run(*raw, raw->spread->platform_failed(net.now));
+                    run(*raw, raw->spread->platform_call_failed(net.now));
                 }
                 else {
                     deliver_head(*raw);
