--- a/config/collect.cc
+++ b/config/collect.cc
@@ -76,9 +76,9 @@
     if (!kept.complete)
         return out;
     for (const kv_entry& entry : entries) {
-        const bool ours =
+        const bool collectable_kind =
             entry.key.starts_with(keys.pages()) || entry.key.starts_with(keys.revisions());
-        if (!ours || kept.keys.contains(entry.key) ||
+        if (!collectable_kind || kept.keys.contains(entry.key) ||
             entry.mod_revision >= head_entry->mod_revision)
             continue;
         if (out.empty() || out.back().then.size() >= deletions_per_transaction)
--- a/config/config_service.cc
+++ b/config/config_service.cc
@@ -58,17 +58,17 @@
         const std::weak_ptr<state> self = weak_from_this();
         m_peers.on_config([self](const config_message& message) {
             if (const auto service_state = self.lock())
-                service_state->heard(message);
+                service_state->on_peer_event(message);
         });
-        m_peers.on_confirmation([self](const confirmation& told) {
+        m_peers.on_confirmation([self](const confirmation& confirmed) {
             if (const auto service_state = self.lock())
-                service_state->heard(told);
+                service_state->on_peer_event(confirmed);
         });
     }
 
-    awaitable<void> run(std::shared_ptr<state> keep)
+    awaitable<void> run(std::shared_ptr<state> keep_alive)
     {
-        asio::co_spawn(m_io, registry_loop(keep), asio::detached);
+        asio::co_spawn(m_io, registry_loop(keep_alive), asio::detached);
         while (!m_stopped) {
             update_members();
             execute(m_core.tick(runtime_clock::now()));
@@ -89,7 +89,7 @@
     // bit by bit, which breaks its short strings.
     awaitable<result<accepted_change>> accept(config_revision base, const edit& wanted)
     {
-        const auto keep = shared_from_this();
+        const auto keep_alive = shared_from_this();
         // Copied, since an installation while this waits replaces the core's own.
         const std::map<std::string, std::string> known = m_core.pages();
         auto done = co_await m_store.commit_edit(base, wanted, known);
@@ -101,7 +101,7 @@
                 pages.push_back({page.digest, page.bytes});
             execute(m_core.accepted(runtime_clock::now(), done.value().head_text, pages));
             if (done.value().change.revision.value() % collection_interval == 0)
-                asio::co_spawn(m_io, collect(keep), asio::detached);
+                asio::co_spawn(m_io, collect(keep_alive), asio::detached);
         }
         co_return done.value().change;
     }
@@ -111,20 +111,20 @@
         std::vector<node_confirmation> out;
         std::vector<node_id> unconfirmed;
         for (const member& known : m_peers.members()) {
-            node_confirmation told{known.node, known.failure_domain, known.state, {}, false};
+            node_confirmation confirmed{known.node, known.failure_domain, known.state, {}, false};
             const auto found = m_confirmed.find(wire_key(known.node.value()));
             if (found != m_confirmed.end()) {
-                told.revision = found->second.revision;
-                told.platform_lost = found->second.platform_lost;
+                confirmed.revision = found->second.revision;
+                confirmed.platform_lost = found->second.platform_lost;
             }
             if (known.node == m_peers.self().node) {
-                told.revision = m_core.revision();
-                told.platform_lost = m_core.platform_lost();
+                confirmed.revision = m_core.revision();
+                confirmed.platform_lost = m_core.platform_lost();
             }
-            else if (known.live() && told.revision < m_core.revision()) {
+            else if (known.live() && confirmed.revision < m_core.revision()) {
                 unconfirmed.push_back(known.node);
             }
-            out.push_back(std::move(told));
+            out.push_back(std::move(confirmed));
         }
         // Confirmations are gossiped sparingly; whoever waits for some asks for them.
         if (unconfirmed.size() > max_nodes_queried)
@@ -162,7 +162,7 @@
         execute(m_core.domain_changed(runtime_clock::now(), std::move(live)));
     }
 
-    void heard(const config_message& message)
+    void on_peer_event(const config_message& message)
     {
         if (m_stopped)
             return;
@@ -174,57 +174,57 @@
         execute(m_core.peer_message_received(runtime_clock::now(), message));
     }
 
-    void heard(const confirmation& told)
+    void on_peer_event(const confirmation& confirmed)
     {
         if (m_stopped)
             return;
         if (m_confirmed.size() < 2 * max_members)
-            m_confirmed[told.node] = told;
-        execute(m_core.peer_confirmation_received(runtime_clock::now(), told));
+            m_confirmed[confirmed.node] = confirmed;
+        execute(m_core.peer_confirmation_received(runtime_clock::now(), confirmed));
     }
 
     void execute(const spread_commands& commands)
     {
         for (const spread_command& command : commands)
-            std::visit([this](const auto& order) { execute(order); }, command);
+            std::visit([this](const auto& each) { execute(each); }, command);
     }
-    void execute(const watch_head& /*order*/)
+    void execute(const watch_head& /*command*/)
     {
         asio::co_spawn(m_io, watch_loop(shared_from_this(), ++m_watch_generation), asio::detached);
     }
-    void execute(const stop_watch& /*order*/) { ++m_watch_generation; }
-    void execute(const read_head& /*order*/)
+    void execute(const stop_watch& /*command*/) { ++m_watch_generation; }
+    void execute(const read_head& /*command*/)
     {
         asio::co_spawn(m_io, read_head_once(shared_from_this()), asio::detached);
     }
-    void execute(const read_pages& order)
+    void execute(const read_pages& command)
     {
-        asio::co_spawn(m_io, read_pages_once(shared_from_this(), order.digests), asio::detached);
+        asio::co_spawn(m_io, read_pages_once(shared_from_this(), command.digests), asio::detached);
     }
-    void execute(const send_to_peer& order) { m_peers.send_config(order.to, order.body); }
-    void execute(const install& order)
+    void execute(const send_to_peer& command) { m_peers.send_config(command.to, command.body); }
+    void execute(const install& command)
     {
         log_event(log_level::info, "config_installed",
-                  {{"revision", order.tables->revision.value()},
-                   {"routes", order.tables->routes.size()},
-                   {"pools", order.tables->pools.size()}});
+                  {{"revision", command.tables->revision.value()},
+                   {"routes", command.tables->routes.size()},
+                   {"pools", command.tables->pools.size()}});
         if (m_installed_handler)
-            m_installed_handler(order.tables);
+            m_installed_handler(command.tables);
     }
-    void execute(const announce& order)
+    void execute(const announce& command)
     {
-        if (order.digest.platform_lost != m_logged_platform_lost) {
-            m_logged_platform_lost = order.digest.platform_lost;
+        if (command.digest.platform_lost != m_logged_platform_lost) {
+            m_logged_platform_lost = command.digest.platform_lost;
             log_event(log_level::warning,
                       m_logged_platform_lost ? "config_platform_lost" : "config_platform_back",
-                      {{"revision", order.digest.revision.value()}});
+                      {{"revision", command.digest.revision.value()}});
         }
-        m_peers.set_config(order.digest.revision, order.digest.platform_lost);
+        m_peers.set_config(command.digest.revision, command.digest.platform_lost);
     }
-    void execute(const report& order)
+    void execute(const report& command)
     {
-        m_last_error = to_string(order.failure);
-        log_event(log_level::warning, order.kind, {{"error", m_last_error}});
+        m_last_error = to_string(command.failure);
+        log_event(log_level::warning, command.kind, {{"error", m_last_error}});
     }
 
     void head_received(const std::optional<kv_entry>& entry)
@@ -241,7 +241,7 @@
         execute(m_core.platform_call_failed(runtime_clock::now()));
     }
 
-    awaitable<void> read_head_once([[maybe_unused]] std::shared_ptr<state> keep)
+    awaitable<void> read_head_once([[maybe_unused]] std::shared_ptr<state> keep_alive)
     {
         const auto read = co_await m_kv.get(m_store.keys().head());
         if (m_stopped)
@@ -252,7 +252,7 @@
             call_failed(read.error());
     }
 
-    awaitable<void> read_pages_once([[maybe_unused]] std::shared_ptr<state> keep,
+    awaitable<void> read_pages_once([[maybe_unused]] std::shared_ptr<state> keep_alive,
                                     std::vector<std::string> digests)
     {
         std::vector<config_page> pages;
@@ -270,7 +270,7 @@
         execute(m_core.platform_pages_received(runtime_clock::now(), pages));
     }
 
-    awaitable<void> watch_loop([[maybe_unused]] std::shared_ptr<state> keep,
+    awaitable<void> watch_loop([[maybe_unused]] std::shared_ptr<state> keep_alive,
                                std::uint64_t generation)
     {
         const auto current = [&] { return !m_stopped && generation == m_watch_generation; };
@@ -305,7 +305,7 @@
         }
     }
 
-    awaitable<void> registry_loop([[maybe_unused]] std::shared_ptr<state> keep)
+    awaitable<void> registry_loop([[maybe_unused]] std::shared_ptr<state> keep_alive)
     {
         time_point renew_at{};
         while (!m_stopped) {
@@ -326,7 +326,7 @@
         }
     }
 
-    awaitable<void> collect([[maybe_unused]] std::shared_ptr<state> keep)
+    awaitable<void> collect([[maybe_unused]] std::shared_ptr<state> keep_alive)
     {
         const auto done = co_await m_store.collect();
         if (done)
--- a/config/config_service_test.cc
+++ b/config/config_service_test.cc
@@ -142,10 +142,10 @@
     cr_assert(test.apply(second, 1, routes, pools(2), "c2").has_value());
     cr_assert(test.until([&] { return first.highest == 2; }));
     cr_assert(test.until([&] {
-        const auto told = first.config->node_confirmations();
-        return told.size() == 2 && std::all_of(told.begin(), told.end(), [](const auto& node) {
-                   return node.revision == config_revision{2};
-               });
+        const auto confirmations = first.config->node_confirmations();
+        return confirmations.size() == 2 &&
+               std::all_of(confirmations.begin(), confirmations.end(),
+                           [](const auto& node) { return node.revision == config_revision{2}; });
     }));
 }
 
@@ -247,11 +247,11 @@
     test_node first{test.io, test.server, "n1"};
     cr_assert(test.apply(first, 0, routes, pools(1), "c1").has_value());
     test.server->faults.outage = true;
-    test_node fresh{test.io, test.server, "n2"};
-    cr_assert(!fresh.config->status().ready);
-    fresh.peers->add_seeds({first.peers->address()});
-    cr_assert(test.until([&] { return fresh.config->status().ready; }));
-    cr_assert_eq(fresh.highest, 1);
+    test_node new_node{test.io, test.server, "n2"};
+    cr_assert(!new_node.config->status().ready);
+    new_node.peers->add_seeds({first.peers->address()});
+    cr_assert(test.until([&] { return new_node.config->status().ready; }));
+    cr_assert_eq(new_node.highest, 1);
 }
 
 // A daemon is destroyed without a stop, as in a crash, while its timers, calls and frames are under
@@ -261,14 +261,14 @@
     fixture test;
     test_node survivor{test.io, test.server, "n1"};
     cr_assert(test.apply(survivor, 0, routes, pools(1), "c1").has_value());
-    std::vector<std::shared_ptr<kv_service>> kept;
+    std::vector<std::shared_ptr<kv_service>> kv_services;
     for (int round = 0; round < 20; ++round) {
-        auto doomed = std::make_unique<test_node>(test.io, test.server, "n2");
-        kept.push_back(doomed->kv);
-        doomed->peers->add_seeds({survivor.peers->address()});
+        auto destroyed = std::make_unique<test_node>(test.io, test.server, "n2");
+        kv_services.push_back(destroyed->kv);
+        destroyed->peers->add_seeds({survivor.peers->address()});
         for (int step = 0; step < round * 3; ++step)
             test.io.run_one_for(std::chrono::milliseconds{5});
-        doomed.reset();
+        destroyed.reset();
         test.io.run_for(std::chrono::milliseconds{20});
     }
     cr_assert(test.apply(survivor, 1, routes, pools(2), "c2").has_value());
--- a/config/spread.cc
+++ b/config/spread.cc
@@ -127,15 +127,15 @@
         names.push_back(node.value());
     const std::string key = "config-watch/" + m_settings.failure_domain.value();
     std::vector<std::string> preferred;
-    std::vector<std::string> lost;
-    for (const std::size_t chosen : rendezvous(key, names, m_settings.watcher_candidates)) {
-        const bool self = names[chosen] == m_settings.self.value();
-        const auto heard = m_peer_platform_lost.find(wire_key(names[chosen]));
+    std::vector<std::string> without_platform;
+    for (const std::size_t index : rendezvous(key, names, m_settings.watcher_candidates)) {
+        const bool self = names[index] == m_settings.self.value();
+        const auto found = m_peer_platform_lost.find(wire_key(names[index]));
         const bool is_lost =
-            self ? m_platform_lost : heard != m_peer_platform_lost.end() && heard->second;
-        (is_lost ? lost : preferred).push_back(names[chosen]);
+            self ? m_platform_lost : found != m_peer_platform_lost.end() && found->second;
+        (is_lost ? without_platform : preferred).push_back(names[index]);
     }
-    preferred.insert(preferred.end(), lost.begin(), lost.end());
+    preferred.insert(preferred.end(), without_platform.begin(), without_platform.end());
     preferred.resize(std::min(preferred.size(), m_settings.watchers_per_domain));
     const bool chosen =
         std::find(preferred.begin(), preferred.end(), m_settings.self.value()) != preferred.end();
@@ -150,13 +150,13 @@
 }
 
 spread_commands spread_core::peer_confirmation_received(time_point /*now*/,
-                                                        const confirmation& heard)
+                                                        const confirmation& confirmed)
 {
     spread_commands out;
     if (m_peer_platform_lost.size() >= max_tracked_peers &&
-        !m_peer_platform_lost.contains(heard.node))
+        !m_peer_platform_lost.contains(confirmed.node))
         m_peer_platform_lost.erase(m_peer_platform_lost.begin());
-    m_peer_platform_lost[heard.node] = heard.platform_lost;
+    m_peer_platform_lost[confirmed.node] = confirmed.platform_lost;
     choose_watchers(out);
     return out;
 }
@@ -173,18 +173,18 @@
     return out;
 }
 
-void spread_core::handle_digest(time_point now, const node_id& from, const config_digest& heard,
+void spread_core::handle_digest(time_point now, const node_id& from, const config_digest& digest,
                                 spread_commands& out)
 {
     if (m_peer_digests.size() >= max_tracked_peers && !m_peer_digests.contains(from))
         m_peer_digests.erase(m_peer_digests.begin());
-    m_peer_digests[from] = heard;
-    m_peer_platform_lost[wire_key(from.value())] = heard.platform_lost;
-    const bool revision_rose = heard.revision > m_highest_known;
-    m_highest_known = std::max(m_highest_known, heard.revision);
+    m_peer_digests[from] = digest;
+    m_peer_platform_lost[wire_key(from.value())] = digest.platform_lost;
+    const bool revision_rose = digest.revision > m_highest_known;
+    m_highest_known = std::max(m_highest_known, digest.revision);
     if (revision_rose)
         m_failed_requests = 0;
-    if (heard.revision > revision() && !m_request_pending)
+    if (digest.revision > revision() && !m_request_pending)
         request_from_peer(now, from, out);
 }
 
@@ -230,9 +230,9 @@
 
 bool spread_core::consume_reply_budget(time_point now, std::size_t bytes)
 {
-    const double most = 4.0 * m_settings.reply_bytes_s;
+    const double capacity = 4.0 * m_settings.reply_bytes_s;
     const double seconds = std::chrono::duration<double>(now - m_last_refill).count();
-    m_reply_tokens = std::min(most, m_reply_tokens + seconds * m_settings.reply_bytes_s);
+    m_reply_tokens = std::min(capacity, m_reply_tokens + seconds * m_settings.reply_bytes_s);
     m_last_refill = now;
     if (m_reply_tokens < 0.0)
         return false;
@@ -252,10 +252,11 @@
             m_recent_revisions.begin(), m_recent_revisions.end(),
             [&](const auto& recent) { return recent.head.revision() == peer_request.base; });
         // Of a base that we don't remember we can't tell what is missing; the peer can.
-        const std::vector<std::string> now_needed = m_recent_revisions.back().digests;
+        const std::vector<std::string> current_digests = m_recent_revisions.back().digests;
         if (base != m_recent_revisions.end()) {
-            std::set_difference(now_needed.begin(), now_needed.end(), base->digests.begin(),
-                                base->digests.end(), std::back_inserter(wanted));
+            std::set_difference(current_digests.begin(), current_digests.end(),
+                                base->digests.begin(), base->digests.end(),
+                                std::back_inserter(wanted));
             reply.delta = render_delta(base->head, with_recent_history(m_installed->head));
         }
         if (reply.delta.empty())
@@ -342,11 +343,11 @@
     m_watch_active = false;
     if (!m_failing_since)
         m_failing_since = now;
-    const duration most =
+    const duration max_backoff =
         m_watching ? m_settings.max_watcher_backoff : m_settings.max_other_backoff;
-    m_backoff = std::min(m_backoff, most);
+    m_backoff = std::min(m_backoff, max_backoff);
     m_next_call = now + duration{m_random.between(m_backoff.count() / 2, m_backoff.count())};
-    m_backoff = std::min(2 * m_backoff, most);
+    m_backoff = std::min(2 * m_backoff, max_backoff);
     return out;
 }
 
--- a/config/spread.h
+++ b/config/spread.h
@@ -86,7 +86,7 @@
     /// Live members of this node's failure domain, itself included, sorted.
     spread_commands domain_changed(time_point now, std::vector<node_id> live);
     spread_commands peer_message_received(time_point now, const config_message& message);
-    spread_commands peer_confirmation_received(time_point now, const confirmation& heard);
+    spread_commands peer_confirmation_received(time_point now, const confirmation& confirmed);
     /// The value of the head key; empty if there is none.
     spread_commands platform_head_received(time_point now, const std::optional<std::string>& value);
     spread_commands platform_pages_received(time_point now, const std::vector<config_page>& pages);
@@ -120,7 +120,7 @@
         std::vector<std::string> digests; ///< sorted
     };
 
-    void handle_digest(time_point now, const node_id& from, const config_digest& heard,
+    void handle_digest(time_point now, const node_id& from, const config_digest& digest,
                        spread_commands& out);
     void handle_request(time_point now, const node_id& to, const config_request& peer_request,
                         spread_commands& out);
--- a/config/spread_bench.cc
+++ b/config/spread_bench.cc
@@ -68,7 +68,7 @@
 }
 
 /// Changes come to any node; not to one that is down.
-fleet_node& acceptor(test_fleet& fleet, std::size_t turn)
+fleet_node& choose_acceptor(test_fleet& fleet, std::size_t turn)
 {
     for (std::size_t i = turn * 7 * 3;; i += 3) {
         fleet_node& node = *fleet.nodes[i % fleet.nodes.size()];
@@ -82,7 +82,7 @@
     fault injected;
     time_point healed = time_point::min();
 
-    void begin()
+    void inject()
     {
         if (injected == fault::watcher_lost) {
             for (const auto& node : fleet.nodes) {
@@ -93,23 +93,23 @@
             }
         }
         if (injected == fault::domain_cut_off)
-            cut(true);
+            set_partition(true);
         if (injected == fault::outage)
             fleet.set_outage(true);
     }
-    void end()
+    void heal()
     {
         if (injected == fault::domain_cut_off)
-            cut(false);
+            set_partition(false);
         if (injected == fault::outage)
             fleet.set_outage(false);
         healed = fleet.net.now;
     }
-    void cut(bool off)
+    void set_partition(bool active)
     {
         const failure_domain_id lost{"domain-1"};
         fleet.net.cut = nullptr;
-        if (off) {
+        if (active) {
             fleet.net.cut = [lost](const test_node& a, const test_node& b) {
                 return (a.core.self().failure_domain == lost) !=
                        (b.core.self().failure_domain == lost);
@@ -117,7 +117,7 @@
         }
         for (const auto& node : fleet.nodes) {
             if (node->peer_node->core.self().failure_domain == lost)
-                fleet.set_platform_unreachable(*node, off);
+                fleet.set_platform_unreachable(*node, active);
         }
     }
 };
@@ -139,14 +139,14 @@
         const time_point start = fleet.net.now;
         const std::clock_t cpu_before = std::clock();
         fault_injector faults{fleet, injected};
-        faults.begin();
+        faults.inject();
         for (std::uint32_t mark = 1; mark <= changes; ++mark) {
-            fleet.accept(acceptor(fleet, mark), test_fleet::tables(rows, mark, mark),
+            fleet.accept(choose_acceptor(fleet, mark), test_fleet::tables(rows, mark, mark),
                          "c" + std::to_string(mark));
             for (int part = 0; part < 5; ++part) {
                 // Between two changes, so that nothing but the healing brings the news.
                 if (mark == changes - 3 && part == 2)
-                    faults.end();
+                    faults.heal();
                 if (!baseline)
                     publish_tickets(fleet);
                 fleet.net.run_for(change_interval / 5);
@@ -157,14 +157,14 @@
         const auto nodes = static_cast<double>(count);
         double bytes = 0;
         double frames = 0;
-        double most = 0;
+        double max_bytes = 0;
         for (const auto& node : fleet.nodes) {
             const auto sent = static_cast<double>(node->peer_node->frames_sent);
             const double all =
                 static_cast<double>(node->peer_node->bytes_sent) + header_bytes * sent;
             bytes += all;
             frames += sent;
-            most = std::max(most, all);
+            max_bytes = std::max(max_bytes, all);
         }
         const std::vector<double> times = spread_times(fleet, faults.healed);
         state.counters["p50_ms"] = percentile(times, 0.5);
@@ -172,7 +172,7 @@
         state.counters["max_ms"] = percentile(times, 1.0);
         state.counters["frames_s"] = frames / nodes / elapsed;
         state.counters["sent_B_s"] = bytes / nodes / elapsed;
-        state.counters["most_B_s"] = most / elapsed;
+        state.counters["most_B_s"] = max_bytes / elapsed;
         state.counters["calls_s"] = static_cast<double>(fleet.calls()) / elapsed;
         state.counters["cpu_pct"] = 100.0 * cpu / nodes / elapsed;
         state.counters["node_KB"] =
--- a/config/spread_test.cc
+++ b/config/spread_test.cc
@@ -12,7 +12,7 @@
 
 constexpr std::size_t rows = 40;
 
-configuration edited(std::uint32_t mark)
+configuration edited_tables(std::uint32_t mark)
 {
     return test_fleet::tables(rows, mark % rows, mark);
 }
@@ -23,7 +23,7 @@
 {
     auto fleet = std::make_unique<test_fleet>(seed, count, domains);
     fleet->net.run_for(seconds{30});
-    cr_assert_eq(fleet->accept(*fleet->nodes[0], edited(0), "first"), 1);
+    cr_assert_eq(fleet->accept(*fleet->nodes[0], edited_tables(0), "first"), 1);
     cr_assert(fleet->net.until([&] { return fleet->all_at(1); }, seconds{5}));
     return fleet;
 }
@@ -49,7 +49,7 @@
         node->calls = 0;
     for (std::uint32_t mark = 1; mark <= 10; ++mark) {
         const std::int64_t revision =
-            fleet->accept(*fleet->nodes[mark * 7], edited(mark), "c" + std::to_string(mark));
+            fleet->accept(*fleet->nodes[mark * 7], edited_tables(mark), "c" + std::to_string(mark));
         cr_assert(fleet->net.until([&] { return fleet->all_at(revision); }, seconds{1}));
         fleet->net.run_for(seconds{5});
     }
@@ -66,7 +66,7 @@
     const auto fleet = settled_fleet(2, 30, 3);
     for (const auto& node : fleet->nodes)
         node->watch_silent = true;
-    cr_assert_eq(fleet->accept(*fleet->nodes[4], edited(1), "c1", true), 2);
+    cr_assert_eq(fleet->accept(*fleet->nodes[4], edited_tables(1), "c1", true), 2);
     cr_assert(fleet->net.until([&] { return fleet->all_at(2); }, seconds{12}));
 }
 
@@ -85,7 +85,7 @@
                              [](const fleet_node* node) { return !node->peer_node->crashed; });
     };
     cr_assert(fleet->net.until([&] { return running() == 2; }, seconds{60}));
-    fleet->accept(*fleet->nodes[0], edited(1), "c1");
+    fleet->accept(*fleet->nodes[0], edited_tables(1), "c1");
     cr_assert(fleet->net.until([&] { return fleet->all_at(2); }, seconds{2}));
 }
 
@@ -119,8 +119,8 @@
             if (inside(node->peer_node->core.self()))
                 fleet->set_platform_unreachable(*node, true);
         }
-        fleet->accept(*fleet->nodes[0], edited(1), "c1");
-        fleet->accept(*fleet->nodes[2], edited(2), "c2");
+        fleet->accept(*fleet->nodes[0], edited_tables(1), "c1");
+        fleet->accept(*fleet->nodes[2], edited_tables(2), "c2");
         fleet->net.run_for(minutes{2});
         for (const auto& node : fleet->nodes)
             cr_assert_eq(node->highest, inside(node->peer_node->core.self()) ? 1 : 3);
@@ -147,7 +147,7 @@
     cr_assert(fleet->all_at(1));
     fleet->set_outage(false);
     fleet->net.run_for(seconds{2});
-    cr_assert_eq(fleet->accept(*fleet->nodes[50], edited(1), "c1"), 2);
+    cr_assert_eq(fleet->accept(*fleet->nodes[50], edited_tables(1), "c1"), 2);
     cr_assert(fleet->net.until([&] { return fleet->all_at(2); }, seconds{2}));
 }
 
@@ -157,10 +157,10 @@
 {
     const auto fleet = settled_fleet(30, 12, 2);
     fleet_node* paused_node = watchers_of(*fleet, failure_domain_id{"domain-0"}).front();
-    fleet->accept(*fleet->nodes[1], edited(1), "c1");
+    fleet->accept(*fleet->nodes[1], edited_tables(1), "c1");
     paused_node->peer_node->paused = true;
     for (std::uint32_t mark = 2; mark < 30; ++mark) {
-        fleet->accept(*fleet->nodes[1], edited(mark), "c" + std::to_string(mark));
+        fleet->accept(*fleet->nodes[1], edited_tables(mark), "c" + std::to_string(mark));
         fleet->net.run_for(seconds{5});
     }
     fleet->net.resume(*paused_node->peer_node);
@@ -175,7 +175,7 @@
 {
     const auto fleet = settled_fleet(40, 6, 1);
     const std::string old_head = fleet->store.find(fleet->keys.head())->value;
-    fleet->accept(*fleet->nodes[0], edited(1), "c1");
+    fleet->accept(*fleet->nodes[0], edited_tables(1), "c1");
     cr_assert(fleet->net.until([&] { return fleet->all_at(2); }, seconds{2}));
     kv_transaction restore;
     restore.then.emplace_back(kv_put{fleet->keys.head(), old_head, {}});
@@ -245,12 +245,12 @@
 // that brings an old page back: afterwards each page that the head names must be there.
 Test(collect, never_deletes_a_referenced_page)
 {
-    const std::vector<std::string> orders{"CcEe", "CEce", "CEec", "ECce", "ECec", "EeCc"};
-    for (const std::string& order : orders) {
+    const std::vector<std::string> interleavings{"CcEe", "CEce", "CEec", "ECce", "ECec", "EeCc"};
+    for (const std::string& order : interleavings) {
         kv_store store;
         const config_keys keys{"/t/"};
         stored_state seen;
-        const auto look = [&] {
+        const auto read_state = [&] {
             stored_state out;
             const kv_entry* head = store.find(keys.head());
             if (head == nullptr)
@@ -276,7 +276,7 @@
         };
         // Row 0 as of mark 1 is forgotten after max_history_entries further revisions.
         for (std::uint32_t mark = 1; mark <= max_history_entries + 2; ++mark)
-            cr_assert(swap(look(), mark));
+            cr_assert(swap(read_state(), mark));
         std::vector<kv_transaction> deletions;
         std::size_t planned = 0;
         for (const char step : order) {
@@ -289,7 +289,7 @@
                     (void)store.transact(part);
             }
             if (step == 'E')
-                seen = look();
+                seen = read_state();
             if (step == 'e')
                 cr_assert(swap(seen, 1));
         }
@@ -321,11 +321,11 @@
                    (b.core.self().failure_domain.value() == cut_domain);
         };
         for (std::uint32_t step = 1; step <= 60; ++step) {
-            fleet_node& one = *fleet->nodes[random.index(fleet->nodes.size())];
+            fleet_node& random_node = *fleet->nodes[random.index(fleet->nodes.size())];
             switch (random.index(8)) {
             case 0:
-                if (!one.peer_node->crashed)
-                    one.peer_node->paused = true;
+                if (!random_node.peer_node->crashed)
+                    random_node.peer_node->paused = true;
                 break;
             case 1:
                 for (const auto& node : fleet->nodes) {
@@ -340,20 +340,21 @@
                 cut_domain = random.chance(0.5) ? "domain-" + std::to_string(random.index(3)) : "";
                 break;
             case 4:
-                fleet->set_platform_unreachable(one, random.chance(0.5));
+                fleet->set_platform_unreachable(random_node, random.chance(0.5));
                 break;
             case 5:
-                if (!one.peer_node->crashed && boot < 6) { // replaced: same name, later boot
-                    one.peer_node->crashed = true;
-                    const std::string name = one.peer_node->core.self().node.value();
+                if (!random_node.peer_node->crashed && boot < 6)
+                { // replaced: same name, later boot
+                    random_node.peer_node->crashed = true;
+                    const std::string name = random_node.peer_node->core.self().node.value();
                     const std::size_t index = std::stoul(name.substr(name.find('-') + 1));
                     fleet->add(index, 3, ++boot);
                 }
                 break;
             default:
-                if (!one.peer_node->crashed && !one.peer_node->paused) {
-                    const std::int64_t revision =
-                        fleet->accept(one, edited(step), std::to_string(step), random.chance(0.3));
+                if (!random_node.peer_node->crashed && !random_node.peer_node->paused) {
+                    const std::int64_t revision = fleet->accept(
+                        random_node, edited_tables(step), std::to_string(step), random.chance(0.3));
                     newest = std::max(newest, revision);
                 }
             }
--- a/config/store.cc
+++ b/config/store.cc
@@ -174,36 +174,38 @@
 config_store::commit_edit(config_revision base, const edit& wanted,
                           const std::map<std::string, std::string>& known)
 {
-    error last{error_kind::unavailable, "the configuration's head kept changing", "apply again"};
+    error last_error{error_kind::unavailable, "the configuration's head kept changing",
+                     "apply again"};
     bool outcome_unknown = false;
     for (std::size_t attempt = 0; attempt < max_attempts; ++attempt) {
         if (attempt > 0)
             co_await backoff(attempt);
         auto stored = co_await read_state(base, known);
         if (!stored) {
-            last = stored.error();
-            if (last.kind == error_kind::invalid_argument || last.kind == error_kind::invalid_table)
-                co_return last;
+            last_error = stored.error();
+            if (last_error.kind == error_kind::invalid_argument ||
+                last_error.kind == error_kind::invalid_table)
+                co_return last_error;
             continue;
         }
         // An earlier try of ours, or of the client's, has been accepted.
-        if (const auto made = find_change(stored.value().head, wanted.metadata.change_id)) {
+        if (const auto accepted = find_change(stored.value().head, wanted.metadata.change_id)) {
             committed_change out;
-            out.change = *made;
+            out.change = *accepted;
             out.change.repeated = !outcome_unknown;
             co_return out;
         }
         if (stored.value().head_mod_revision != 0) {
-            auto original =
+            auto base_tables =
                 co_await read_base_tables(base, stored.value().head, stored.value().current, known);
-            if (!original) {
-                last = original.error();
-                if (last.kind == error_kind::unavailable ||
-                    last.kind == error_kind::deadline_exceeded)
+            if (!base_tables) {
+                last_error = base_tables.error();
+                if (last_error.kind == error_kind::unavailable ||
+                    last_error.kind == error_kind::deadline_exceeded)
                     continue;
-                co_return last;
+                co_return last_error;
             }
-            stored.value().base = std::move(original).value();
+            stored.value().base = std::move(base_tables).value();
         }
         auto plan = plan_acceptance(m_keys, stored.value(), wanted);
         if (!plan)
@@ -221,8 +223,8 @@
         }
         const auto done = co_await execute(plan.value());
         if (!done) {
-            last = done.error();
-            outcome_unknown = outcome_unknown || may_have_taken_effect(last);
+            last_error = done.error();
+            outcome_unknown = outcome_unknown || may_have_taken_effect(last_error);
             continue;
         }
         if (!done.value().succeeded)
@@ -233,10 +235,10 @@
     }
     if (outcome_unknown) {
         co_return error{error_kind::unknown_outcome,
-                        "the change may have been accepted: " + last.message,
+                        "the change may have been accepted: " + last_error.message,
                         "apply again with the same change id; it is not accepted twice"};
     }
-    co_return last;
+    co_return last_error;
 }
 
 awaitable<result<std::size_t>> config_store::collect()
--- a/config/test_fleet.h
+++ b/config/test_fleet.h
@@ -80,18 +80,18 @@
     {
         configuration out;
         out.deployment = "test";
-        pool only;
-        only.name = pool_id{"p"};
-        only.model = "m";
-        only.version = "1";
-        out.pools.push_back(only);
+        pool single_pool;
+        single_pool.name = pool_id{"p"};
+        single_pool.model = "m";
+        single_pool.version = "1";
+        out.pools.push_back(single_pool);
         for (std::size_t i = 0; i < rows; ++i) {
             route row;
             std::string digits = std::to_string(i);
             row.name = route_id{"r" + std::string(5 - digits.size(), '0') + digits};
             row.model = "m" + digits;
             row.workspaces = {"*"};
-            row.pool = only.name;
+            row.pool = single_pool.name;
             if (i == edited)
                 row.timeout = std::chrono::milliseconds{1000 + mark};
             out.routes.push_back(std::move(row));
@@ -139,10 +139,11 @@
         notify_watchers();
         accepted_at[plan.value().next_head.revision().value()] = net.now;
         if (!lose_reply) {
-            std::vector<config_page> fresh;
+            std::vector<config_page> pages_for_peers;
             for (const table_page& page : plan.value().new_pages)
-                fresh.push_back({page.digest, page.bytes});
-            run(node, node.spread->accepted(net.now, render_head(plan.value().next_head), fresh));
+                pages_for_peers.push_back({page.digest, page.bytes});
+            run(node, node.spread->accepted(net.now, render_head(plan.value().next_head),
+                                            pages_for_peers));
         }
         return plan.value().next_head.revision().value();
     }
@@ -212,7 +213,7 @@
     void run(fleet_node& node, const spread_commands& commands)
     {
         for (const spread_command& command : commands)
-            std::visit([&](const auto& order) { execute(node, order); }, command);
+            std::visit([&](const auto& each) { execute(node, each); }, command);
     }
     /// A call on the platform: takes its time, may fail, never reaches a crashed node.
     void call(fleet_node& node, const std::function<void()>& done)
@@ -240,7 +241,7 @@
         const auto value = head == nullptr ? std::nullopt : std::optional{head->value};
         run(node, node.spread->platform_head_received(net.now, value));
     }
-    void execute(fleet_node& node, const watch_head& /*order*/)
+    void execute(fleet_node& node, const watch_head& /*command*/)
     {
         call(node, [this, &node] {
             ++node.calls; // the watch
@@ -249,47 +250,47 @@
             deliver_head(node);
         });
     }
-    void execute(fleet_node& node, const stop_watch& /*order*/) { node.watching = false; }
-    void execute(fleet_node& node, const read_head& /*order*/)
+    void execute(fleet_node& node, const stop_watch& /*command*/) { node.watching = false; }
+    void execute(fleet_node& node, const read_head& /*command*/)
     {
         call(node, [this, &node] { deliver_head(node); });
     }
-    void execute(fleet_node& node, const read_pages& order)
+    void execute(fleet_node& node, const read_pages& command)
     {
-        node.calls += order.digests.size() - std::min<std::size_t>(1, order.digests.size());
-        call(node, [this, &node, order] {
+        node.calls += command.digests.size() - std::min<std::size_t>(1, command.digests.size());
+        call(node, [this, &node, command] {
             std::vector<config_page> out;
-            for (const std::string& digest : order.digests) {
+            for (const std::string& digest : command.digests) {
                 if (const kv_entry* page = store.find(keys.page(digest)))
                     out.push_back({digest, page->value});
             }
             run(node, node.spread->platform_pages_received(net.now, out));
         });
     }
-    void execute(fleet_node& node, const send_to_peer& order)
+    void execute(fleet_node& node, const send_to_peer& command)
     {
         if (!everyone_watches)
             net.run(*node.peer_node,
-                    node.peer_node->core.send_config(net.now, order.to, order.body));
+                    node.peer_node->core.send_config(net.now, command.to, command.body));
     }
-    void execute(fleet_node& node, const install& order)
+    void execute(fleet_node& node, const install& command)
     {
-        const std::int64_t revision = order.tables->revision.value();
+        const std::int64_t revision = command.tables->revision.value();
         node.revision_decreased = node.revision_decreased || revision <= node.highest;
         node.highest = revision;
         node.installed_at[revision] = net.now;
     }
-    void execute(fleet_node& node, const announce& order)
+    void execute(fleet_node& node, const announce& command)
     {
         if (!everyone_watches) {
             net.run(*node.peer_node,
-                    node.peer_node->core.config_installed(net.now, order.digest.revision,
-                                                          order.digest.platform_lost));
+                    node.peer_node->core.config_installed(net.now, command.digest.revision,
+                                                          command.digest.platform_lost));
         }
     }
-    void execute(fleet_node& /*node*/, const report& order)
+    void execute(fleet_node& /*node*/, const report& command)
     {
-        reported_kinds.push_back(order.kind);
+        reported_kinds.push_back(command.kind);
     }
 
     void notify_watchers()
