--- a/config/accept.cc
+++ b/config/accept.cc
@@ -1,11 +1,12 @@
-// Acceptance is one compare-and-swap of the head key. Of two editors one swaps first; the other's
-// compare fails, it reads what now stands and merges anew, or is told of the conflict.
+// A change is accepted by one compare-and-swap of the head key. If two editors race, the first swap
+// succeeds and the compare of the second fails; the second editor reads the new head and merges
+// again, or gets a conflict error.
 //
-// Pages are named by their content, so two revisions share those that did not change. The swap
-// writes every page that the head being replaced does not name, even if a page of that name may
-// still lie there from an older revision: the collector may be deleting just that one. It can't
-// delete what the swap wrote: it deletes only pages older than the head, in a transaction that
-// compares the head (collect.cc).
+// Pages are named by the digest of their content, so revisions share the pages that are equal. The
+// swap writes every page that the current head does not reference, even if a page with that digest
+// still exists from an older revision, because the garbage collector may be deleting that page at
+// the same time. The collector can't delete what the swap wrote: it deletes only pages that are
+// older than the head, in a transaction that compares the head (collect.cc).
 #include "config/accept.h"
 
 #include <algorithm>
@@ -31,7 +32,7 @@
     return names;
 }
 
-/// The newest change after `base` that names the row; the head's own if none does.
+/// The newest change after `base` that lists the row; the newest of all if none does.
 const history_entry& last_change_of(const head_record& head, config_revision base,
                                     const std::string& row)
 {
@@ -77,7 +78,7 @@
     return put == nullptr ? 0 : put->key.size() + put->value.size();
 }
 
-/// Puts of pages, cut into lists that each fit a transaction.
+/// Splits the operations into lists that each fit into one transaction.
 std::vector<std::vector<kv_operation>>
 split_into_batches(const std::vector<kv_operation>& operations)
 {
@@ -144,7 +145,7 @@
     for (const table_page& page : plan.new_pages)
         puts.emplace_back(kv_put{keys.page(page.digest), page.bytes, {}});
     std::vector<std::vector<kv_operation>> parts = split_into_batches(puts);
-    // One batch goes along with the head; more of them go before it.
+    // A single batch is written together with the head; several are written before it.
     const bool fits =
         parts.size() <= 1 && head_text.size() < max_value_bytes - max_transaction_bytes;
     if (!fits) {
--- a/config/accept.h
+++ b/config/accept.h
@@ -1,8 +1,9 @@
-// What a change does to the key-value service: pure planning, carried out by config_service.
+// Plans the key-value transactions that accept a change. The functions are pure; config_store
+// executes the plan.
 //
 //   result<acceptance> plan = plan_acceptance(keys, seen, edit);
-//   // carry out plan.prepare, then plan.swap; if the swap's compare fails, read and plan again;
-//   // if its reply is lost, read the head and ask find_change
+//   // execute plan.prepare, then plan.swap; if the compare of the swap fails, read and plan again;
+//   // if its reply is lost, read the head and call find_change
 #pragma once
 
 #include "base/base.h"
@@ -19,59 +20,61 @@
 
 namespace jaynotch {
 
-/// An edit of both tables, made from what stood at `base`.
+/// An edit of both tables that was made on the tables of revision `base`.
 struct change_request {
-    config_revision base; ///< the revision that the editor began with; 0 for the first tables
+    config_revision base; ///< the revision that was edited; 0 for the first tables
     std::string routes_toml;
     std::string pools_toml;
     std::string author;
     std::string message;
-    std::string change_id; ///< the client's own, the same when it asks again; settles lost replies
+    std::string change_id; ///< chosen by the client; a retry sends the same id
 };
 
 struct accepted_change {
     config_revision revision;
     std::string change_id;
     std::int64_t time_ms = 0;
-    bool merged = false;    ///< others had changed other rows since `base`
-    bool repeated = false;  ///< this change id had been accepted before; nothing was done now
-    bool unchanged = false; ///< the tables are as they were; no revision was made
+    bool merged = false;    ///< merged with changes of other rows since `base`
+    bool repeated = false;  ///< this change id was already accepted; nothing is written
+    bool unchanged = false; ///< the tables are equal to the current ones; no new revision
 };
 
-/// What stands in the key-value service when the change is planned.
+/// Contents of the key-value service that a plan is based on.
 struct stored_state {
-    std::int64_t head_mod_revision = 0; ///< 0: no head yet
-    head_record head;                   ///< empty if none
+    std::int64_t head_mod_revision = 0; ///< 0 if there is no head
+    head_record head;                   ///< empty if there is no head
     configuration current;              ///< the tables of `head`
-    configuration base;                 ///< the tables of the edit's base
+    configuration base;                 ///< the tables of the revision that was edited
 };
 
-/// An edit that was parsed.
+/// A parsed edit.
 struct edit {
     configuration tables;
-    history_entry metadata; ///< revision and rows are filled in by the plan
+    history_entry metadata; ///< plan_acceptance fills in revision and rows
 };
 
 struct acceptance_plan {
-    std::vector<kv_transaction> prepare; ///< pages that don't fit into the swap itself
+    std::vector<kv_transaction>
+        prepare; ///< writes pages that don't fit into `swap`; executed first
     kv_transaction swap;
     head_record next_head;
-    std::vector<table_page> new_pages; ///< that the standing head does not name
+    std::vector<table_page> new_pages; ///< pages that the current head does not reference
     bool merged = false;
-    bool unchanged = false; ///< nothing to do
+    bool unchanged = false; ///< the edit changes no row; nothing has to be written
 };
 
-/// Errors: conflict (who, when, which revision, what to do), invalid_table, too_large.
+/// Plans the transactions that accept `wanted`. Errors: conflict (names the other author, the time
+/// and the revision, and what to do), invalid_table, too_large.
 result<acceptance_plan> plan_acceptance(const config_keys& keys, const stored_state& stored,
                                         const edit& wanted);
 
-/// The change with this id if it is in the head's history.
+/// The accepted change with this id, if the head's history still lists it.
 std::optional<accepted_change> find_change(const head_record& head, const std::string& change_id);
 
-/// Most operations and bytes of one transaction.
+/// Limits of one transaction: operations, and bytes of the keys and values it writes.
 inline constexpr std::size_t max_transaction_operations = 100;
 inline constexpr std::size_t max_transaction_bytes = 768U << 10U;
-/// Largest value that the key-value service takes.
+/// Largest value that is written to the key-value service, in bytes.
 inline constexpr std::size_t max_value_bytes = 1'000'000;
 
 } // namespace jaynotch
--- a/config/collect.cc
+++ b/config/collect.cc
@@ -1,15 +1,17 @@
-// The race that must not be lost: the collector sees that no kept revision names page P and is
-// about to delete it, while an editor goes back to an old text whose page is P again.
+// A page must not be deleted while a new revision begins to reference it: the collector finds that
+// no kept revision references page P and is about to delete it, while an editor restores old rows
+// whose page is P.
 //
-// Three compares and conditions settle it, all inside the key-value service:
-//   1. The deletion compares the head's mod_revision with what the collector saw. If the editor's
-//      swap came first, the head has moved and nothing is deleted.
-//   2. An editor writes P anew even if it may still be there (accept.cc), so a deletion that came
-//      first does no harm.
-//   3. Pages too many for one transaction are written before the swap. Only pages whose
-//      mod_revision is lower than the head's are deleted, each compared with the mod_revision seen.
-//      An editor that read head H wrote its pages after H; as long as H stands they are younger
-//      than the head, and once it no longer stands the editor's own swap fails and it starts again.
+// Three rules prevent this, all checked inside the key-value service:
+//   1. The deletion compares the head's mod_revision with the one that the collector read. If the
+//      editor's swap came first, the compare fails and nothing is deleted.
+//   2. The editor writes P even if it may still exist (accept.cc), so a deletion that came before
+//      the swap does no harm.
+//   3. Pages that don't fit into one transaction are written before the swap. The collector deletes
+//      only pages whose mod_revision is lower than the head's, and compares each with the
+//      mod_revision it read. An editor that read head H writes its pages after H: while H is the
+//      head, they are newer than the head; once H is replaced, the editor's swap fails and it
+//      writes its pages again.
 #include "config/collect.h"
 
 #include "config/accept.h"
@@ -32,7 +34,7 @@
 
 struct retained_keys {
     std::set<std::string> keys;
-    bool complete = true; ///< every kept revision could be read
+    bool complete = true; ///< false if a revision record does not parse; nothing is deleted
 };
 
 retained_keys find_retained_keys(const config_keys& keys, const std::vector<kv_entry>& entries,
--- a/config/collect.h
+++ b/config/collect.h
@@ -1,4 +1,4 @@
-// Deletes pages and revision records that no kept revision needs any more.
+// Garbage collection of pages and revision records that no kept revision references.
 #pragma once
 
 #include "config/head.h"
@@ -8,8 +8,8 @@
 
 namespace jaynotch {
 
-/// Transactions that delete what is safe to delete, given all entries under keys.all() as they
-/// stood at one moment. Each holds only as long as the head has not been swapped since.
+/// Transactions that delete the unreferenced keys, given all entries under keys.all() as of one
+/// read. Each transaction succeeds only if the head has not been swapped since that read.
 std::vector<kv_transaction> plan_collection(const config_keys& keys,
                                             const std::vector<kv_entry>& entries);
 
--- a/config/config.h
+++ b/config/config.h
@@ -1,16 +1,18 @@
-// Public header of the config library: changes of the two tables are accepted once, by a
-// compare-and-swap in the key-value service, and come into force on every node for good.
+// Public header of the config library. It accepts changes of the routes and pools tables by a
+// compare-and-swap in the key-value service and installs every accepted revision on all nodes.
 //
 //   auto config = config_service::create(io, settings, kv, peers).value();
 //   config->on_installed([&](std::shared_ptr<const configuration> tables) { ... });
 //   co_spawn(io, config->run(), detached);
 //   change_request request{.base = config_revision{7}, ...};   // named: see below
-//   result<accepted_change> done = co_await config->apply(request);
+//   result<accepted_change> accepted = co_await config->apply(request);
 //
 // g++ 12 miscompiles braced temporaries inside a co_await expression; name the request first.
 //
-// Parts: head.h (the head record), accept.h (what a change does to it), spread.h (who watches, who
-// asks whom), collect.h (old pages), config_service.h (the shell).
+// Parts: head.h (the head record and the keys), accept.h (plans the acceptance of a change),
+// store.h (reads and writes the configuration in the key-value service), spread.h (propagates
+// revisions between nodes), collect.h (deletes unused pages), node_registry.h (peer addresses of
+// the nodes), config_service.h (connects these to the network and to timers).
 #pragma once
 
 #include "base/base.h"
--- a/config/config_service.cc
+++ b/config/config_service.cc
@@ -1,7 +1,8 @@
-// Hands spread_core its events and carries out its commands; acceptance is config_store's.
+// Passes events to spread_core and executes its commands; config_store accepts changes.
 //
-// Calls run as coroutines of their own and come back as events, so a slow platform never holds up
-// the ticks or the peers. All of them keep the state alive and look at m_stopped when they wake.
+// Each call on the platform (the key-value service) runs in a coroutine of its own and returns its
+// result as an event, so a slow platform does not delay ticks or peer messages. Every coroutine
+// keeps the state alive and checks m_stopped after each suspension.
 #include "config/config.h"
 #include "config/node_registry.h"
 #include "config/spread.h"
@@ -25,7 +26,7 @@
 constexpr duration tick_interval = std::chrono::milliseconds{100};
 constexpr duration watch_wait = std::chrono::seconds{5};
 constexpr duration registry_retry = std::chrono::seconds{5};
-/// Accepted changes between two collections of old pages.
+/// Number of revisions between two garbage collections.
 constexpr std::int64_t collection_interval = 32;
 constexpr std::size_t max_nodes_queried = 32;
 
@@ -85,12 +86,12 @@
         m_registry_wait.cancel();
     }
 
-    // Aggregates go by reference: g++ 12 copies one that is passed by value to an awaited coroutine
-    // bit by bit, which breaks its short strings.
+    // `wanted` is passed by reference: g++ 12 copies an aggregate that is passed by value to an
+    // awaited coroutine bitwise, which corrupts its short strings.
     awaitable<result<accepted_change>> accept(config_revision base, const edit& wanted)
     {
         const auto keep_alive = shared_from_this();
-        // Copied, since an installation while this waits replaces the core's own.
+        // Copied, because an installation during the call replaces the pages of the core.
         const std::map<std::string, std::string> known = m_core.pages();
         auto done = co_await m_store.commit_edit(base, wanted, known);
         if (!done)
@@ -126,7 +127,7 @@
             }
             out.push_back(std::move(confirmed));
         }
-        // Confirmations are gossiped sparingly; whoever waits for some asks for them.
+        // Confirmations are gossiped rarely, so the nodes that lack one are queried.
         if (unconfirmed.size() > max_nodes_queried)
             unconfirmed.resize(max_nodes_queried);
         m_peers.ask(unconfirmed);
@@ -348,7 +349,7 @@
                                                                kv_service& kv, peer_service& peers)
 {
     if (settings.deployment.empty()) {
-        return error{error_kind::invalid_argument, "the deployment must be named",
+        return error{error_kind::invalid_argument, "the name of the deployment is empty",
                      "set --deployment"};
     }
     std::string prefix = settings.key_prefix;
--- a/config/config_service.h
+++ b/config/config_service.h
@@ -1,5 +1,5 @@
-// The shell that drives the acceptance and spread of configurations with the key-value service and
-// the peers. See config.h.
+// Connects the acceptance and propagation of configurations with the key-value service, the peers
+// and timers. See config.h.
 #pragma once
 
 #include "base/base.h"
@@ -27,21 +27,21 @@
     std::uint64_t random_seed = 0;
 };
 
-/// How far one node is.
+/// The revision that one node has installed.
 struct node_confirmation {
     node_id node;
     failure_domain_id failure_domain;
     member_state state = member_state::alive;
-    config_revision revision; ///< 0 if not heard yet
-    bool platform_lost = false;
+    config_revision revision;   ///< 0 if the node has not confirmed any yet
+    bool platform_lost = false; ///< the key-value service does not answer that node
 };
 
-/// What an operator wants to know first.
+/// State of the configuration on this node, for operators.
 struct config_status {
     config_revision installed;
-    config_revision head;       ///< highest revision heard of, from anywhere
+    config_revision head;       ///< highest revision known, from a peer or the key-value service
     bool ready = false;         ///< a configuration is installed
-    bool watching = false;      ///< this node holds one of its domain's watches
+    bool watching = false;      ///< this node is one of the watchers of its failure domain
     bool platform_lost = false; ///< the key-value service does not answer this node
     std::string last_error;
 };
@@ -60,25 +60,27 @@
     boost::asio::awaitable<void> run();
     void stop();
 
-    /// Checks, merges and accepts an edit. Errors: invalid_table, conflict (who, when, which
-    /// revision, what to do), unavailable, unknown_outcome (ask again with the same change_id).
+    /// Checks, merges and accepts an edit. Errors: invalid_argument, invalid_table, conflict (names
+    /// the other author, the time and the revision, and what to do), too_large, unavailable,
+    /// unknown_outcome (apply again with the same change_id).
     boost::asio::awaitable<result<accepted_change>> apply(const change_request& request);
-    /// Makes the tables of an earlier revision a new one.
+    /// Accepts the tables of an earlier revision as a new revision.
     boost::asio::awaitable<result<accepted_change>>
     roll_back(config_revision to, std::string author, std::string change_id);
-    /// Accepted changes that are still kept, newest first; from the key-value service, or from
-    /// what is installed while that is down.
+    /// Accepted changes that are still kept, newest first. While the key-value service does not
+    /// answer, those that the installed head lists: only the latest two if it came from a peer.
     boost::asio::awaitable<result<std::vector<history_entry>>> history();
-    /// The tables as of a revision that is still kept.
+    /// The tables of a revision that is still kept. Errors: not_found if it is not kept.
     boost::asio::awaitable<result<configuration>> at(config_revision revision);
 
-    /// What is in force here; null until the first one is installed.
+    /// The installed configuration; null until the first one is installed.
     [[nodiscard]] std::shared_ptr<const configuration> current() const;
     [[nodiscard]] config_status status() const;
-    /// Every member with the revision that it has installed, this node included.
+    /// Every member, this node included, with the revision that it last confirmed. Also queries
+    /// live members whose confirmation is older than this node's revision.
     [[nodiscard]] std::vector<node_confirmation> node_confirmations() const;
 
-    /// Called after each installation, with revisions that only rise.
+    /// Sets the handler that is called after each installation; its revisions strictly increase.
     void on_installed(std::function<void(std::shared_ptr<const configuration>)> handler);
 
 private:
--- a/config/config_service_test.cc
+++ b/config/config_service_test.cc
@@ -55,7 +55,7 @@
     return out;
 }
 
-/// One daemon's peers and configuration.
+/// The peer service and the configuration service of one daemon.
 struct test_node {
     test_node(boost::asio::io_context& io, const std::shared_ptr<memory_kv_server>& server,
               const std::string& name, const std::string& domain = "a",
@@ -68,14 +68,14 @@
                      .value()}
     {
         config->on_installed([this](const std::shared_ptr<const configuration>& tables) {
-            cr_assert_gt(tables->revision.value(), highest, "a revision went down");
+            cr_assert_gt(tables->revision.value(), highest, "the installed revision decreased");
             highest = tables->revision.value();
         });
         co_spawn(io, peers->run(), boost::asio::detached);
         co_spawn(io, config->run(), boost::asio::detached);
     }
 
-    std::shared_ptr<kv_service> kv; ///< outlives its calls
+    std::shared_ptr<kv_service> kv; ///< must outlive its pending calls
     std::unique_ptr<peer_service> peers;
     std::unique_ptr<config_service> config;
     std::int64_t highest = 0;
@@ -105,7 +105,8 @@
     {
         std::optional<T> out;
         co_spawn(io, store_result(std::move(step), out), boost::asio::detached);
-        cr_assert(until([&] { return out.has_value(); }, 20), "no answer");
+        cr_assert(until([&] { return out.has_value(); }, 20),
+                  "the call did not return within 20 s");
         return std::move(*out);
     }
 
@@ -149,8 +150,8 @@
     }));
 }
 
-// An operator's apply hangs and fails though the change was made: the store swapped the head and
-// the connection broke before the reply. Asked again with the same id, it must not be made twice.
+// The store swaps the head but the connection breaks before the reply. The change must be reported
+// as accepted, and a second apply with the same change id must not accept it again.
 Test(config_service, a_lost_reply_is_settled_by_the_change_id)
 {
     fixture test;
@@ -167,8 +168,8 @@
     cr_assert(test.until([&] { return node.highest == 2; }));
 }
 
-// The store takes the swap, answers nothing for a while, and does it after the caller gave up. The
-// retry must neither accept the change a second time nor report a conflict with itself.
+// The store executes the swap only after the caller's deadline. The retry must neither accept the
+// change a second time nor report a conflict with the first attempt.
 Test(config_service, a_swap_that_takes_effect_late_counts_once)
 {
     fixture test;
@@ -180,8 +181,9 @@
     cr_assert_eq(test.wait(node.config->history()).value().size(), 2U);
 }
 
-// Two operators edit at once. Different rows: both edits stand. The same row: the second is told
-// who was first, in which revision, and what to do, and the running tables don't change.
+// Two operators edit the same revision. Edits of different rows must be merged. For the same row,
+// the second operator must get a conflict that names the first one, the revision and the row, and
+// the installed tables must not change.
 Test(config_service, concurrent_edits_merge_or_conflict)
 {
     fixture test;
@@ -200,8 +202,8 @@
     cr_assert_eq(node.config->current()->revision.value(), 3);
 }
 
-// A file of another deployment is applied by mistake, or one that does not join: refused, and
-// what runs is untouched.
+// Tables of another deployment, routes without their pool, or an edit of a revision that does not
+// exist are applied by mistake. Each must be rejected, and the installed tables must not change.
 Test(config_service, invalid_input_leaves_the_installed_tables_unchanged)
 {
     fixture test;
@@ -218,8 +220,8 @@
     cr_assert_eq(node.config->current()->pools.front().replicas, 1U);
 }
 
-// The platform goes down. The nodes serve on what they have and say that it is lost; an apply
-// fails truthfully; when the platform is back the next change reaches both.
+// The platform is unavailable. The nodes must keep their tables and report the platform as lost,
+// and an apply must fail as unavailable. After the outage the next change must reach both nodes.
 Test(config_service, an_outage_keeps_the_installed_tables)
 {
     fixture test;
@@ -239,8 +241,8 @@
     cr_assert(test.until([&] { return first.highest == 2 && second.highest == 2; }));
 }
 
-// A VM is replaced while the platform is down: the new node gets the tables from its peers, found
-// through a seed, and only then is ready.
+// A VM is replaced while the platform is unavailable. The new node must get the tables from a peer
+// that it finds through a seed address, and must not be ready before that.
 Test(config_service, a_new_node_installs_from_peers_during_an_outage)
 {
     fixture test;
@@ -254,8 +256,8 @@
     cr_assert_eq(new_node.highest, 1);
 }
 
-// A daemon is destroyed without a stop, as in a crash, while its timers, calls and frames are under
-// way. What is left on the io_context must not touch it.
+// A daemon is destroyed without a stop while timers, calls and frames are pending. The handlers
+// that remain on the io_context must not access the destroyed objects.
 Test(config_service, destruction_with_operations_pending)
 {
     fixture test;
@@ -274,7 +276,7 @@
     cr_assert(test.apply(survivor, 1, routes, pools(2), "c2").has_value());
 }
 
-// A mistake is undone: going back makes a new revision with the old rows, never a lower one.
+// Rolling back must accept the old tables as a new, higher revision, never a lower one.
 Test(config_service, rolling_back_makes_a_new_revision)
 {
     fixture test;
--- a/config/head.cc
+++ b/config/head.cc
@@ -1,3 +1,5 @@
+// Head records and deltas are JSON objects. A delta holds a checksum over all digests of the head
+// it leads to, so it can't be applied to a head other than the one it was made from.
 #include "config/head.h"
 
 #include <boost/json.hpp>
@@ -62,7 +64,7 @@
     return page_digest(all);
 }
 
-/// Numbers and digests in turn.
+/// The buckets that differ, as a list of bucket number, digest, bucket number, digest, ...
 json::array changed_buckets(const std::vector<std::string>& from,
                             const std::vector<std::string>& to)
 {
@@ -141,8 +143,8 @@
 result<head_record> apply_delta(const head_record& from, std::string_view text)
 {
     const error mismatch{error_kind::protocol,
-                         "a peer's delta does not fit the head it is based on",
-                         "nothing; the whole head is asked for"};
+                         "the delta from a peer does not apply to the installed head",
+                         "no action is needed; the head is requested again"};
     boost::system::error_code failed;
     const json::value value = json::parse(text, failed);
     if (failed)
@@ -162,7 +164,8 @@
             return mismatch;
         return head;
     }
-    catch (const std::exception&) { // a field is missing, of another type, or a bucket too high
+    catch (const std::exception&)
+    { // a field is missing or of another type, or a bucket number is too high
         return mismatch;
     }
 }
--- a/config/node_registry.cc
+++ b/config/node_registry.cc
@@ -13,6 +13,7 @@
     return boost::json::serialize(boost::json::object{{"peer", address}});
 }
 
+/// The address in a registry entry; empty if the entry does not parse.
 std::string parse_address(const std::string& text)
 {
     boost::system::error_code failed;
@@ -39,7 +40,7 @@
             co_return success();
         if (renewed.error().kind != error_kind::not_found)
             co_return renewed.error();
-        m_lease.reset(); // lapsed in an outage: register anew
+        m_lease.reset(); // expired, as in a long outage: register again
     }
     const auto lease = co_await m_kv.grant(registration_ttl);
     if (!lease)
--- a/config/node_registry.h
+++ b/config/node_registry.h
@@ -1,7 +1,8 @@
-// Where daemons leave their peer addresses for one another, so that a newcomer finds a first peer.
+// Registry of the nodes' peer addresses in the key-value service, where a new node finds its first
+// peer.
 //
-// One key a node under a lease of an hour, renewed each twenty minutes: three calls an hour and
-// node, and the key of a node that was replaced goes by itself.
+// Each node has one key under a lease of an hour, which it renews every twenty minutes: three calls
+// per node and hour. The key of a node that was replaced expires with its lease.
 #pragma once
 
 #include "base/base.h"
@@ -19,9 +20,9 @@
 public:
     node_registry(kv_service& kv, std::string key_prefix, node_id node, std::string address);
 
-    /// Writes this node's key, or renews its lease.
+    /// Renews the lease of this node's key; writes the key if it has no lease or the lease expired.
     boost::asio::awaitable<result<void>> renew();
-    /// Addresses of all nodes but this one.
+    /// Addresses of all registered nodes except this one.
     boost::asio::awaitable<result<std::vector<std::string>>> peer_addresses();
 
     static constexpr duration renew_interval = std::chrono::minutes{20};
--- a/config/spread.cc
+++ b/config/spread.cc
@@ -1,23 +1,25 @@
-// Who asks whom.
+// How configurations propagate.
 //
-// Watchers. Two nodes of each failure domain, the highest of the live ones by rendezvous hashing,
-// read the head and watch it; so calls on the platform grow with failure domains, not with nodes.
-// A watcher that can't reach the platform says so on its frames, and the next of four candidates
-// steps in; when none of the four can, the first two go on trying. A watch may die without a sign,
-// so watchers also read the head each ten seconds.
+// Watchers: the two live nodes of each failure domain that rank highest by rendezvous hashing read
+// the head and watch it, so the load on the platform grows with the number of failure domains, not
+// of nodes. A watcher that can't reach the platform reports this in its frames, and the next of
+// four candidates replaces it. If none of the four reaches the platform, the first two keep
+// retrying. A watch may stop delivering without an error, so watchers also read the head every ten
+// seconds.
 //
-// Everyone else hears the revision on every peer frame and asks the sender for the head and the
-// pages that differ: one round trip if it lags by a few revisions. A peer that does not answer
-// costs its deadline and is followed by another, chosen at random, and each third time by the
-// platform, with a growing jittered wait. A peer answers within a budget of bytes a second. So a
-// healed domain catches up by doubling from node to node and no single node is asked by all.
+// All other nodes learn of a new revision from the digest on every peer frame. They request the
+// head and the pages that differ from the sender, which takes one round trip if they lag by a few
+// revisions. If a peer does not reply in time, another is chosen at random; every third attempt
+// also reads from the platform. Timeouts grow and are jittered, and replies are limited to a budget
+// of bytes per second. So after a partition the number of up-to-date nodes in a domain doubles from
+// round to round, and no single node serves all of them.
 //
-// Why no node's revision ever goes down: `install_fetched` is the only place that sets it, it takes
-// `m_fetch`, and `admit` lets into `m_fetch` only heads above what is installed. An old head
-// from a lagging peer, a paused watch or a platform restored from a backup is thus ignored.
+// The installed revision never decreases: only `install_fetched` sets it, from `m_fetch`, and
+// `fetch_if_newer` accepts only heads above the installed revision into `m_fetch`. This rejects an
+// old head from a lagging peer, a paused watch or a platform restored from a backup.
 //
-// Why a head is never put in force in part: the tables are put together from all pages at once,
-// each checked against its digest, and only then replace what is installed.
+// A revision is never installed in part: the tables are assembled from all pages, each checked
+// against its digest, and replace the installed tables in one step.
 #include "config/spread.h"
 
 #include <algorithm>
@@ -32,8 +34,7 @@
 constexpr std::size_t max_tracked_peers = 2048;
 constexpr std::size_t peer_requests_per_platform_call = 2;
 constexpr std::size_t max_timeout_doublings = 6;
-constexpr duration watcher_settle_time =
-    std::chrono::seconds{2}; ///< before a new node counts as a watcher
+constexpr duration watcher_settle_time = std::chrono::seconds{2}; ///< from start to the first watch
 constexpr duration platform_retry_interval = std::chrono::seconds{2};
 
 error foreign_deployment_error(const std::string& theirs, const std::string& ours)
@@ -43,8 +44,8 @@
             "see which nodes and keys the two deployments share; they must share none"};
 }
 
-/// Sixty-four entries would double what each change costs on each node; the whole history is read
-/// from the platform by whoever asks for it.
+/// The head as it is sent to peers. The full history of 64 entries would double the cost of each
+/// change on each node; config_service::history() reads it from the platform when it is needed.
 head_record with_recent_history(const head_record& head)
 {
     head_record out = head;
@@ -228,6 +229,8 @@
         out.emplace_back(read_head{});
 }
 
+/// Takes `bytes` from the token bucket, which holds at most four seconds' worth. False if it is
+/// overdrawn; the last reply that is allowed may overdraw it.
 bool spread_core::consume_reply_budget(time_point now, std::size_t bytes)
 {
     const double capacity = 4.0 * m_settings.reply_bytes_s;
@@ -251,7 +254,8 @@
         const auto base = std::find_if(
             m_recent_revisions.begin(), m_recent_revisions.end(),
             [&](const auto& recent) { return recent.head.revision() == peer_request.base; });
-        // Of a base that we don't remember we can't tell what is missing; the peer can.
+        // If the base is not among the recent revisions, the peer gets the head and requests the
+        // pages that it lacks.
         const std::vector<std::string> current_digests = m_recent_revisions.back().digests;
         if (base != m_recent_revisions.end()) {
             std::set_difference(current_digests.begin(), current_digests.end(),
@@ -285,14 +289,15 @@
     if (!reply.head.empty())
         fetch_head_text(reply.head, out);
     if (!reply.delta.empty() && m_installed) {
-        // One that does not fit, since we have moved on meanwhile, is as if it had not come.
+        // A delta that is not based on the installed head, as after an installation since the
+        // request, is ignored.
         const result<head_record> head = apply_delta(m_installed->head, reply.delta);
         if (head)
             fetch_if_newer(head.value(), out);
     }
     const bool added_any = add_fetched_pages(reply.pages) || (!had_fetch && m_fetch);
     m_failed_requests = added_any ? 0 : m_failed_requests + 1;
-    // A reply of no use is followed by another peer at the next tick.
+    // After a reply that added nothing, the next tick sends a request to another peer.
     if (added_any)
         continue_fetch(now, from, out);
 }
@@ -370,7 +375,7 @@
     fetch_if_newer(parsed.value(), out);
 }
 
-/// Takes a head for fetching if it is newer than what is installed and what is being fetched.
+/// Begins to fetch a head if it is newer than the installed one and the one being fetched.
 void spread_core::fetch_if_newer(const head_record& head, spread_commands& out)
 {
     if (head.manifest.deployment != m_settings.deployment) {
@@ -423,8 +428,8 @@
     return added_any;
 }
 
-/// Puts the fetched head in force if nothing is missing, else asks on: the peer that helped, or
-/// the platform if the head came from there.
+/// Installs the fetched head if it has all pages. Otherwise requests the missing ones from the peer
+/// `from`, or from the platform if there is no `from`.
 void spread_core::continue_fetch(time_point now, const std::optional<node_id>& from,
                                  spread_commands& out)
 {
--- a/config/spread.h
+++ b/config/spread.h
@@ -1,12 +1,13 @@
-// How an accepted configuration reaches this node and is put into force: the decision core.
+// Propagates accepted configurations to this node and its peers. spread_core makes the decisions
+// without input or output: it takes events and returns commands, which the caller executes.
 //
 //   spread_core core{settings, random_source{seed}};
-//   run(core.tick(now));                       // about ten times a second
-//   run(core.peer_message_received(now, message));        // from membership_core
+//   run(core.tick(now));                                // about ten times a second
+//   run(core.peer_message_received(now, message));      // from membership_core
 //   run(core.platform_head_received(now, entry_value)); // from a get or a watch
 //
-// The revision installed only rises. Which of the nodes ask the platform, and which their peers,
-// is explained in spread.cc.
+// The installed revision only increases. "The platform" is the key-value service. Which nodes read
+// from the platform and which from their peers is explained in spread.cc.
 #pragma once
 
 #include "base/base.h"
@@ -30,30 +31,36 @@
     std::string deployment;
     node_id self;
     failure_domain_id failure_domain;
-    std::size_t watchers_per_domain = 2; ///< nodes of each failure domain that watch the head
-    std::size_t watcher_candidates =
-        4; ///< nodes of a domain that may become watchers while others fail
-    duration peer_timeout = std::chrono::milliseconds{400};         ///< for a peer's reply
-    duration initial_backoff = std::chrono::milliseconds{200};      ///< between calls that fail
-    duration max_watcher_backoff = std::chrono::milliseconds{1500}; ///< of watchers
-    duration max_other_backoff = std::chrono::seconds{20};          ///< of nodes that don't watch
-    duration platform_lost_after =
-        std::chrono::seconds{2}; ///< failing calls before the platform is lost
-    duration check_interval = std::chrono::seconds{10}; ///< a watcher reads the head that often
-    double reply_bytes_s = 1'000'000.0;                 ///< bytes a second for peers that ask
+    /// Nodes of each failure domain that watch the head.
+    std::size_t watchers_per_domain = 2;
+    /// Nodes of each failure domain from which the watchers are chosen.
+    std::size_t watcher_candidates = 4;
+    duration peer_timeout = std::chrono::milliseconds{400};    ///< for the reply of a peer
+    duration initial_backoff = std::chrono::milliseconds{200}; ///< after a failed platform call
+    duration max_watcher_backoff = std::chrono::milliseconds{1500}; ///< for watchers
+    duration max_other_backoff = std::chrono::seconds{20};          ///< for all other nodes
+    /// The platform counts as lost after calls have failed for this long.
+    duration platform_lost_after = std::chrono::seconds{2};
+    /// A watcher also reads the head at this interval, in case its watch has stopped delivering.
+    duration check_interval = std::chrono::seconds{10};
+    /// Rate limit of the replies to peers, in bytes per second.
+    double reply_bytes_s = 1'000'000.0;
 };
 
-/// What stands in force, with what was needed to put it there.
+/// The installed tables, with the head that they were assembled from.
 struct installed_configuration {
     std::shared_ptr<const configuration> tables;
     head_record head;
-    std::string head_for_peers; ///< the whole head as peers get it, with a short history
+    std::string head_for_peers; ///< the rendered head with a short history
 };
 
-// Commands.
-struct watch_head {}; ///< read the head, then watch it, until stop_watch
+// Commands that the caller executes.
+
+/// Read the head, then watch it until stop_watch.
+struct watch_head {};
 struct stop_watch {};
 struct read_head {};
+/// Read these pages from the platform.
 struct read_pages {
     std::vector<std::string> digests;
 };
@@ -61,15 +68,15 @@
     node_id to;
     config_body body;
 };
-/// A new configuration is in force; tell the peers and the rest of the daemon.
+/// A new configuration was installed; pass it to the rest of the daemon.
 struct install {
     std::shared_ptr<const configuration> tables;
 };
-/// The revision installed, and whether the platform is lost, as peers should hear it.
+/// Announce the installed revision, and whether the platform is lost, to the peers.
 struct announce {
     config_digest digest;
 };
-/// Something that an operator should see.
+/// Log a failure for the operator; `kind` is the name of the log event.
 struct report {
     std::string kind;
     error failure;
@@ -83,17 +90,17 @@
     spread_core(spread_settings settings, random_source random);
 
     spread_commands tick(time_point now);
-    /// Live members of this node's failure domain, itself included, sorted.
+    /// `live` are the live members of this node's failure domain, itself included, sorted.
     spread_commands domain_changed(time_point now, std::vector<node_id> live);
     spread_commands peer_message_received(time_point now, const config_message& message);
     spread_commands peer_confirmation_received(time_point now, const confirmation& confirmed);
-    /// The value of the head key; empty if there is none.
+    /// `value` is the value of the head key; empty if the key does not exist.
     spread_commands platform_head_received(time_point now, const std::optional<std::string>& value);
     spread_commands platform_pages_received(time_point now, const std::vector<config_page>& pages);
-    /// This node itself has swapped the head: it knows the pages that are new.
+    /// This node itself accepted a change; `head` and the new `pages` need not be read.
     spread_commands accepted(time_point now, const std::string& head,
                              const std::vector<config_page>& pages);
-    /// A call failed. A watcher is to be told this for its watch too.
+    /// A call on the platform failed, or the watch ended.
     spread_commands platform_call_failed(time_point now);
 
     [[nodiscard]] const std::optional<installed_configuration>& installed() const
@@ -110,13 +117,13 @@
     /// A newer head whose pages are being fetched.
     struct pending_fetch {
         head_record head;
-        std::set<std::string> missing;
-        std::map<std::string, std::string> received;
+        std::set<std::string> missing;               ///< digests
+        std::map<std::string, std::string> received; ///< pages by digest
     };
 
-    /// Pages of a revision that was installed here, to work out what another node lacks.
+    /// Page digests of a revision that was installed here, to find the pages that a peer lacks.
     struct recent_revision {
-        head_record head;                 ///< with no more history than its own entry
+        head_record head;                 ///< its history holds only its own entry
         std::vector<std::string> digests; ///< sorted
     };
 
@@ -144,27 +151,27 @@
     spread_settings m_settings;
     random_source m_random;
     std::optional<installed_configuration> m_installed;
-    std::map<std::string, std::string> m_pages;     ///< of what is installed, by digest
+    std::map<std::string, std::string> m_pages;     ///< of the installed tables, by digest
     std::deque<recent_revision> m_recent_revisions; ///< newest last
     std::optional<pending_fetch> m_fetch;
     config_revision m_highest_known;
-    std::map<node_id, config_digest> m_peer_digests; ///< of our domain and whoever spoke to us
-    std::map<std::uint32_t, bool> m_peer_platform_lost;
+    std::map<node_id, config_digest> m_peer_digests;    ///< the last digest received from each peer
+    std::map<std::uint32_t, bool> m_peer_platform_lost; ///< by wire_key of the node
     std::vector<node_id> m_domain_nodes;
     bool m_watching = false;
-    bool m_watch_active = false; ///< the watch was begun and has not failed
+    bool m_watch_active = false; ///< the watch was started and has not failed
     bool m_platform_lost = false;
-    std::optional<time_point> m_start_time;
-    bool m_older_head_reported = false; ///< that the platform lags behind us, once
-    bool m_request_pending = false; ///< a peer was asked and `m_request_deadline` is its deadline
-    std::size_t m_failed_requests = 0; ///< peers in a row that did not help
+    std::optional<time_point> m_start_time; ///< of the first tick
+    bool m_older_head_reported = false;     ///< reported once until a newer head is read
+    bool m_request_pending = false;         ///< a peer has until m_request_deadline to reply
+    std::size_t m_failed_requests = 0; ///< consecutive requests to peers without a useful reply
     time_point m_request_deadline{};
-    bool m_call_pending = false; ///< a platform call of ours is under way
+    bool m_call_pending = false; ///< a call on the platform has not returned yet
     time_point m_next_call{};
     time_point m_next_check{};
     duration m_backoff{0};
     std::optional<time_point> m_failing_since;
-    double m_reply_tokens = 0.0;
+    double m_reply_tokens = 0.0; ///< bytes that may be sent to peers now
     time_point m_last_refill{};
 };
 
--- a/config/spread_bench.cc
+++ b/config/spread_bench.cc
@@ -1,6 +1,6 @@
-// How a change spreads, on the decision cores and a simulated network (0.5 to 1.5 ms one way),
-// against the baseline in which every node watches the platform. Times are simulated; processor
-// time is that of the process, simulation included, so an upper bound for the cores.
+// Measures the propagation of changes with spread cores on a simulated network (one-way delay 0.5
+// to 1.5 ms), compared with a baseline in which every node watches the platform. Times are
+// simulated; the processor time includes the simulation and so is an upper bound for the cores.
 //
 //   spread_bench --benchmark_counters_tabular=true
 #include "config/test_fleet.h"
@@ -37,7 +37,8 @@
                            static_cast<std::size_t>(share * static_cast<double>(values.size())))];
 }
 
-/// Milliseconds from acceptance, or from `healed` if that came later, to in force on each node.
+/// Milliseconds to the installation on each node, from the acceptance of the change, or from
+/// `healed` if the installation came after that and the acceptance before.
 std::vector<double> spread_times(const test_fleet& fleet, time_point healed)
 {
     std::vector<double> out;
@@ -45,7 +46,7 @@
         if (revision == 1)
             continue;
         for (const auto& node : fleet.nodes) {
-            // A node may install a later revision without this one.
+            // A node may skip this revision and install a later one.
             const auto in_force = node->installed_at.lower_bound(revision);
             if (node->peer_node->crashed || in_force == node->installed_at.end())
                 continue;
@@ -67,7 +68,7 @@
     }
 }
 
-/// Changes come to any node; not to one that is down.
+/// A node that can accept a change: not crashed, and with access to the platform.
 fleet_node& choose_acceptor(test_fleet& fleet, std::size_t turn)
 {
     for (std::size_t i = turn * 7 * 3;; i += 3) {
@@ -144,7 +145,7 @@
             fleet.accept(choose_acceptor(fleet, mark), test_fleet::tables(rows, mark, mark),
                          "c" + std::to_string(mark));
             for (int part = 0; part < 5; ++part) {
-                // Between two changes, so that nothing but the healing brings the news.
+                // Heals between two changes, so that no new change triggers the catch-up.
                 if (mark == changes - 3 && part == 2)
                     faults.heal();
                 if (!baseline)
--- a/config/spread_test.cc
+++ b/config/spread_test.cc
@@ -17,7 +17,7 @@
     return test_fleet::tables(rows, mark % rows, mark);
 }
 
-/// A fleet that knows itself and has its first tables.
+/// A fleet whose membership has converged and whose nodes have all installed revision 1.
 std::unique_ptr<test_fleet> settled_fleet(std::uint64_t seed, std::size_t count,
                                           std::size_t domains)
 {
@@ -40,8 +40,8 @@
 
 } // namespace
 
-// An accepted change is to be in force on every node within a second, moving a page and not the
-// table, and with calls on the platform that don't depend on the number of nodes.
+// An accepted change must be installed on every node within a second, with a number of platform
+// calls that does not depend on the number of nodes.
 Test(spread, a_change_is_in_force_everywhere_within_a_second)
 {
     const auto fleet = settled_fleet(1, 90, 3);
@@ -53,14 +53,14 @@
         cr_assert(fleet->net.until([&] { return fleet->all_at(revision); }, seconds{1}));
         fleet->net.run_for(seconds{5});
     }
-    // Six watchers see ten changes and look each ten seconds; a node that hears of a change from
-    // none of its peers never turns to the platform here.
-    cr_assert_lt(fleet->calls(), 300U, "%lu calls", fleet->calls());
+    // Only the six watchers call the platform: for ten changes, and to read the head every ten
+    // seconds. All other nodes get the changes from their peers.
+    cr_assert_lt(fleet->calls(), 300U, "%lu platform calls", fleet->calls());
     cr_assert(fleet->no_revision_decreased());
 }
 
-// Both watches of a domain die without a sign. The domain must still hear of the change, from its
-// bridges to the others, and the watchers notice within ten seconds.
+// All watches stop delivering without an error. The nodes must still get the change, from peers in
+// other domains or when the watchers read the head, which they do every ten seconds.
 Test(spread, silent_watches_do_not_delay_a_domain_for_long)
 {
     const auto fleet = settled_fleet(2, 30, 3);
@@ -70,7 +70,8 @@
     cr_assert(fleet->net.until([&] { return fleet->all_at(2); }, seconds{12}));
 }
 
-// The watchers of a domain crash. Others of the domain take over as soon as the death is known.
+// Both watchers of a domain crash. Other nodes of the domain must replace them once the crash is
+// detected.
 Test(spread, crashed_watchers_are_replaced)
 {
     const auto fleet = settled_fleet(3, 30, 3);
@@ -89,7 +90,8 @@
     cr_assert(fleet->net.until([&] { return fleet->all_at(2); }, seconds{2}));
 }
 
-// One watcher loses the platform while its domain has it: another candidate steps in.
+// One watcher can't reach the platform while other nodes of its domain can. Another candidate must
+// replace it.
 Test(spread, a_watcher_without_the_platform_is_replaced)
 {
     const auto fleet = settled_fleet(4, 30, 3);
@@ -105,7 +107,8 @@
 }
 
 // A failure domain is cut off from the other domains and from the platform while two changes are
-// accepted. It serves on, and two seconds after the network is whole it has the newest revision.
+// accepted. Its nodes must keep their tables, and must have the newest revision within two seconds
+// after the partition heals, without a burst of platform calls.
 Test(spread, a_cut_off_domain_catches_up_within_two_seconds)
 {
     for (std::uint64_t seed = 10; seed < 14; ++seed) {
@@ -129,12 +132,13 @@
         for (const auto& node : fleet->nodes)
             fleet->set_platform_unreachable(*node, false);
         cr_assert(fleet->net.until([&] { return fleet->all_at(3); }, seconds{2}), "seed %lu", seed);
-        cr_assert_lt(fleet->calls() - calls, 60U, "a storm of %lu calls", fleet->calls() - calls);
+        cr_assert_lt(fleet->calls() - calls, 60U, "%lu platform calls after the partition healed",
+                     fleet->calls() - calls);
     }
 }
 
-// The platform is dark for ten minutes: every node serves on, few of them call it, and a change
-// after its return is everywhere within two seconds of being accepted.
+// The platform is unavailable for ten minutes. Every node must keep its tables, the rate of retries
+// must stay low, and a change accepted after the outage must reach every node within two seconds.
 Test(spread, an_outage_causes_no_call_storm)
 {
     const auto fleet = settled_fleet(20, 90, 3);
@@ -143,7 +147,7 @@
     const std::uint64_t before = fleet->calls();
     fleet->net.run_for(minutes{10});
     const double rate = static_cast<double>(fleet->calls() - before) / 600.0;
-    cr_assert_lt(rate, 10.0, "%f calls a second", rate);
+    cr_assert_lt(rate, 10.0, "%f platform calls a second", rate);
     cr_assert(fleet->all_at(1));
     fleet->set_outage(false);
     fleet->net.run_for(seconds{2});
@@ -151,8 +155,8 @@
     cr_assert(fleet->net.until([&] { return fleet->all_at(2); }, seconds{2}));
 }
 
-// A node is paused while the tables change, and a watcher's old answer waits in its socket. When
-// it returns it must catch up and never put the old answer in force over a newer one.
+// A watcher is paused while the tables change, with an old reply waiting in its socket. After it
+// resumes it must catch up, and must never install the old reply over a newer revision.
 Test(spread, a_paused_node_never_lowers_its_revision)
 {
     const auto fleet = settled_fleet(30, 12, 2);
@@ -169,8 +173,8 @@
     cr_assert(fleet->no_revision_decreased());
 }
 
-// The store is restored from an old backup, or a key of another deployment is copied over the
-// head. Nodes keep what they have and say what is wrong.
+// The store is restored from an old backup, or the head of another deployment is copied over the
+// head key. Nodes must keep their tables and report the fault.
 Test(spread, an_older_or_foreign_head_is_refused)
 {
     const auto fleet = settled_fleet(40, 6, 1);
@@ -200,7 +204,7 @@
                           [](const auto& node) { return node->highest == 2; }));
 }
 
-// A peer sends a page whose bytes are not what its name says. It is not taken.
+// A peer sends pages whose bytes don't match their digests. They must not be installed.
 Test(spread, a_page_with_a_wrong_digest_is_rejected)
 {
     const auto fleet = settled_fleet(41, 2, 1);
@@ -220,8 +224,9 @@
     cr_assert_not(core.installed().has_value());
 }
 
-// A node has moved on since it asked, or a peer's delta was made from another head: applied all the
-// same it would put tables in force that nobody accepted. It is refused, and so is a damaged one.
+// A delta arrives for a head other than the installed one, because the node has installed another
+// revision since its request or because the peer has a different head. Applying it would install
+// tables that nobody accepted, so it must be rejected, as must a truncated delta.
 Test(spread, a_delta_applies_only_to_its_base_head)
 {
     const auto head_of = [](std::int64_t revision, std::uint32_t mark) {
@@ -241,8 +246,8 @@
         cr_assert(apply_delta(base, std::string_view{delta}.substr(0, cut)).has_error());
 }
 
-// Every order of one collector's two steps (look, delete) and one editor's two steps (look, swap)
-// that brings an old page back: afterwards each page that the head names must be there.
+// Runs every interleaving of a collector (C: read, c: delete) and an editor that restores an old
+// page (E: read, e: swap). Afterwards every page that the head references must exist.
 Test(collect, never_deletes_a_referenced_page)
 {
     const std::vector<std::string> interleavings{"CcEe", "CEce", "CEec", "ECce", "ECec", "EeCc"};
@@ -274,7 +279,8 @@
                 (void)store.transact(part);
             return store.transact(plan.value().swap).value().succeeded;
         };
-        // Row 0 as of mark 1 is forgotten after max_history_entries further revisions.
+        // After max_history_entries further revisions, no kept revision references the page of
+        // mark 1.
         for (std::uint32_t mark = 1; mark <= max_history_entries + 2; ++mark)
             cr_assert(swap(read_state(), mark));
         std::vector<kv_transaction> deletions;
@@ -293,7 +299,7 @@
             if (step == 'e')
                 cr_assert(swap(seen, 1));
         }
-        cr_assert_gt(planned, 0U, "nothing to collect: the test would prove nothing");
+        cr_assert_gt(planned, 0U, "no deletions were planned, so the race was not exercised");
         const head_record head = parse_head(store.find(keys.head())->value).value();
         for (const std::string& digest : pages_of(head.manifest))
             cr_assert(store.find(keys.page(digest)) != nullptr, "order %s", order.c_str());
@@ -302,9 +308,9 @@
     }
 }
 
-// Random histories: crashes, replacements, pauses, partitions of nodes and domains, outages, lost
-// replies and changes in any order. No node's revision goes down, and when all is whole again every
-// node has the last accepted change.
+// Random sequences of replaced nodes, pauses, partitions of nodes and domains, outages, lost
+// replies and changes. No node's revision may decrease, and after all faults end, every node must
+// install the last accepted change.
 Test(spread, random_histories)
 {
     for (std::uint64_t seed = 100; seed < 112; ++seed) {
@@ -344,7 +350,7 @@
                 break;
             case 5:
                 if (!random_node.peer_node->crashed && boot < 6)
-                { // replaced: same name, later boot
+                { // replaced by a node of the same name with a later boot
                     random_node.peer_node->crashed = true;
                     const std::string name = random_node.peer_node->core.self().node.value();
                     const std::size_t index = std::stoul(name.substr(name.find('-') + 1));
@@ -368,7 +374,7 @@
                 fleet->net.resume(*node->peer_node);
         }
         cr_assert(fleet->net.until([&] { return fleet->all_at(newest); }, seconds{60}),
-                  "seed %lu: revision %ld is not in force everywhere", seed, newest);
-        cr_assert(fleet->no_revision_decreased(), "seed %lu: a revision went down", seed);
+                  "seed %lu: revision %ld is not installed on every node", seed, newest);
+        cr_assert(fleet->no_revision_decreased(), "seed %lu: a node's revision decreased", seed);
     }
 }
--- a/config/store.cc
+++ b/config/store.cc
@@ -1,11 +1,11 @@
-// Why a change is accepted once, though replies may be lost and calls may take effect late:
+// A change is accepted at most once, although replies may be lost and calls may take effect late.
 //
-// Every try of one change swaps the same key with a compare on the revision that it read, and
-// leaves its change id in the head's history. After a try whose reply was lost there are two cases.
-// It took effect: the next read finds the id, and the change is reported as accepted. It has not
-// (yet): the next try compares the same head; whichever of the two reaches the service first moves
-// the head, and the other's compare fails for good. So trying again can't accept it twice, and the
-// client may do so too, with the same id.
+// Every attempt swaps the head key with a compare on the mod_revision that it read, and writes the
+// change id into the head's history. If the reply of an attempt is lost, there are two cases. If it
+// took effect, the next read finds the change id and the change is reported as accepted. If it has
+// not taken effect (yet), the next attempt compares with the same mod_revision; whichever of the
+// two is executed first changes the head, and the compare of the other fails. So a retry can't
+// accept the change twice, and a client may also retry with the same id.
 #include "config/store.h"
 
 #include "config/collect.h"
@@ -18,7 +18,7 @@
 namespace {
 
 constexpr std::size_t max_attempts = 8;
-constexpr std::size_t max_single_page_reads = 8; ///< above it, all pages are read with one call
+constexpr std::size_t max_single_page_reads = 8; ///< if more are missing, one call reads all pages
 constexpr duration backoff_step = std::chrono::milliseconds{50};
 
 bool may_have_taken_effect(const error& failure)
@@ -188,7 +188,7 @@
                 co_return last_error;
             continue;
         }
-        // An earlier try of ours, or of the client's, has been accepted.
+        // An earlier attempt of this call, or of the client, was accepted.
         if (const auto accepted = find_change(stored.value().head, wanted.metadata.change_id)) {
             committed_change out;
             out.change = *accepted;
@@ -228,7 +228,7 @@
             continue;
         }
         if (!done.value().succeeded)
-            continue; // another editor was first, or an earlier try of ours
+            continue; // another editor, or an earlier attempt of this call, changed the head
         out.head_text = render_head(plan.value().next_head);
         out.pages = std::move(plan.value().new_pages);
         co_return out;
@@ -253,7 +253,7 @@
         if (!done)
             co_return done.error();
         if (!done.value().succeeded)
-            break; // the head has moved; the next collection sees it
+            break; // the head changed; the next collection reads it again
         deleted += count;
     }
     co_return deleted;
--- a/config/store.h
+++ b/config/store.h
@@ -1,4 +1,7 @@
-// The configuration as it stands in the key-value service: reading tables back, and accepting.
+// Reads the configuration from the key-value service and commits edits to it.
+//
+//   config_store store{io, kv, config_keys{prefix}, deployment};
+//   result<committed_change> done = co_await store.commit_edit(base, edit, known_pages);
 #pragma once
 
 #include "base/base.h"
@@ -15,17 +18,17 @@
 
 namespace jaynotch {
 
-/// A change that was swapped in, and what it wrote.
+/// The result of an accepted edit, with the head and the pages that were written.
 struct committed_change {
     accepted_change change;
-    std::string head_text;         ///< empty if nothing was written now
-    std::vector<table_page> pages; ///< those that are new
+    std::string head_text;         ///< empty if nothing was written
+    std::vector<table_page> pages; ///< pages that the previous head did not reference
 };
 
-/// The head as read, with what a compare must name.
+/// The head, with the mod_revision that a compare-and-swap of it has to name.
 struct stored_head {
     std::int64_t mod_revision = 0;
-    head_record head; ///< empty history if there is none
+    head_record head; ///< its history is empty if there is no head
 };
 
 class config_store {
@@ -34,16 +37,18 @@
                  std::string deployment);
 
     boost::asio::awaitable<result<stored_head>> read();
-    /// The tables that a manifest names; `known` pages are not read again.
+    /// Assembles the tables of a head. `known` holds pages by digest; the others are read.
     boost::asio::awaitable<result<configuration>>
     read_tables(const head_record& head, const std::map<std::string, std::string>& known);
-    /// The record of a revision that is still kept.
+    /// Reads the record of a kept revision. Errors: not_found if it is not kept.
     boost::asio::awaitable<result<head_record>> read_revision(config_revision revision);
-    /// Swaps the edit in; `base` is the revision that it was made from.
+    /// Accepts an edit that was made on revision `base`. Retries if another editor was faster or
+    /// a reply was lost. Errors: conflict, invalid_table, too_large, invalid_argument, unavailable,
+    /// unknown_outcome (apply again with the same change id).
     boost::asio::awaitable<result<committed_change>>
     commit_edit(config_revision base, const edit& wanted,
                 const std::map<std::string, std::string>& known);
-    /// Deletes what no kept revision needs; how many keys.
+    /// Deletes the keys that no kept revision references; returns how many.
     boost::asio::awaitable<result<std::size_t>> collect();
 
     [[nodiscard]] const config_keys& keys() const { return m_keys; }
--- a/config/test_fleet.h
+++ b/config/test_fleet.h
@@ -1,5 +1,5 @@
-// For tests and benchmarks: nodes with membership and spread cores, joined by the in-memory
-// network, before one key-value store that can fail, on a simulated clock.
+// For tests and benchmarks: nodes with a membership core and a spread core on a simulated clock,
+// connected by an in-memory network, and one key-value store ("the platform") that can fail.
 #pragma once
 
 #include "config/accept.h"
@@ -22,13 +22,13 @@
     test_node* peer_node = nullptr;
     std::unique_ptr<spread_core> spread;
     bool watching = false;             ///< has a watch registered in the store
-    bool watch_silent = false;         ///< the watch lives on but delivers nothing
-    bool platform_unreachable = false; ///< can't reach the platform
-    std::uint64_t calls = 0;           ///< on the platform
+    bool watch_silent = false;         ///< the watch delivers nothing, without an error
+    bool platform_unreachable = false; ///< calls of this node on the platform fail
+    std::uint64_t calls = 0;           ///< made on the platform
     std::int64_t highest = 0;
     std::map<std::int64_t, time_point> installed_at;
     std::size_t members_seen = 0;
-    bool revision_decreased = false; ///< a revision was installed that was not higher
+    bool revision_decreased = false; ///< an installed revision was not above the previous one
 };
 
 class test_fleet {
@@ -43,10 +43,10 @@
     test_network net;
     kv_store store;
     config_keys keys{"/t/"};
-    const bool everyone_watches; ///< the baseline: no spread through peers
+    const bool everyone_watches; ///< baseline without propagation between peers
     duration call_delay = std::chrono::milliseconds{2};
     std::vector<std::unique_ptr<fleet_node>> nodes;
-    std::vector<std::string> reported_kinds; ///< kinds of reports
+    std::vector<std::string> reported_kinds; ///< of the report commands of all nodes
 
     fleet_node& add(std::size_t index, std::size_t domains, std::uint64_t boot = 1)
     {
@@ -75,7 +75,7 @@
         return node;
     }
 
-    /// Tables of `rows` routes to one pool; `mark` makes row `edited` differ.
+    /// Tables of `rows` routes to one pool; `mark` sets the time-out of row `edited`.
     static configuration tables(std::size_t rows, std::size_t edited, std::uint32_t mark)
     {
         configuration out;
@@ -99,7 +99,7 @@
         return out;
     }
 
-    /// The store stops answering, or answers again; watches end.
+    /// Makes the store unavailable to all nodes, or available again. Ends all watches.
     void set_outage(bool outage)
     {
         m_outage = outage;
@@ -112,7 +112,8 @@
         fail_watch(node);
     }
 
-    /// Accepts tables at `node` as of now, on top of whatever stands; 0 if it failed.
+    /// Accepts the tables at `node` as an edit of the current head. Returns the revision, or 0 if
+    /// it failed. With `lose_reply` the node does not learn that its swap succeeded.
     std::int64_t accept(fleet_node& node, const configuration& wanted, const std::string& id,
                         bool lose_reply = false)
     {
@@ -215,14 +216,14 @@
         for (const spread_command& command : commands)
             std::visit([&](const auto& each) { execute(node, each); }, command);
     }
-    /// A call on the platform: takes its time, may fail, never reaches a crashed node.
+    /// A call on the platform: completes after call_delay, unless the node has crashed by then.
     void call(fleet_node& node, const std::function<void()>& done)
     {
         ++node.calls;
         net.after(call_delay, [this, &node, done] {
             if (node.peer_node->crashed)
                 return;
-            if (node.peer_node->paused) { // the answer waits in the socket
+            if (node.peer_node->paused) { // the reply stays in the socket buffer
                 net.after(std::chrono::milliseconds{100}, [this, &node, done] {
                     --node.calls;
                     call(node, done);
