--- a/config/accept.h
+++ b/config/accept.h
@@ -1,7 +1,7 @@
 // Plans the key-value transactions that accept a change. The functions are pure; config_store
 // executes the plan.
 //
-//   result<acceptance> plan = plan_acceptance(keys, seen, edit);
+//   result<acceptance_plan> plan = plan_acceptance(keys, stored, edit);
 //   // execute plan.prepare, then plan.swap; if the compare of the swap fails, read and plan again;
 //   // if its reply is lost, read the head and call find_change
 #pragma once
@@ -54,8 +54,7 @@
 };
 
 struct acceptance_plan {
-    std::vector<kv_transaction>
-        prepare; ///< writes pages that don't fit into `swap`; executed first
+    std::vector<kv_transaction> prepare; ///< write the pages that don't fit into `swap`
     kv_transaction swap;
     head_record next_head;
     std::vector<table_page> new_pages; ///< pages that the current head does not reference
--- a/config/config_service.cc
+++ b/config/config_service.cc
@@ -336,10 +336,10 @@
 
     timer m_tick;
     timer m_registry_wait;
-    std::unordered_map<std::uint32_t, confirmation> m_confirmed;
+    std::unordered_map<std::uint32_t, confirmation> m_confirmed; ///< by wire_key of the node
     std::uint64_t m_members_version = 0;
-    std::uint64_t m_watch_generation = 0;
-    bool m_no_live_peers = true;
+    std::uint64_t m_watch_generation = 0; ///< a watch_loop of an older generation ends
+    bool m_no_live_peers = true;          ///< seeds are read from the registry while this holds
     bool m_logged_platform_lost = false;
     bool m_stopped = false;
 };
--- a/config/spread_test.cc
+++ b/config/spread_test.cc
@@ -40,8 +40,9 @@
 
 } // namespace
 
-// An accepted change must be installed on every node within a second, with a number of platform
-// calls that does not depend on the number of nodes.
+// An accepted change must be installed on every node within a second. Nodes transfer the changed
+// page, not the whole table, and the number of platform calls does not depend on the number of
+// nodes.
 Test(spread, a_change_is_in_force_everywhere_within_a_second)
 {
     const auto fleet = settled_fleet(1, 90, 3);
@@ -53,14 +54,15 @@
         cr_assert(fleet->net.until([&] { return fleet->all_at(revision); }, seconds{1}));
         fleet->net.run_for(seconds{5});
     }
-    // Only the six watchers call the platform: for ten changes, and to read the head every ten
-    // seconds. All other nodes get the changes from their peers.
+    // The six watchers receive ten changes and read the head every ten seconds. No other node has
+    // to fall back to the platform, because each gets the changes from its peers.
     cr_assert_lt(fleet->calls(), 300U, "%lu platform calls", fleet->calls());
     cr_assert(fleet->no_revision_decreased());
 }
 
-// All watches stop delivering without an error. The nodes must still get the change, from peers in
-// other domains or when the watchers read the head, which they do every ten seconds.
+// All watches stop delivering without an error, and the accepting node does not get its reply. The
+// watchers must find the change when they read the head, which they do every ten seconds, and the
+// other nodes must get it from their peers.
 Test(spread, silent_watches_do_not_delay_a_domain_for_long)
 {
     const auto fleet = settled_fleet(2, 30, 3);
@@ -254,7 +256,7 @@
     for (const std::string& order : interleavings) {
         kv_store store;
         const config_keys keys{"/t/"};
-        stored_state seen;
+        stored_state editor_state;
         const auto read_state = [&] {
             stored_state out;
             const kv_entry* head = store.find(keys.head());
@@ -295,9 +297,9 @@
                     (void)store.transact(part);
             }
             if (step == 'E')
-                seen = read_state();
+                editor_state = read_state();
             if (step == 'e')
-                cr_assert(swap(seen, 1));
+                cr_assert(swap(editor_state, 1));
         }
         cr_assert_gt(planned, 0U, "no deletions were planned, so the race was not exercised");
         const head_record head = parse_head(store.find(keys.head())->value).value();
--- a/config/test_fleet.h
+++ b/config/test_fleet.h
@@ -64,8 +64,8 @@
             if (const auto* message = std::get_if<config_message>(&command))
                 run(node, node.spread->peer_message_received(net.now, *message));
             if (const auto* rumor = std::get_if<rumor_heard>(&command)) {
-                if (const auto* told = std::get_if<confirmation>(&rumor->item))
-                    run(node, node.spread->peer_confirmation_received(net.now, *told));
+                if (const auto* confirmed = std::get_if<confirmation>(&rumor->item))
+                    run(node, node.spread->peer_confirmation_received(net.now, *confirmed));
             }
             if (std::holds_alternative<member_changed>(command))
                 node.members_seen = 0;
