--- a/config/head.h
+++ b/config/head.h
@@ -29,8 +29,7 @@
     std::string author;
     std::int64_t time_ms = 0; ///< since 1970, by the clock of the accepting node
     std::string message;
-    std::vector<std::string>
-        rows; ///< such as "routes/chat"; the first max_history_rows that changed
+    std::vector<std::string> rows; ///< such as "routes/chat"; the first few that changed
 
     friend bool operator==(const history_entry&, const history_entry&) = default;
 };
--- a/config/spread_bench.cc
+++ b/config/spread_bench.cc
@@ -18,8 +18,8 @@
 constexpr std::size_t rows = 1000;
 constexpr std::uint32_t changes = 7;
 constexpr duration change_interval = std::chrono::seconds{26}; ///< 3,300 a day
-constexpr double header_bytes = 102; ///< TLS record, TCP and IP headers of a frame
-constexpr std::uint32_t groups = 200;
+constexpr double header_bytes = 102;  ///< TLS record, TCP and IP headers of a frame
+constexpr std::uint32_t groups = 200; ///< their tickets are published as background traffic
 
 enum class fault { none, watcher_lost, domain_cut_off, outage };
 
@@ -47,13 +47,13 @@
             continue;
         for (const auto& node : fleet.nodes) {
             // A node may skip this revision and install a later one.
-            const auto in_force = node->installed_at.lower_bound(revision);
-            if (node->peer_node->crashed || in_force == node->installed_at.end())
+            const auto installed = node->installed_at.lower_bound(revision);
+            if (node->peer_node->crashed || installed == node->installed_at.end())
                 continue;
-            const bool waited = in_force->second >= healed;
+            const bool waited = installed->second >= healed;
             const time_point from = waited ? std::max(accepted, healed) : accepted;
             out.push_back(
-                std::chrono::duration<double, std::milli>(in_force->second - from).count());
+                std::chrono::duration<double, std::milli>(installed->second - from).count());
         }
     }
     return out;
--- a/config/test_fleet.h
+++ b/config/test_fleet.h
@@ -25,9 +25,9 @@
     bool watch_silent = false;         ///< the watch delivers nothing, without an error
     bool platform_unreachable = false; ///< calls of this node on the platform fail
     std::uint64_t calls = 0;           ///< made on the platform
-    std::int64_t highest = 0;
+    std::int64_t highest = 0;          ///< revision installed last
     std::map<std::int64_t, time_point> installed_at;
-    std::size_t members_seen = 0;
+    std::size_t members_seen = 0;    ///< members at the last domain_changed; 0: they changed since
     bool revision_decreased = false; ///< an installed revision was not above the previous one
 };
 
@@ -63,8 +63,8 @@
         node.peer_node->on_command = [this, &node](const membership_command& command) {
             if (const auto* message = std::get_if<config_message>(&command))
                 run(node, node.spread->peer_message_received(net.now, *message));
-            if (const auto* rumor = std::get_if<rumor_heard>(&command)) {
-                if (const auto* confirmed = std::get_if<confirmation>(&rumor->item))
+            if (const auto* received = std::get_if<rumor_heard>(&command)) {
+                if (const auto* confirmed = std::get_if<confirmation>(&received->item))
                     run(node, node.spread->peer_confirmation_received(net.now, *confirmed));
             }
             if (std::holds_alternative<member_changed>(command))
@@ -106,9 +106,9 @@
         for (const auto& node : nodes)
             fail_watch(*node);
     }
-    void set_platform_unreachable(fleet_node& node, bool cut)
+    void set_platform_unreachable(fleet_node& node, bool unreachable)
     {
-        node.platform_unreachable = cut;
+        node.platform_unreachable = unreachable;
         fail_watch(node);
     }
 
@@ -140,11 +140,11 @@
         notify_watchers();
         accepted_at[plan.value().next_head.revision().value()] = net.now;
         if (!lose_reply) {
-            std::vector<config_page> pages_for_peers;
+            std::vector<config_page> config_pages;
             for (const table_page& page : plan.value().new_pages)
-                pages_for_peers.push_back({page.digest, page.bytes});
-            run(node, node.spread->accepted(net.now, render_head(plan.value().next_head),
-                                            pages_for_peers));
+                config_pages.push_back({page.digest, page.bytes});
+            run(node,
+                node.spread->accepted(net.now, render_head(plan.value().next_head), config_pages));
         }
         return plan.value().next_head.revision().value();
     }
@@ -258,6 +258,7 @@
     }
     void execute(fleet_node& node, const read_pages& command)
     {
+        // One call per page; call() counts the first.
         node.calls += command.digests.size() - std::min<std::size_t>(1, command.digests.size());
         call(node, [this, &node, command] {
             std::vector<config_page> out;
