--- a/config/collect.cc
+++ b/config/collect.cc
@@ -1,15 +1,17 @@
-// The race that must not be lost: the collector sees that no kept revision names page P and is
-// about to delete it, while an editor goes back to an old text whose page is P again.
+// A page must not be deleted while a new revision begins to reference it: the collector finds that
+// no kept revision references page P and is about to delete it, while an editor restores old rows
+// whose page is P.
 //
-// Three compares and conditions settle it, all inside the key-value service:
-//   1. The deletion compares the head's mod_revision with what the collector saw. If the editor's
-//      swap came first, the head has moved and nothing is deleted.
-//   2. An editor writes P anew even if it may still be there (accept.cc), so a deletion that came
-//      first does no harm.
-//   3. Pages too many for one transaction are written before the swap. Only pages whose
-//      mod_revision is lower than the head's are deleted, each compared with the mod_revision seen.
-//      An editor that read head H wrote its pages after H; as long as H stands they are younger
-//      than the head, and once it no longer stands the editor's own swap fails and it starts again.
+// Three rules prevent this, all checked inside the key-value service:
+//   1. The deletion compares the head's mod_revision with the one that the collector read. If the
+//      editor's swap came first, the compare fails and nothing is deleted.
+//   2. The editor writes P even if it may still exist (accept.cc), so a deletion that came before
+//      the swap does no harm.
+//   3. Pages that don't fit into one transaction are written before the swap. The collector deletes
+//      only pages whose mod_revision is lower than the head's, and compares each with the
+//      mod_revision it read. An editor that read head H writes its pages after H: while H is the
+//      head, they are newer than the head; once H is replaced, the editor's swap fails and it
+//      writes its pages again.
 #include "config/collect.h"
 
 #include "config/accept.h"
@@ -21,7 +23,7 @@
 
 namespace {
 
-constexpr std::size_t deletions_at_once = 40;
+constexpr std::size_t deletions_per_transaction = 40;
 
 const kv_entry* find_key(const std::vector<kv_entry>& entries, const std::string& key)
 {
@@ -30,15 +32,15 @@
     return found == entries.end() ? nullptr : &*found;
 }
 
-struct needed {
+struct retained_keys {
     std::set<std::string> keys;
-    bool certain = true; ///< every kept revision could be read
+    bool complete = true; ///< false if a revision record does not parse; nothing is deleted
 };
 
-needed needed_keys(const config_keys& keys, const std::vector<kv_entry>& entries,
-                   const head_record& head)
+retained_keys find_retained_keys(const config_keys& keys, const std::vector<kv_entry>& entries,
+                                 const head_record& head)
 {
-    needed out;
+    retained_keys out;
     const auto keep_pages = [&](const page_manifest& manifest) {
         for (const std::string& digest : pages_of(manifest))
             out.keys.insert(keys.page(digest));
@@ -52,7 +54,7 @@
             continue;
         const result<head_record> parsed = parse_head(record->value);
         if (!parsed) {
-            out.certain = false;
+            out.complete = false;
             return out;
         }
         keep_pages(parsed.value().manifest);
@@ -72,16 +74,16 @@
     const result<head_record> head = parse_head(head_entry->value);
     if (!head)
         return out;
-    const needed kept = needed_keys(keys, entries, head.value());
-    if (!kept.certain)
+    const retained_keys kept = find_retained_keys(keys, entries, head.value());
+    if (!kept.complete)
         return out;
     for (const kv_entry& entry : entries) {
-        const bool ours =
+        const bool collectable_kind =
             entry.key.starts_with(keys.pages()) || entry.key.starts_with(keys.revisions());
-        if (!ours || kept.keys.contains(entry.key) ||
+        if (!collectable_kind || kept.keys.contains(entry.key) ||
             entry.mod_revision >= head_entry->mod_revision)
             continue;
-        if (out.empty() || out.back().then.size() >= deletions_at_once)
+        if (out.empty() || out.back().then.size() >= deletions_per_transaction)
             out.push_back({{{keys.head(), head_entry->mod_revision}}, {}, {}});
         out.back().compares.push_back({entry.key, entry.mod_revision});
         out.back().then.emplace_back(kv_delete{entry.key});
--- a/config/spread_bench.cc
+++ b/config/spread_bench.cc
@@ -1,6 +1,6 @@
-// How a change spreads, on the decision cores and a simulated network (0.5 to 1.5 ms one way),
-// against the baseline in which every node watches the platform. Times are simulated; processor
-// time is that of the process, simulation included, so an upper bound for the cores.
+// Measures the propagation of changes with spread cores on a simulated network (one-way delay 0.5
+// to 1.5 ms), compared with a baseline in which every node watches the platform. Times are
+// simulated; the processor time includes the simulation and so is an upper bound for the cores.
 //
 //   spread_bench --benchmark_counters_tabular=true
 #include "config/test_fleet.h"
@@ -18,8 +18,8 @@
 constexpr std::size_t rows = 1000;
 constexpr std::uint32_t changes = 7;
 constexpr duration change_interval = std::chrono::seconds{26}; ///< 3,300 a day
-constexpr double header_bytes = 102; ///< TLS record, TCP and IP headers of a frame
-constexpr std::uint32_t groups = 200;
+constexpr double header_bytes = 102;  ///< TLS record, TCP and IP headers of a frame
+constexpr std::uint32_t groups = 200; ///< their tickets are published as background traffic
 
 enum class fault { none, watcher_lost, domain_cut_off, outage };
 
@@ -37,7 +37,8 @@
                            static_cast<std::size_t>(share * static_cast<double>(values.size())))];
 }
 
-/// Milliseconds from acceptance, or from `healed` if that came later, to in force on each node.
+/// Milliseconds to the installation on each node, from the acceptance of the change, or from
+/// `healed` if the installation came after that and the acceptance before.
 std::vector<double> spread_times(const test_fleet& fleet, time_point healed)
 {
     std::vector<double> out;
@@ -45,14 +46,14 @@
         if (revision == 1)
             continue;
         for (const auto& node : fleet.nodes) {
-            // A node may install a later revision without this one.
-            const auto in_force = node->installed_at.lower_bound(revision);
-            if (node->link->crashed || in_force == node->installed_at.end())
+            // A node may skip this revision and install a later one.
+            const auto installed = node->installed_at.lower_bound(revision);
+            if (node->peer_node->crashed || installed == node->installed_at.end())
                 continue;
-            const bool waited = in_force->second >= healed;
+            const bool waited = installed->second >= healed;
             const time_point from = waited ? std::max(accepted, healed) : accepted;
             out.push_back(
-                std::chrono::duration<double, std::milli>(in_force->second - from).count());
+                std::chrono::duration<double, std::milli>(installed->second - from).count());
         }
     }
     return out;
@@ -67,57 +68,57 @@
     }
 }
 
-/// Changes come to any node; not to one that is down.
-fleet_node& acceptor(test_fleet& fleet, std::size_t turn)
+/// A node that can accept a change: not crashed, and with access to the platform.
+fleet_node& choose_acceptor(test_fleet& fleet, std::size_t turn)
 {
     for (std::size_t i = turn * 7 * 3;; i += 3) {
         fleet_node& node = *fleet.nodes[i % fleet.nodes.size()];
-        if (!node.link->crashed && !node.cut_off)
+        if (!node.peer_node->crashed && !node.platform_unreachable)
             return node;
     }
 }
 
-struct bringer {
+struct fault_injector {
     test_fleet& fleet;
     fault injected;
     time_point healed = time_point::min();
 
-    void begin()
+    void inject()
     {
         if (injected == fault::watcher_lost) {
             for (const auto& node : fleet.nodes) {
                 if (node->watching && node != fleet.nodes.front()) {
-                    node->link->crashed = true;
+                    node->peer_node->crashed = true;
                     return;
                 }
             }
         }
         if (injected == fault::domain_cut_off)
-            cut(true);
+            set_partition(true);
         if (injected == fault::outage)
             fleet.set_outage(true);
     }
-    void end()
+    void heal()
     {
         if (injected == fault::domain_cut_off)
-            cut(false);
+            set_partition(false);
         if (injected == fault::outage)
             fleet.set_outage(false);
         healed = fleet.net.now;
     }
-    void cut(bool off)
+    void set_partition(bool active)
     {
         const failure_domain_id lost{"domain-1"};
         fleet.net.cut = nullptr;
-        if (off) {
+        if (active) {
             fleet.net.cut = [lost](const test_node& a, const test_node& b) {
                 return (a.core.self().failure_domain == lost) !=
                        (b.core.self().failure_domain == lost);
             };
         }
         for (const auto& node : fleet.nodes) {
-            if (node->link->core.self().failure_domain == lost)
-                fleet.cut_platform(*node, off);
+            if (node->peer_node->core.self().failure_domain == lost)
+                fleet.set_platform_unreachable(*node, active);
         }
     }
 };
@@ -133,19 +134,20 @@
         fleet.net.run_for(std::chrono::seconds{30});
         for (const auto& node : fleet.nodes) {
             node->calls = 0;
-            node->link->bytes_sent = node->link->bytes_received = node->link->frames_sent = 0;
+            node->peer_node->bytes_sent = node->peer_node->bytes_received =
+                node->peer_node->frames_sent = 0;
         }
         const time_point start = fleet.net.now;
         const std::clock_t cpu_before = std::clock();
-        bringer faults{fleet, injected};
-        faults.begin();
+        fault_injector faults{fleet, injected};
+        faults.inject();
         for (std::uint32_t mark = 1; mark <= changes; ++mark) {
-            fleet.accept(acceptor(fleet, mark), test_fleet::tables(rows, mark, mark),
+            fleet.accept(choose_acceptor(fleet, mark), test_fleet::tables(rows, mark, mark),
                          "c" + std::to_string(mark));
             for (int part = 0; part < 5; ++part) {
-                // Between two changes, so that nothing but the healing brings the news.
+                // Heals between two changes, so that no new change triggers the catch-up.
                 if (mark == changes - 3 && part == 2)
-                    faults.end();
+                    faults.heal();
                 if (!baseline)
                     publish_tickets(fleet);
                 fleet.net.run_for(change_interval / 5);
@@ -156,13 +158,14 @@
         const auto nodes = static_cast<double>(count);
         double bytes = 0;
         double frames = 0;
-        double most = 0;
+        double max_bytes = 0;
         for (const auto& node : fleet.nodes) {
-            const auto sent = static_cast<double>(node->link->frames_sent);
-            const double all = static_cast<double>(node->link->bytes_sent) + header_bytes * sent;
+            const auto sent = static_cast<double>(node->peer_node->frames_sent);
+            const double all =
+                static_cast<double>(node->peer_node->bytes_sent) + header_bytes * sent;
             bytes += all;
             frames += sent;
-            most = std::max(most, all);
+            max_bytes = std::max(max_bytes, all);
         }
         const std::vector<double> times = spread_times(fleet, faults.healed);
         state.counters["p50_ms"] = percentile(times, 0.5);
@@ -170,7 +173,7 @@
         state.counters["max_ms"] = percentile(times, 1.0);
         state.counters["frames_s"] = frames / nodes / elapsed;
         state.counters["sent_B_s"] = bytes / nodes / elapsed;
-        state.counters["most_B_s"] = most / elapsed;
+        state.counters["most_B_s"] = max_bytes / elapsed;
         state.counters["calls_s"] = static_cast<double>(fleet.calls()) / elapsed;
         state.counters["cpu_pct"] = 100.0 * cpu / nodes / elapsed;
         state.counters["node_KB"] =
--- a/config/spread_test.cc
+++ b/config/spread_test.cc
@@ -12,18 +12,18 @@
 
 constexpr std::size_t rows = 40;
 
-configuration edited(std::uint32_t mark)
+configuration edited_tables(std::uint32_t mark)
 {
     return test_fleet::tables(rows, mark % rows, mark);
 }
 
-/// A fleet that knows itself and has its first tables.
+/// A fleet whose membership has converged and whose nodes have all installed revision 1.
 std::unique_ptr<test_fleet> settled_fleet(std::uint64_t seed, std::size_t count,
                                           std::size_t domains)
 {
     auto fleet = std::make_unique<test_fleet>(seed, count, domains);
     fleet->net.run_for(seconds{30});
-    cr_assert_eq(fleet->accept(*fleet->nodes[0], edited(0), "first"), 1);
+    cr_assert_eq(fleet->accept(*fleet->nodes[0], edited_tables(0), "first"), 1);
     cr_assert(fleet->net.until([&] { return fleet->all_at(1); }, seconds{5}));
     return fleet;
 }
@@ -32,7 +32,7 @@
 {
     std::vector<fleet_node*> out;
     for (const auto& node : fleet.nodes) {
-        if (node->watching && node->link->core.self().failure_domain == domain)
+        if (node->watching && node->peer_node->core.self().failure_domain == domain)
             out.push_back(node.get());
     }
     return out;
@@ -40,8 +40,9 @@
 
 } // namespace
 
-// An accepted change is to be in force on every node within a second, moving a page and not the
-// table, and with calls on the platform that don't depend on the number of nodes.
+// An accepted change must be installed on every node within a second. Nodes transfer the changed
+// page, not the whole table, and the number of platform calls does not depend on the number of
+// nodes.
 Test(spread, a_change_is_in_force_everywhere_within_a_second)
 {
     const auto fleet = settled_fleet(1, 90, 3);
@@ -49,53 +50,56 @@
         node->calls = 0;
     for (std::uint32_t mark = 1; mark <= 10; ++mark) {
         const std::int64_t revision =
-            fleet->accept(*fleet->nodes[mark * 7], edited(mark), "c" + std::to_string(mark));
+            fleet->accept(*fleet->nodes[mark * 7], edited_tables(mark), "c" + std::to_string(mark));
         cr_assert(fleet->net.until([&] { return fleet->all_at(revision); }, seconds{1}));
         fleet->net.run_for(seconds{5});
     }
-    // Six watchers see ten changes and look each ten seconds; a node that hears of a change from
-    // none of its peers never turns to the platform here.
-    cr_assert_lt(fleet->calls(), 300U, "%lu calls", fleet->calls());
-    cr_assert(fleet->none_went_down());
+    // The six watchers receive ten changes and read the head every ten seconds. No other node has
+    // to fall back to the platform, because each gets the changes from its peers.
+    cr_assert_lt(fleet->calls(), 300U, "%lu platform calls", fleet->calls());
+    cr_assert(fleet->no_revision_decreased());
 }
 
-// Both watches of a domain die without a sign. The domain must still hear of the change, from its
-// bridges to the others, and the watchers notice within ten seconds.
-Test(spread, watches_that_died_silently_are_made_up_for)
+// All watches stop delivering without an error, and the accepting node does not get its reply. The
+// watchers must find the change when they read the head, which they do every ten seconds, and the
+// other nodes must get it from their peers.
+Test(spread, silent_watches_do_not_delay_a_domain_for_long)
 {
     const auto fleet = settled_fleet(2, 30, 3);
     for (const auto& node : fleet->nodes)
-        node->watch_dead = true;
-    cr_assert_eq(fleet->accept(*fleet->nodes[4], edited(1), "c1", true), 2);
+        node->watch_silent = true;
+    cr_assert_eq(fleet->accept(*fleet->nodes[4], edited_tables(1), "c1", true), 2);
     cr_assert(fleet->net.until([&] { return fleet->all_at(2); }, seconds{12}));
 }
 
-// The watchers of a domain crash. Others of the domain take over as soon as the death is known.
+// Both watchers of a domain crash. Other nodes of the domain must replace them once the crash is
+// detected.
 Test(spread, crashed_watchers_are_replaced)
 {
     const auto fleet = settled_fleet(3, 30, 3);
-    const failure_domain_id domain = fleet->nodes[1]->link->core.self().failure_domain;
+    const failure_domain_id domain = fleet->nodes[1]->peer_node->core.self().failure_domain;
     const auto before = watchers_of(*fleet, domain);
     cr_assert_eq(before.size(), 2U);
     for (fleet_node* watcher : before)
-        watcher->link->crashed = true;
+        watcher->peer_node->crashed = true;
     const auto running = [&] {
         const auto now = watchers_of(*fleet, domain);
         return std::count_if(now.begin(), now.end(),
-                             [](const fleet_node* node) { return !node->link->crashed; });
+                             [](const fleet_node* node) { return !node->peer_node->crashed; });
     };
     cr_assert(fleet->net.until([&] { return running() == 2; }, seconds{60}));
-    fleet->accept(*fleet->nodes[0], edited(1), "c1");
+    fleet->accept(*fleet->nodes[0], edited_tables(1), "c1");
     cr_assert(fleet->net.until([&] { return fleet->all_at(2); }, seconds{2}));
 }
 
-// One watcher loses the platform while its domain has it: another candidate steps in.
+// One watcher can't reach the platform while other nodes of its domain can. Another candidate must
+// replace it.
 Test(spread, a_watcher_without_the_platform_is_replaced)
 {
     const auto fleet = settled_fleet(4, 30, 3);
-    const failure_domain_id domain = fleet->nodes[0]->link->core.self().failure_domain;
+    const failure_domain_id domain = fleet->nodes[0]->peer_node->core.self().failure_domain;
     fleet_node* lost = watchers_of(*fleet, domain).front();
-    fleet->cut_platform(*lost, true);
+    fleet->set_platform_unreachable(*lost, true);
     cr_assert(fleet->net.until(
         [&] {
             const auto now = watchers_of(*fleet, domain);
@@ -105,7 +109,8 @@
 }
 
 // A failure domain is cut off from the other domains and from the platform while two changes are
-// accepted. It serves on, and two seconds after the network is whole it has the newest revision.
+// accepted. Its nodes must keep their tables, and must have the newest revision within two seconds
+// after the partition heals, without a burst of platform calls.
 Test(spread, a_cut_off_domain_catches_up_within_two_seconds)
 {
     for (std::uint64_t seed = 10; seed < 14; ++seed) {
@@ -116,26 +121,27 @@
             return inside(a.core.self()) != inside(b.core.self());
         };
         for (const auto& node : fleet->nodes) {
-            if (inside(node->link->core.self()))
-                fleet->cut_platform(*node, true);
+            if (inside(node->peer_node->core.self()))
+                fleet->set_platform_unreachable(*node, true);
         }
-        fleet->accept(*fleet->nodes[0], edited(1), "c1");
-        fleet->accept(*fleet->nodes[2], edited(2), "c2");
+        fleet->accept(*fleet->nodes[0], edited_tables(1), "c1");
+        fleet->accept(*fleet->nodes[2], edited_tables(2), "c2");
         fleet->net.run_for(minutes{2});
         for (const auto& node : fleet->nodes)
-            cr_assert_eq(node->highest, inside(node->link->core.self()) ? 1 : 3);
+            cr_assert_eq(node->highest, inside(node->peer_node->core.self()) ? 1 : 3);
         const std::uint64_t calls = fleet->calls();
         fleet->net.cut = nullptr;
         for (const auto& node : fleet->nodes)
-            fleet->cut_platform(*node, false);
+            fleet->set_platform_unreachable(*node, false);
         cr_assert(fleet->net.until([&] { return fleet->all_at(3); }, seconds{2}), "seed %lu", seed);
-        cr_assert_lt(fleet->calls() - calls, 60U, "a storm of %lu calls", fleet->calls() - calls);
+        cr_assert_lt(fleet->calls() - calls, 60U, "%lu platform calls after the partition healed",
+                     fleet->calls() - calls);
     }
 }
 
-// The platform is dark for ten minutes: every node serves on, few of them call it, and a change
-// after its return is everywhere within two seconds of being accepted.
-Test(spread, an_outage_is_served_through_without_a_storm)
+// The platform is unavailable for ten minutes. Every node must keep its tables, the rate of retries
+// must stay low, and a change accepted after the outage must reach every node within two seconds.
+Test(spread, an_outage_causes_no_call_storm)
 {
     const auto fleet = settled_fleet(20, 90, 3);
     fleet->set_outage(true);
@@ -143,50 +149,50 @@
     const std::uint64_t before = fleet->calls();
     fleet->net.run_for(minutes{10});
     const double rate = static_cast<double>(fleet->calls() - before) / 600.0;
-    cr_assert_lt(rate, 10.0, "%f calls a second", rate);
+    cr_assert_lt(rate, 10.0, "%f platform calls a second", rate);
     cr_assert(fleet->all_at(1));
     fleet->set_outage(false);
     fleet->net.run_for(seconds{2});
-    cr_assert_eq(fleet->accept(*fleet->nodes[50], edited(1), "c1"), 2);
+    cr_assert_eq(fleet->accept(*fleet->nodes[50], edited_tables(1), "c1"), 2);
     cr_assert(fleet->net.until([&] { return fleet->all_at(2); }, seconds{2}));
 }
 
-// A node is paused while the tables change, and a watcher's old answer waits in its socket. When
-// it returns it must catch up and never put the old answer in force over a newer one.
-Test(spread, a_paused_node_never_steps_back)
+// A watcher is paused while the tables change, with an old reply waiting in its socket. After it
+// resumes it must catch up, and must never install the old reply over a newer revision.
+Test(spread, a_paused_node_never_lowers_its_revision)
 {
     const auto fleet = settled_fleet(30, 12, 2);
-    fleet_node* sleeper = watchers_of(*fleet, failure_domain_id{"domain-0"}).front();
-    fleet->accept(*fleet->nodes[1], edited(1), "c1");
-    sleeper->link->paused = true;
+    fleet_node* paused_node = watchers_of(*fleet, failure_domain_id{"domain-0"}).front();
+    fleet->accept(*fleet->nodes[1], edited_tables(1), "c1");
+    paused_node->peer_node->paused = true;
     for (std::uint32_t mark = 2; mark < 30; ++mark) {
-        fleet->accept(*fleet->nodes[1], edited(mark), "c" + std::to_string(mark));
+        fleet->accept(*fleet->nodes[1], edited_tables(mark), "c" + std::to_string(mark));
         fleet->net.run_for(seconds{5});
     }
-    fleet->net.resume(*sleeper->link);
+    fleet->net.resume(*paused_node->peer_node);
     const std::int64_t newest = fleet->nodes[1]->highest;
     cr_assert(fleet->net.until([&] { return fleet->all_at(newest); }, seconds{5}));
-    cr_assert(fleet->none_went_down());
+    cr_assert(fleet->no_revision_decreased());
 }
 
-// The store is restored from an old backup, or a key of another deployment is copied over the
-// head. Nodes keep what they have and say what is wrong.
+// The store is restored from an old backup, or the head of another deployment is copied over the
+// head key. Nodes must keep their tables and report the fault.
 Test(spread, an_older_or_foreign_head_is_refused)
 {
     const auto fleet = settled_fleet(40, 6, 1);
     const std::string old_head = fleet->store.find(fleet->keys.head())->value;
-    fleet->accept(*fleet->nodes[0], edited(1), "c1");
+    fleet->accept(*fleet->nodes[0], edited_tables(1), "c1");
     cr_assert(fleet->net.until([&] { return fleet->all_at(2); }, seconds{2}));
     kv_transaction restore;
     restore.then.emplace_back(kv_put{fleet->keys.head(), old_head, {}});
     cr_assert(fleet->store.transact(restore).has_value());
     fleet->net.run_for(seconds{30});
-    cr_assert(fleet->all_at(2) && fleet->none_went_down());
-    const auto told = [&](const std::string& kind) {
-        return std::find(fleet->refused.begin(), fleet->refused.end(), kind) !=
-               fleet->refused.end();
+    cr_assert(fleet->all_at(2) && fleet->no_revision_decreased());
+    const auto was_reported = [&](const std::string& kind) {
+        return std::find(fleet->reported_kinds.begin(), fleet->reported_kinds.end(), kind) !=
+               fleet->reported_kinds.end();
     };
-    cr_assert(told("config_older_head"));
+    cr_assert(was_reported("config_older_head"));
 
     head_record foreign = parse_head(old_head).value();
     foreign.manifest.deployment = "prod";
@@ -195,13 +201,13 @@
     copy.then.emplace_back(kv_put{fleet->keys.head(), render_head(foreign), {}});
     cr_assert(fleet->store.transact(copy).has_value());
     fleet->net.run_for(seconds{30});
-    cr_assert(told("config_foreign_deployment"));
+    cr_assert(was_reported("config_foreign_deployment"));
     cr_assert(std::all_of(fleet->nodes.begin(), fleet->nodes.end(),
                           [](const auto& node) { return node->highest == 2; }));
 }
 
-// A peer sends a page whose bytes are not what its name says. It is not taken.
-Test(spread, a_forged_page_is_not_taken)
+// A peer sends pages whose bytes don't match their digests. They must not be installed.
+Test(spread, a_page_with_a_wrong_digest_is_rejected)
 {
     const auto fleet = settled_fleet(41, 2, 1);
     const head_record head = parse_head(fleet->store.find(fleet->keys.head())->value).value();
@@ -215,14 +221,15 @@
     config_reply reply{head.revision(), render_head(head), {}, {}};
     for (const std::string& digest : pages_of(head.manifest))
         reply.pages.push_back({digest, "[]"});
-    (void)core.peer_spoke(now, {node_id{"y"}, config_digest{head.revision(), false}});
-    (void)core.peer_spoke(now, {node_id{"y"}, reply});
+    (void)core.peer_message_received(now, {node_id{"y"}, config_digest{head.revision(), false}});
+    (void)core.peer_message_received(now, {node_id{"y"}, reply});
     cr_assert_not(core.installed().has_value());
 }
 
-// A node has moved on since it asked, or a peer's delta was made from another head: applied all the
-// same it would put tables in force that nobody accepted. It is refused, and so is a damaged one.
-Test(spread, a_delta_fits_only_the_head_it_was_made_from)
+// A delta arrives for a head other than the installed one, because the node has installed another
+// revision since its request or because the peer has a different head. Applying it would install
+// tables that nobody accepted, so it must be rejected, as must a truncated delta.
+Test(spread, a_delta_applies_only_to_its_base_head)
 {
     const auto head_of = [](std::int64_t revision, std::uint32_t mark) {
         history_entry entry;
@@ -241,17 +248,17 @@
         cr_assert(apply_delta(base, std::string_view{delta}.substr(0, cut)).has_error());
 }
 
-// Every order of one collector's two steps (look, delete) and one editor's two steps (look, swap)
-// that brings an old page back: afterwards each page that the head names must be there.
-Test(collect, never_deletes_a_page_that_is_named)
+// Runs every interleaving of a collector (C: read, c: delete) and an editor that restores an old
+// page (E: read, e: swap). Afterwards every page that the head references must exist.
+Test(collect, never_deletes_a_referenced_page)
 {
-    const std::vector<std::string> orders{"CcEe", "CEce", "CEec", "ECce", "ECec", "EeCc"};
-    for (const std::string& order : orders) {
+    const std::vector<std::string> interleavings{"CcEe", "CEce", "CEec", "ECce", "ECec", "EeCc"};
+    for (const std::string& order : interleavings) {
         kv_store store;
         const config_keys keys{"/t/"};
-        standing seen;
-        const auto look = [&] {
-            standing out;
+        stored_state editor_state;
+        const auto read_state = [&] {
+            stored_state out;
             const kv_entry* head = store.find(keys.head());
             if (head == nullptr)
                 return out;
@@ -265,18 +272,19 @@
             out.base = out.current;
             return out;
         };
-        const auto swap = [&](const standing& from, std::uint32_t mark) {
+        const auto swap = [&](const stored_state& from, std::uint32_t mark) {
             edit change{test_fleet::tables(rows, 0, mark), {}};
-            change.made_by.change_id = std::to_string(mark);
-            change.made_by.author = "ana";
+            change.metadata.change_id = std::to_string(mark);
+            change.metadata.author = "ana";
             const auto plan = plan_acceptance(keys, from, change);
             for (const kv_transaction& part : plan.value().prepare)
                 (void)store.transact(part);
             return store.transact(plan.value().swap).value().succeeded;
         };
-        // Row 0 as of mark 1 is forgotten after most_history further revisions.
-        for (std::uint32_t mark = 1; mark <= most_history + 2; ++mark)
-            cr_assert(swap(look(), mark));
+        // After max_history_entries further revisions, no kept revision references the page of
+        // mark 1.
+        for (std::uint32_t mark = 1; mark <= max_history_entries + 2; ++mark)
+            cr_assert(swap(read_state(), mark));
         std::vector<kv_transaction> deletions;
         std::size_t planned = 0;
         for (const char step : order) {
@@ -289,11 +297,11 @@
                     (void)store.transact(part);
             }
             if (step == 'E')
-                seen = look();
+                editor_state = read_state();
             if (step == 'e')
-                cr_assert(swap(seen, 1));
+                cr_assert(swap(editor_state, 1));
         }
-        cr_assert_gt(planned, 0U, "nothing to collect: the test would prove nothing");
+        cr_assert_gt(planned, 0U, "no deletions were planned, so the race was not exercised");
         const head_record head = parse_head(store.find(keys.head())->value).value();
         for (const std::string& digest : pages_of(head.manifest))
             cr_assert(store.find(keys.page(digest)) != nullptr, "order %s", order.c_str());
@@ -302,9 +310,9 @@
     }
 }
 
-// Random histories: crashes, replacements, pauses, partitions of nodes and domains, outages, lost
-// replies and changes in any order. No node's revision goes down, and when all is whole again every
-// node has the last accepted change.
+// Random sequences of replaced nodes, pauses, partitions of nodes and domains, outages, lost
+// replies and changes. No node's revision may decrease, and after all faults end, every node must
+// install the last accepted change.
 Test(spread, random_histories)
 {
     for (std::uint64_t seed = 100; seed < 112; ++seed) {
@@ -321,16 +329,16 @@
                    (b.core.self().failure_domain.value() == cut_domain);
         };
         for (std::uint32_t step = 1; step <= 60; ++step) {
-            fleet_node& one = *fleet->nodes[random.index(fleet->nodes.size())];
+            fleet_node& random_node = *fleet->nodes[random.index(fleet->nodes.size())];
             switch (random.index(8)) {
             case 0:
-                if (!one.link->crashed)
-                    one.link->paused = true;
+                if (!random_node.peer_node->crashed)
+                    random_node.peer_node->paused = true;
                 break;
             case 1:
                 for (const auto& node : fleet->nodes) {
-                    if (node->link->paused)
-                        fleet->net.resume(*node->link);
+                    if (node->peer_node->paused)
+                        fleet->net.resume(*node->peer_node);
                 }
                 break;
             case 2:
@@ -340,20 +348,21 @@
                 cut_domain = random.chance(0.5) ? "domain-" + std::to_string(random.index(3)) : "";
                 break;
             case 4:
-                fleet->cut_platform(one, random.chance(0.5));
+                fleet->set_platform_unreachable(random_node, random.chance(0.5));
                 break;
             case 5:
-                if (!one.link->crashed && boot < 6) { // replaced: same name, later boot
-                    one.link->crashed = true;
-                    const std::string name = one.link->core.self().node.value();
+                if (!random_node.peer_node->crashed && boot < 6)
+                { // replaced by a node of the same name with a later boot
+                    random_node.peer_node->crashed = true;
+                    const std::string name = random_node.peer_node->core.self().node.value();
                     const std::size_t index = std::stoul(name.substr(name.find('-') + 1));
                     fleet->add(index, 3, ++boot);
                 }
                 break;
             default:
-                if (!one.link->crashed && !one.link->paused) {
-                    const std::int64_t revision =
-                        fleet->accept(one, edited(step), std::to_string(step), random.chance(0.3));
+                if (!random_node.peer_node->crashed && !random_node.peer_node->paused) {
+                    const std::int64_t revision = fleet->accept(
+                        random_node, edited_tables(step), std::to_string(step), random.chance(0.3));
                     newest = std::max(newest, revision);
                 }
             }
@@ -362,12 +371,12 @@
         cut_domain.clear();
         fleet->set_outage(false);
         for (const auto& node : fleet->nodes) {
-            fleet->cut_platform(*node, false);
-            if (node->link->paused)
-                fleet->net.resume(*node->link);
+            fleet->set_platform_unreachable(*node, false);
+            if (node->peer_node->paused)
+                fleet->net.resume(*node->peer_node);
         }
         cr_assert(fleet->net.until([&] { return fleet->all_at(newest); }, seconds{60}),
-                  "seed %lu: revision %ld is not in force everywhere", seed, newest);
-        cr_assert(fleet->none_went_down(), "seed %lu: a revision went down", seed);
+                  "seed %lu: revision %ld is not installed on every node", seed, newest);
+        cr_assert(fleet->no_revision_decreased(), "seed %lu: a node's revision decreased", seed);
     }
 }
