--- a/daemon/group_driver.cc
+++ b/daemon/group_driver.cc
@@ -47,9 +47,9 @@
     made.deployment = settings.deployment;
     made.self = settings.node;
     made.ticket_horizon = ticket_horizon;
-    made.settled = settings.timeouts.order_horizon;
+    made.settling_time = settings.timeouts.order_horizon;
     // A VM that is not seen for as long as `settled` counts as moved: it is looked at more often.
-    made.probe_period = std::min<duration>(made.probe_period, made.settled / 4);
+    made.probe_period = std::min<duration>(made.probe_period, made.settling_time / 4);
     return made;
 }
 
--- a/groups/fake_check.cc
+++ b/groups/fake_check.cc
@@ -48,25 +48,27 @@
     for (const auto& [vm, engine] : m_engines)
         by_address[engine->row.address] = vm;
     for (const auto& [vm, engine] : m_engines) {
-        const member_report& says = engine->says;
-        if (says.state != member_state::ready || says.rank != 0)
+        const member_report& current_report = engine->current_report;
+        if (current_report.state != member_state::ready || current_report.rank != 0)
             continue;
         std::vector<vm_id> members;
         bool whole = true;
-        for (std::size_t rank = 0; rank < says.members.size() && whole; ++rank) {
-            const auto at = by_address.find(says.members[rank]);
+        for (std::size_t rank = 0; rank < current_report.members.size() && whole; ++rank) {
+            const auto at = by_address.find(current_report.members[rank]);
             if (at == by_address.end()) {
                 whole = false;
                 break;
             }
             const fake_engine& other = *m_engines.at(at->second);
-            whole = other.answers(m_now) && other.says.group == says.group &&
-                    other.says.rank == rank && other.says.members == says.members &&
-                    other.says.state == member_state::ready && other.says.version == says.version;
+            whole = other.answers(m_now) && other.current_report.group == current_report.group &&
+                    other.current_report.rank == rank &&
+                    other.current_report.members == current_report.members &&
+                    other.current_report.state == member_state::ready &&
+                    other.current_report.version == current_report.version;
             members.push_back(at->second);
         }
         if (whole)
-            m_last_whole[composition_name(says.group, members)] = m_now;
+            m_last_whole[composition_name(current_report.group, members)] = m_now;
     }
     std::map<vm_id, group_id> serving;
     for (const auto& one : m_nodes) {
@@ -140,10 +142,10 @@
     for (const kv_entry& entry : m_store.records(fake_deployment))
         out << entry.key << " @" << entry.mod_revision << ' ' << entry.value << '\n';
     for (const auto& [vm, engine] : m_engines) {
-        const member_report& says = engine->says;
-        out << vm << " in " << engine->row.fabric_domain << ": " << says.group << " rank "
-            << says.rank << " state " << static_cast<int>(says.state) << " fencing " << says.fencing
-            << '\n';
+        const member_report& current_report = engine->current_report;
+        out << vm << " in " << engine->row.fabric_domain << ": " << current_report.group << " rank "
+            << current_report.rank << " state " << static_cast<int>(current_report.state)
+            << " fencing " << current_report.fencing << '\n';
     }
     return out.str();
 }
--- a/groups/fake_fleet.cc
+++ b/groups/fake_fleet.cc
@@ -95,11 +95,11 @@
 
 void fake_engine::restart()
 {
-    const std::string boot = says.boot + "+";
-    says = member_report{};
-    says.vm = row.vm;
-    says.boot = boot;
-    load_left = 0.0;
+    const std::string boot = current_report.boot + "+";
+    current_report = member_report{};
+    current_report.vm = row.vm;
+    current_report.boot = boot;
+    remaining_load_seconds = 0.0;
     highest_fencing = 0;
 }
 
@@ -111,20 +111,22 @@
         return order_answer::accepted;
     highest_fencing = std::max(highest_fencing, order.fencing.value());
     const bool keeps_weights =
-        says.group == order.group && says.rank == order.rank && says.model == order.model &&
-        says.version == order.version && says.adapters == order.adapters &&
-        (says.state == member_state::loading || says.state == member_state::ready);
-    says.group = order.group;
-    says.fencing = order.fencing;
-    says.rank = order.rank;
-    says.members = order.members;
-    says.model = order.model;
-    says.version = order.version;
-    says.adapters = order.adapters;
+        current_report.group == order.group && current_report.rank == order.rank &&
+        current_report.model == order.model && current_report.version == order.version &&
+        current_report.adapters == order.adapters &&
+        (current_report.state == member_state::loading ||
+         current_report.state == member_state::ready);
+    current_report.group = order.group;
+    current_report.fencing = order.fencing;
+    current_report.rank = order.rank;
+    current_report.members = order.members;
+    current_report.model = order.model;
+    current_report.version = order.version;
+    current_report.adapters = order.adapters;
     if (!keeps_weights) {
-        says.state = member_state::loading;
-        says.progress = 0.0;
-        load_left = load_seconds;
+        current_report.state = member_state::loading;
+        current_report.progress = 0.0;
+        remaining_load_seconds = load_seconds;
     }
     return order_answer::accepted;
 }
@@ -135,27 +137,27 @@
         return order_answer::refused;
     if (fault == engine_fault::ignores_orders)
         return order_answer::accepted;
-    if (says.group != order.group)
+    if (current_report.group != order.group)
         return order_answer::accepted;
     const std::int64_t highest = std::max(highest_fencing, order.fencing.value());
-    const std::string boot = says.boot;
-    says = member_report{};
-    says.vm = row.vm;
-    says.boot = boot;
-    says.fencing = order.fencing;
-    load_left = 0.0;
+    const std::string boot = current_report.boot;
+    current_report = member_report{};
+    current_report.vm = row.vm;
+    current_report.boot = boot;
+    current_report.fencing = order.fencing;
+    remaining_load_seconds = 0.0;
     highest_fencing = highest;
     return order_answer::accepted;
 }
 
 void fake_engine::advance(duration step, double rate)
 {
-    if (says.state != member_state::loading || fault == engine_fault::never_finishes)
+    if (current_report.state != member_state::loading || fault == engine_fault::never_finishes)
         return;
-    load_left -= std::chrono::duration<double>(step).count() * rate;
-    says.progress = std::min(1.0, 1.0 - load_left / load_seconds);
-    if (load_left <= 0.0)
-        says.state = member_state::ready;
+    remaining_load_seconds -= std::chrono::duration<double>(step).count() * rate;
+    current_report.progress = std::min(1.0, 1.0 - remaining_load_seconds / load_seconds);
+    if (remaining_load_seconds <= 0.0)
+        current_report.state = member_state::ready;
 }
 
 } // namespace jaynotch::groups
--- a/groups/fake_fleet.h
+++ b/groups/fake_fleet.h
@@ -47,13 +47,13 @@
 /// One VM's engine.
 struct fake_engine {
     vm_row row;
-    member_report says;
+    member_report current_report;
     std::int64_t highest_fencing = 0;
     bool checks_fencing = true;
     bool alive = true;
     time_point paused_until;
     double load_seconds = 30.0; ///< of one VM's weights at the full rate
-    double load_left = 0.0;
+    double remaining_load_seconds = 0.0;
     engine_fault fault = engine_fault::none;
 
     explicit fake_engine(vm_row from);
--- a/groups/fake_registry.cc
+++ b/groups/fake_registry.cc
@@ -113,21 +113,21 @@
     gone.unlist_at = m_now + three_heartbeats;
 }
 
-void fake_registry::cut_off(const std::string& id)
+void fake_registry::disconnect(const std::string& id)
 {
     fake_runner& gone = *find(id);
     gone.reachable = false;
     gone.unlist_at = m_now + three_heartbeats;
 }
 
-void fake_registry::lose_entry(const std::string& id, duration away)
+void fake_registry::expire_entry(const std::string& id, duration away)
 {
     fake_runner& lost = *find(id);
     lost.unlist_at = m_now;
     lost.list_at = m_now + away;
 }
 
-void fake_registry::start_again(const std::string& id)
+void fake_registry::restart_runner(const std::string& id)
 {
     fake_runner fresh;
     fresh.row = find(id)->row;
@@ -180,7 +180,7 @@
     m_managers[index].alive = false;
 }
 
-void fake_registry::say_silent(const std::string& head)
+void fake_registry::report_unresponsive_group(const std::string& head)
 {
     tell_all(group_silent{vm_id{head}});
 }
@@ -298,7 +298,7 @@
         tell(manager, member_probed{asked->vm, at != nullptr && at->alive && at->reachable});
     }
     else if (const auto* doubted = std::get_if<ask_peers>(&command)) {
-        tell(manager, peers_word{doubted->vm, peers_hear});
+        tell(manager, peers_word{doubted->vm, peers_reach_runner});
     }
 }
 
@@ -447,8 +447,8 @@
 
 void fake_registry::fail(const std::string& what)
 {
-    if (m_broken.empty())
-        m_broken = what;
+    if (m_violation.empty())
+        m_violation = what;
 }
 
 fake_registry::fake_runner* fake_registry::find(const std::string& id)
--- a/groups/fake_registry.h
+++ b/groups/fake_registry.h
@@ -45,11 +45,11 @@
     /// The runner falls silent; its entry goes after the time of three heartbeats.
     void kill(const std::string& id);
     /// It starts again under its id; what was staged on its host is still there.
-    void start_again(const std::string& id);
+    void restart_runner(const std::string& id);
     /// The managers don't reach it and its entry goes, though it works on.
-    void cut_off(const std::string& id);
+    void disconnect(const std::string& id);
     /// The entry of a runner that works on runs out and is written anew after `away`.
-    void lose_entry(const std::string& id, duration away);
+    void expire_entry(const std::string& id, duration away);
     void drain(const std::string& id);
     void add(const std::string& id, std::size_t domain);
     void begin_traffic();
@@ -66,7 +66,7 @@
     /// From now on the managers hear of each entry this much later than it was written.
     void delay_entries(duration late) { m_entries_late = late; }
     /// Requests at the group of this head get nothing: every manager's node says so.
-    void say_silent(const std::string& head);
+    void report_unresponsive_group(const std::string& head);
     /// The store answers nobody and shows nothing from now on; leases run out meanwhile.
     void store_down();
     /// Runners write their entries anew after `entries_late`; until then the registry shows what
@@ -75,7 +75,7 @@
     /// Leases don't run out while the store is down, so a manager comes back with its old term.
     bool leases_outlast_outages = false;
     /// What other nodes say when they are asked about a silent runner.
-    bool peers_hear = false;
+    bool peers_reach_runner = false;
     /// Whether another node reaches the store while these managers don't.
     bool peers_reach_store = false;
 
@@ -88,7 +88,7 @@
     [[nodiscard]] std::size_t leaders() const;
     /// Index of a manager that leads; the number of managers if none does.
     [[nodiscard]] std::size_t leader() const;
-    [[nodiscard]] const std::string& broken() const { return m_broken; }
+    [[nodiscard]] const std::string& violation() const { return m_violation; }
     [[nodiscard]] std::size_t orders() const { return m_orders; }
 
     static std::vector<pool> pools();
@@ -169,7 +169,7 @@
     bool m_traffic = false;
     bool m_store_down = false;
     std::size_t m_orders = 0;
-    std::string m_broken;
+    std::string m_violation;
 };
 
 } // namespace jaynotch::groups
--- a/groups/fake_world.cc
+++ b/groups/fake_world.cc
@@ -197,7 +197,7 @@
         const auto to = m_engines.find(vm);
         if (to == m_engines.end() || !to->second->answers(m_now))
             return;
-        report_seen seen{vm, to->second->says, sent_at};
+        report_seen seen{vm, to->second->current_report, sent_at};
         if (to->second->fault == engine_fault::names_another_vm)
             seen.report.vm = vm_id{"another"};
         later(delay(), [this, at, seen] {
@@ -249,7 +249,8 @@
 void fake_world::load_weights()
 {
     const auto loading = std::count_if(m_engines.begin(), m_engines.end(), [&](const auto& entry) {
-        return entry.second->answers(m_now) && entry.second->says.state == member_state::loading;
+        return entry.second->answers(m_now) &&
+               entry.second->current_report.state == member_state::loading;
     });
     const double rate = std::min(1.0, full_rate_loads / std::max(1.0, double(loading)));
     for (auto& [vm, engine] : m_engines) {
--- a/groups/formation_histories_test.cc
+++ b/groups/formation_histories_test.cc
@@ -40,7 +40,7 @@
     std::string play()
     {
         constexpr int steps = 14;
-        for (int step = 0; step < steps && m_world.broken().empty(); ++step) {
+        for (int step = 0; step < steps && m_world.violation().empty(); ++step) {
             take_step("late-" + std::to_string(step));
             m_world.run(milliseconds(0, 2'500));
         }
@@ -49,7 +49,7 @@
         m_world.lose_orders(0.0);
         m_world.lose_answers(0.0);
         m_world.run(14s);
-        return m_world.broken();
+        return m_world.violation();
     }
 
 private:
@@ -83,13 +83,13 @@
         const std::string& victim = members[m_random.index(members.size())];
         const double how = m_random.unit();
         if (how < 0.2)
-            m_world.lose_entry(victim, milliseconds(100, 4'000));
+            m_world.expire_entry(victim, milliseconds(100, 4'000));
         else if (how < 0.3)
-            m_world.cut_off(victim);
+            m_world.disconnect(victim);
         else
             m_world.kill(victim);
         m_world.run(milliseconds(0, 400));
-        m_world.say_silent(head);
+        m_world.report_unresponsive_group(head);
     }
 
     void begin_outage()
@@ -121,8 +121,8 @@
 
 void assert_kept(std::uint64_t seed, unsigned troubles)
 {
-    const std::string broken = history{seed, troubles}.play();
-    cr_assert(broken.empty(), "seed %lu, troubles %u: %s", seed, troubles, broken.c_str());
+    const std::string violation = history{seed, troubles}.play();
+    cr_assert(violation.empty(), "seed %lu, troubles %u: %s", seed, troubles, violation.c_str());
 }
 
 } // namespace
--- a/groups/formation_outage_test.cc
+++ b/groups/formation_outage_test.cc
@@ -15,7 +15,7 @@
     world.run(4s);
     cr_assert_eq(world.leaders(), 1U);
     world.kill(world.members_of(head)[2]);
-    world.say_silent(head);
+    world.report_unresponsive_group(head);
     world.run(1s);
     cr_assert_eq(world.open_groups("big"), groups);
     world.run(3s);
@@ -38,7 +38,7 @@
     world.store_down();
     world.run(4s);
     world.kill(world.members_of(head)[2]);
-    world.say_silent(head);
+    world.report_unresponsive_group(head);
     world.run(2s);
     cr_assert_eq(world.open_groups("big"), groups);
     world.kill_manager(0);
@@ -64,7 +64,7 @@
     world.store_down();
     world.run(3s);
     world.kill(head);
-    world.say_silent(head);
+    world.report_unresponsive_group(head);
     world.run(9s);
     cr_assert_eq(world.open_groups("big"), groups);
     const std::size_t orders = world.orders();
@@ -100,7 +100,7 @@
             const std::vector<std::string> members = world.members_of(head);
             world.kill(members[random.index(members.size())]);
             world.run(std::chrono::milliseconds{random.between(0, 400)});
-            world.say_silent(head);
+            world.report_unresponsive_group(head);
             world.run(std::chrono::milliseconds{random.between(0, 700)});
         }
         world.lose_orders(random.chance(0.5) ? 0.25 : 0.0);
@@ -111,12 +111,12 @@
         if (!next.empty()) {
             world.kill(world.members_of(next).back());
             world.run(std::chrono::milliseconds{random.between(0, 400)});
-            world.say_silent(next);
+            world.report_unresponsive_group(next);
         }
         world.run(std::chrono::milliseconds{random.between(1'000, 9'000)});
         world.store_up(std::chrono::milliseconds{random.between(0, 2'000)});
         world.run(4s);
-        cr_assert(world.broken().empty(), "seed %lu: %s", seed, world.broken().c_str());
+        cr_assert(world.violation().empty(), "seed %lu: %s", seed, world.violation().c_str());
     }
 }
 
@@ -137,7 +137,7 @@
             if (head.empty())
                 break;
             world.kill(world.members_of(head)[1 + random.index(3)]);
-            world.say_silent(head);
+            world.report_unresponsive_group(head);
             world.run(std::chrono::milliseconds{random.between(100, 900)});
         }
         std::vector<std::string> heads;
@@ -150,9 +150,9 @@
         world.store_up(std::chrono::milliseconds{random.between(100, 1'000)});
         world.run(std::chrono::milliseconds{random.between(0, 60)});
         for (const std::string& head : heads)
-            world.say_silent(head);
+            world.report_unresponsive_group(head);
         world.run(3s);
-        cr_assert(world.broken().empty(), "seed %lu: %s", seed, world.broken().c_str());
+        cr_assert(world.violation().empty(), "seed %lu: %s", seed, world.violation().c_str());
     }
 }
 
@@ -167,7 +167,7 @@
     const std::size_t groups = world.open_groups("big");
     const std::string lost = world.head_of("big", 0);
     world.kill(lost);
-    world.say_silent(lost);
+    world.report_unresponsive_group(lost);
     world.run(500ms);
     cr_assert_eq(world.open_groups("big"), groups - 1, "its successor is about to open");
     world.lose_orders(1.0);
@@ -196,7 +196,7 @@
     world.store_down();
     world.run(1400ms);
     world.kill(world.members_of(first)[1]);
-    world.say_silent(first);
+    world.report_unresponsive_group(first);
     world.run(300ms);
     world.lose_orders(1.0); // its successor is whole, and the order to open is lost
     world.run(200ms);
@@ -206,7 +206,7 @@
     world.run(300ms);
     world.kill(world.members_of(second)[1]);
     world.run(150ms);
-    world.say_silent(second);
+    world.report_unresponsive_group(second);
     world.run(3s);
     assert_sound(world);
 }
--- a/groups/formation_test.cc
+++ b/groups/formation_test.cc
@@ -46,7 +46,7 @@
     const std::string head = world.head_of("big", 0);
     world.kill(world.members_of(head)[2]);
     world.run(300ms);
-    world.say_silent(head);
+    world.report_unresponsive_group(head);
     world.run(2s);
     cr_assert_eq(world.open_groups("big"), groups);
     assert_sound(world);
@@ -61,7 +61,7 @@
     const std::size_t groups = world.open_groups("big");
     const std::string head = world.head_of("big", 0);
     world.kill(world.members_of(head)[2]);
-    world.say_silent(head);
+    world.report_unresponsive_group(head);
     world.run(700ms);
     cr_assert_eq(world.open_groups("big"), groups);
     assert_sound(world);
@@ -78,7 +78,7 @@
     world.kill_manager(world.leader());
     world.kill(world.members_of(head)[2]);
     cr_assert(world.run_until([&] { return world.leaders() == 1; }, 5s));
-    world.say_silent(head);
+    world.report_unresponsive_group(head);
     world.run(1s);
     cr_assert_eq(world.open_groups("big"), groups);
     assert_sound(world);
@@ -97,7 +97,7 @@
     const std::string head = world.head_of("big", 0);
     world.kill(world.members_of(head)[2]);
     world.run(200ms);
-    world.say_silent(head);
+    world.report_unresponsive_group(head);
     world.run(1s);
     cr_assert_eq(world.open_groups("big"), groups);
     assert_sound(world);
@@ -110,9 +110,9 @@
     fake_registry world = serving({.domains = 2, .runners = 9});
     const std::size_t groups = world.open_groups("big");
     const std::string head = world.head_of("big", 0);
-    world.cut_off(head); // it works on, and its group is open
+    world.disconnect(head); // it works on, and its group is open
     world.run(300ms);
-    world.say_silent(head);
+    world.report_unresponsive_group(head);
     world.run(2s);
     cr_assert_eq(world.open_groups("big"), groups + 1, "the one behind the cut and its successor");
     assert_sound(world);
@@ -123,12 +123,12 @@
 Test(formation, a_group_that_other_nodes_hear_is_left_alone)
 {
     fake_registry world = serving({.domains = 2, .runners = 9});
-    world.peers_hear = true;
+    world.peers_reach_runner = true;
     const std::string head = world.head_of("big", 0);
     const std::size_t orders = world.orders();
-    world.cut_off(head);
+    world.disconnect(head);
     world.run(300ms);
-    world.say_silent(head);
+    world.report_unresponsive_group(head);
     world.run(500ms);
     cr_assert_eq(world.orders(), orders);
     assert_sound(world);
@@ -145,10 +145,10 @@
     const std::size_t small = world.open_groups("small");
     const std::vector<std::string> members = world.members_of(world.head_of("big", 0));
     const std::size_t orders = world.orders();
-    world.lose_entry(members[1], 900ms);
-    world.lose_entry(members[2], 700ms);
+    world.expire_entry(members[1], 900ms);
+    world.expire_entry(members[2], 700ms);
     world.run(300ms);
-    world.lose_entry(members[0], 900ms);
+    world.expire_entry(members[0], 900ms);
     world.run(3s);
     cr_assert_eq(world.open_groups("big"), big);
     cr_assert_eq(world.open_groups("small"), small);
@@ -163,7 +163,7 @@
     fake_registry world = serving({.domains = 2, .runners = 9});
     const std::size_t big = world.open_groups("big");
     const std::string lost = world.members_of(world.head_of("big", 0))[1];
-    world.lose_entry(lost, 60s);
+    world.expire_entry(lost, 60s);
     world.run(5s);
     cr_assert_eq(world.open_groups("big"), big);
     assert_sound(world);
@@ -184,8 +184,8 @@
     world.kill(world.members_of(first)[1]);
     world.kill(world.members_of(second)[1]);
     world.run(300ms);
-    world.say_silent(first);
-    world.say_silent(second);
+    world.report_unresponsive_group(first);
+    world.report_unresponsive_group(second);
     const std::size_t others = world.open_groups(model) - 2;
     world.run(2s);
     cr_assert_eq(world.open_groups(model), others + 1);
@@ -201,7 +201,7 @@
         world.kill("r-a-" + std::to_string(index));
     world.run(7s);
     for (int index = 0; index < 9; ++index)
-        world.start_again("r-a-" + std::to_string(index));
+        world.restart_runner("r-a-" + std::to_string(index));
     world.run(4s);
     cr_assert_eq(world.open_groups("big") + world.open_groups("small"), groups);
     assert_sound(world);
@@ -250,7 +250,7 @@
         for (const std::string& member : members)
             world.kill(member);
         world.run(200ms);
-        world.say_silent(head);
+        world.report_unresponsive_group(head);
         world.run(1s);
     }
     const std::size_t staged = world.staged("big");
@@ -286,25 +286,26 @@
                 const std::string& victim = members[random.index(members.size())];
                 const double what = random.unit();
                 if (what < 0.35)
-                    world.lose_entry(victim, std::chrono::milliseconds{random.between(100, 4'000)});
+                    world.expire_entry(victim,
+                                       std::chrono::milliseconds{random.between(100, 4'000)});
                 else if (what < 0.5)
-                    world.cut_off(victim);
+                    world.disconnect(victim);
                 else
                     world.kill(victim);
                 world.run(300ms);
-                world.say_silent(head);
+                world.report_unresponsive_group(head);
             }
             if (round == 3)
                 world.kill_manager(random.index(2));
             world.run(std::chrono::milliseconds{random.between(500, 3'000)});
             world.add("late-" + std::to_string(round), random.index(2));
         }
-        cr_assert(world.broken().empty(), "seed %d: %s", static_cast<int>(seed),
-                  world.broken().c_str());
+        cr_assert(world.violation().empty(), "seed %d: %s", static_cast<int>(seed),
+                  world.violation().c_str());
         world.lose_orders(0.0);
         world.run(60s);
-        cr_assert(world.broken().empty(), "seed %d: %s", static_cast<int>(seed),
-                  world.broken().c_str());
+        cr_assert(world.violation().empty(), "seed %d: %s", static_cast<int>(seed),
+                  world.violation().c_str());
         cr_assert_geq(world.open_groups("big") + world.open_groups("small"), 1U, "seed %d",
                       static_cast<int>(seed));
     }
--- a/groups/formation_testing.h
+++ b/groups/formation_testing.h
@@ -23,7 +23,7 @@
 
 inline void assert_sound(const fake_registry& world)
 {
-    cr_assert(world.broken().empty(), "%s", world.broken().c_str());
+    cr_assert(world.violation().empty(), "%s", world.violation().c_str());
 }
 
 } // namespace jaynotch::groups
--- a/groups/sight.cc
+++ b/groups/group_health.cc
@@ -2,7 +2,7 @@
 // group's other members aren't touched until the standby is ready. If the lost member comes back
 // first (a pause), the group is whole again at that moment and the standby is let go; if not, the
 // switch costs the others no load. So there is nothing to gain from waiting before the load starts.
-#include "groups/sight.h"
+#include "groups/group_health.h"
 
 #include <algorithm>
 
@@ -10,10 +10,10 @@
 
 namespace {
 
-place_sight look_at_place(const group_assignment& group, std::size_t rank, const vm_table& vms,
-                          time_point now)
+place_health look_at_place(const group_assignment& group, std::size_t rank, const vm_table& vms,
+                           time_point now)
 {
-    place_sight place;
+    place_health place;
     const vm_view* view = vms.find(group.members[rank].vm);
     if (view == nullptr) {
         place.lost = true;
@@ -21,8 +21,8 @@
     }
     place.ready =
         vms.fresh(*view, now) && ready_in_place(*view->report, group, rank, group.members);
-    place.lost = vms.condition(*view, now) != vm_condition::sound;
-    place.lost_since = view->silent_since;
+    place.lost = vms.condition(*view, now) != vm_condition::healthy;
+    place.lost_since = view->unresponsive_since;
     return place;
 }
 
@@ -33,7 +33,7 @@
     const auto at =
         std::find_if(group.standbys.begin(), group.standbys.end(), [&](const member& standby) {
             const vm_view* view = vms.find(standby.vm);
-            return view != nullptr && vms.condition(*view, now) == vm_condition::sound &&
+            return view != nullptr && vms.condition(*view, now) == vm_condition::healthy &&
                    has_weights(*view->report, group, rank);
         });
     return at == group.standbys.end() ? nullptr : &*at;
@@ -66,51 +66,51 @@
 
 } // namespace
 
-group_sight substitutes::look(const group_assignment& group, const vm_table& vms, time_point now)
+group_health substitutes::assess(const group_assignment& group, const vm_table& vms, time_point now)
 {
-    group_sight sight;
+    group_health health;
     for (std::size_t rank = 0; rank < group.members.size(); ++rank)
-        sight.places.push_back(look_at_place(group, rank, vms, now));
-    sight.whole = std::all_of(sight.places.begin(), sight.places.end(),
-                              [](const place_sight& place) { return place.ready; });
-    choose(group, vms, sight, now);
-
-    sight.target = group.members;
-    for (std::size_t rank = 0; rank < sight.places.size(); ++rank) {
-        const place_sight& place = sight.places[rank];
-        sight.lost += place.lost ? 1 : 0;
-        sight.uncovered += place.lost && !place.substitute ? 1 : 0;
+        health.places.push_back(look_at_place(group, rank, vms, now));
+    health.complete = std::all_of(health.places.begin(), health.places.end(),
+                                  [](const place_health& place) { return place.ready; });
+    choose(group, vms, health, now);
+
+    health.target = group.members;
+    for (std::size_t rank = 0; rank < health.places.size(); ++rank) {
+        const place_health& place = health.places[rank];
+        health.lost += place.lost ? 1 : 0;
+        health.uncovered += place.lost && !place.substitute ? 1 : 0;
         if (place.substitute)
-            sight.target[rank] = *place.substitute;
+            health.target[rank] = *place.substitute;
     }
-    bool all_ready = sight.target != group.members;
+    bool all_ready = health.target != group.members;
     bool all_agree = all_ready;
-    for (std::size_t rank = 0; rank < sight.places.size(); ++rank) {
-        place_sight& place = sight.places[rank];
-        const vm_view* view = vms.find(sight.target[rank].vm);
+    for (std::size_t rank = 0; rank < health.places.size(); ++rank) {
+        place_health& place = health.places[rank];
+        const vm_view* view = vms.find(health.target[rank].vm);
         const bool agrees = view != nullptr && vms.fresh(*view, now) &&
-                            ready_in_place(*view->report, group, rank, sight.target);
+                            ready_in_place(*view->report, group, rank, health.target);
         all_agree = all_agree && agrees;
         place.substitute_ready = place.substitute && agrees;
         if (place.substitute || place.lost)
             all_ready = all_ready && place.substitute_ready;
     }
-    sight.can_switch = all_ready;
-    sight.switched = all_agree;
+    health.can_switch = all_ready;
+    health.switched = all_agree;
 
-    const vm_view* leader = group.members.empty() ? nullptr : vms.find(sight.target.front().vm);
-    sight.idle = leader != nullptr && vms.fresh(*leader, now) && leader->report->running == 0 &&
-                 leader->report->waiting == 0;
-    return sight;
+    const vm_view* leader = group.members.empty() ? nullptr : vms.find(health.target.front().vm);
+    health.idle = leader != nullptr && vms.fresh(*leader, now) && leader->report->running == 0 &&
+                  leader->report->waiting == 0;
+    return health;
 }
 
-void substitutes::choose(const group_assignment& group, const vm_table& vms, group_sight& sight,
+void substitutes::choose(const group_assignment& group, const vm_table& vms, group_health& health,
                          time_point now)
 {
     by_rank& chosen = m_chosen[group.group];
     // First keep what is under way, so that no standby is chosen for two places.
-    for (std::size_t rank = 0; rank < sight.places.size(); ++rank) {
-        const place_sight& place = sight.places[rank];
+    for (std::size_t rank = 0; rank < health.places.size(); ++rank) {
+        const place_health& place = health.places[rank];
         if (const member* loading = already_loading(group, rank, vms, now);
             loading != nullptr && !chosen.contains(rank))
             chosen[rank] = loading->vm;
@@ -119,33 +119,33 @@
             continue;
         const member* standby = find_standby(group, at->second);
         const vm_view* view = standby == nullptr ? nullptr : vms.find(standby->vm);
-        const bool usable = view != nullptr && vms.condition(*view, now) == vm_condition::sound;
+        const bool usable = view != nullptr && vms.condition(*view, now) == vm_condition::healthy;
         const bool under_way = usable && in_this_group(*view, group);
         const bool returned = !place.lost && (place.ready || !under_way);
         if (!usable || (returned && !others_follow(group, standby->address, vms, now)))
             chosen.erase(at);
     }
-    for (std::size_t rank = 0; rank < sight.places.size(); ++rank) {
-        if (!sight.places[rank].lost || chosen.contains(rank))
+    for (std::size_t rank = 0; rank < health.places.size(); ++rank) {
+        if (!health.places[rank].lost || chosen.contains(rank))
             continue;
         for (const member& standby : group.standbys) {
             const vm_view* view = vms.find(standby.vm);
             const bool taken = std::any_of(chosen.begin(), chosen.end(), [&](const auto& entry) {
                 return entry.second == standby.vm;
             });
-            if (taken || view == nullptr || !vms.quiet(*view, now))
+            if (taken || view == nullptr || !vms.assignable(*view, now))
                 continue;
             chosen[rank] = standby.vm;
             break;
         }
     }
     for (const auto& [rank, vm] : chosen) {
-        if (rank < sight.places.size())
-            sight.places[rank].substitute = *find_standby(group, vm);
+        if (rank < health.places.size())
+            health.places[rank].substitute = *find_standby(group, vm);
     }
 }
 
-void substitutes::keep_only(const domain_record& record)
+void substitutes::prune(const domain_record& record)
 {
     std::erase_if(m_chosen, [&](const auto& entry) {
         return std::none_of(record.groups.begin(), record.groups.end(),
--- a/groups/groups_test.cc
+++ b/groups/groups_test.cc
@@ -38,7 +38,7 @@
 
 } // namespace
 
-Test(thin_path, groups_form_load_and_get_tickets)
+Test(group_formation, groups_form_load_and_get_tickets)
 {
     fake_world world{{.nodes = 2, .domains = 1, .vms_per_domain = 5}, 1};
     world.install(shared(one_pool(2, 2)));
@@ -68,7 +68,7 @@
 // goes down, then a member dies, and nobody may write the record that would
 // replace it. The standby was bound before, so the group is completed without a
 // new record.
-Test(stories, a_bound_standby_is_swapped_in_while_the_platform_is_dark)
+Test(group_repair, a_bound_standby_is_swapped_in_while_the_platform_is_dark)
 {
     fake_world world{{.nodes = 2, .domains = 1, .vms_per_domain = 3}, 3};
     world.install(shared(one_pool(1, 2)));
@@ -96,7 +96,7 @@
 // A member answers nothing for ten seconds and then goes on as before. The
 // group is whole again at that moment, and the standby that had begun to load
 // is let go: no second break.
-Test(stories, a_member_back_from_a_pause_keeps_its_place)
+Test(group_repair, a_member_back_from_a_pause_keeps_its_place)
 {
     fake_world world{{.nodes = 2, .domains = 1, .vms_per_domain = 3}, 4};
     world.install(shared(one_pool(1, 2)));
@@ -107,17 +107,17 @@
     world.engine(paused).paused_until = world.now() + 10s;
     world.run(9s);
     cr_assert_eq(whole_in(world), 0);
-    cr_assert(world.engine(standby).says.state == member_state::loading);
+    cr_assert(world.engine(standby).current_report.state == member_state::loading);
     world.run(30s);
     cr_assert_eq(whole_in(world), 1);
     cr_assert(world.record(0).groups == before.groups);
-    cr_assert(world.engine(standby).says.group.value().empty());
+    cr_assert(world.engine(standby).current_report.group.value().empty());
     expect_sound(world);
 }
 
 // A new version is put in the tables. Callers must find a whole group at every
 // moment: the old one serves until the new one has loaded beside it.
-Test(stories, the_old_version_serves_until_the_new_one_is_whole)
+Test(group_repair, the_old_version_serves_until_the_new_one_is_whole)
 {
     fake_world world{{.nodes = 1, .domains = 1, .vms_per_domain = 4}, 5};
     world.install(shared(one_pool(1, 2)));
@@ -138,7 +138,7 @@
 
 // A VM is announced to leave. Its group must not break: a whole one is built
 // beside it first.
-Test(stories, a_leaving_vm_is_replaced_before_it_goes)
+Test(group_repair, a_leaving_vm_is_replaced_before_it_goes)
 {
     fake_world world{{.nodes = 1, .domains = 1, .vms_per_domain = 5}, 6};
     world.install(shared(one_pool(1, 2)));
@@ -158,7 +158,7 @@
 // An engine accepts every order and does nothing. Its group would wait for
 // good; the VM is set aside after some orders without effect and another takes
 // its place.
-Test(stories, an_engine_that_accepts_and_does_nothing_is_replaced)
+Test(group_repair, an_engine_that_accepts_and_does_nothing_is_replaced)
 {
     fake_world world{{.nodes = 1, .domains = 1, .vms_per_domain = 3}, 7};
     const vm_id idle{"vm-0-2"};
--- a/groups/manager.cc
+++ b/groups/manager.cc
@@ -85,21 +85,21 @@
     void read_record(time_point now);
     void send_probes(time_point now);
     void set_aside_stalled(time_point now);
-    void follow(time_point now, bool dark);
+    void follow(time_point now, bool platform_unreachable);
     [[nodiscard]] bool among_first(std::size_t count) const;
-    [[nodiscard]] bool dark(time_point now) const;
+    [[nodiscard]] bool platform_unreachable(time_point now) const;
     [[nodiscard]] plan_input planning(time_point now) const;
 };
 
 void domain_manager::state::take(const vms_seen& seen, time_point now)
 {
-    vms.take_list(seen.rows, now);
+    vms.apply_list(seen.rows, now);
     list_read = true;
 }
 
 void domain_manager::state::take(const report_seen& seen, time_point now)
 {
-    if (!vms.take_report(seen, now))
+    if (!vms.apply_report(seen, now))
         out.emplace_back(notice{log_level::warning, "report_refused", seen.vm.value(),
                                 "the engine reports as another VM; it is set aside"});
     // A fencing number from the future: the record has moved on without us, or another domain's
@@ -114,7 +114,7 @@
 {
     if (vms.find(found.vm) == nullptr)
         return;
-    vms.set_aside(found.vm, now);
+    vms.quarantine(found.vm, now);
     out.emplace_back(notice{log_level::warning, "straggler_replaced", found.vm.value(),
                             "it slows its group down"});
 }
@@ -239,10 +239,10 @@
                        [&](std::size_t at) { return names[at] == settings.self.value(); });
 }
 
-bool domain_manager::state::dark(time_point now) const
+bool domain_manager::state::platform_unreachable(time_point now) const
 {
     const time_point heard = std::max(lead.platform_heard(), started);
-    return now - heard >= settings.dark_after;
+    return now - heard >= settings.platform_timeout;
 }
 
 plan_input domain_manager::state::planning(time_point now) const
@@ -264,10 +264,10 @@
 {
     for (auto& [vm, view] : vms.all()) {
         const bool stalled = vms.fresh(view, now) && view.report->state == member_state::loading &&
-                             now - view.progress_at > settings.load_stall;
-        if (!stalled || now < view.set_aside_until)
+                             now - view.progress_at > settings.load_stall_timeout;
+        if (!stalled || now < view.quarantined_until)
             continue;
-        vms.set_aside(vm, now);
+        vms.quarantine(vm, now);
         out.emplace_back(
             notice{log_level::warning, "load_stalled", vm.value(), "no progress; it is set aside"});
     }
@@ -276,8 +276,9 @@
 void domain_manager::state::follow(time_point now, bool in_dark)
 {
     const time_point latest = now + settings.order_timeout;
-    const order_input in{settings,      record, others,
-                         plan.sights(), now,    in_dark ? latest : std::min(latest, lead.until()),
+    const order_input in{settings, record,
+                         others,   plan.health_by_group(),
+                         now,      in_dark ? latest : std::min(latest, lead.until()),
                          in_dark};
     orders.send(
         in, vms, [this] { return lead.next_token(); }, out);
@@ -295,14 +296,14 @@
         read_again = true;
     }
     const bool leading = lead.leading(now) && record_read && tables && list_read;
-    const bool deputy =
-        !leading && dark(now) && record_read && tables && among_first(dark_deputies);
+    const bool deputy = !leading && platform_unreachable(now) && record_read && tables &&
+                        among_first(dark_deputies);
     if (!leading && !deputy)
         return;
     send_probes(now);
     set_aside_stalled(now);
     if (deputy) {
-        plan.look(planning(now));
+        plan.assess(planning(now));
         follow(now, true);
         return;
     }
@@ -310,7 +311,8 @@
         read_record(now);
     std::vector<notice> notices;
     domain_record next = plan.next(planning(now), notices);
-    const bool may_write = write.kind == call_kind::none && now - last_write >= settings.write_gap;
+    const bool may_write =
+        write.kind == call_kind::none && now - last_write >= settings.min_write_interval;
     // Engines that check would refuse every order until the record's revision has passed the number
     // they took elsewhere: writing it again raises it, since all keys share one revision.
     const bool raise = ahead > record.revision && now - last_read >= read_gap;
@@ -346,13 +348,13 @@
     const state& s = *m_state;
     manager_status told;
     told.leading = s.lead.leading(now);
-    told.dark = s.dark(now);
+    told.platform_unreachable = s.platform_unreachable(now);
     told.record_revision = s.record.revision;
     told.groups = s.record.groups.size();
-    for (const auto& [group, sight] : s.plan.sights())
-        told.groups_whole += sight.whole || sight.switched ? 1 : 0;
+    for (const auto& [group, health] : s.plan.health_by_group())
+        told.complete_groups += health.complete || health.switched ? 1 : 0;
     for (const auto& [vm, view] : s.vms.all())
-        told.spares += s.vms.quiet(view, now) ? 1 : 0;
+        told.spares += s.vms.assignable(view, now) ? 1 : 0;
     told.record_writes = s.writes;
     told.orders = s.orders.sent();
     return told;
--- a/groups/manager_bench.cc
+++ b/groups/manager_bench.cc
@@ -34,7 +34,7 @@
         }
         tell(tables_installed{tables});
         tell(list);
-        while (manager.status(now).groups_whole < row.replicas)
+        while (manager.status(now).complete_groups < row.replicas)
             step();
     }
 
@@ -67,7 +67,7 @@
         now += std::chrono::seconds{1};
         for (auto& [vm, engine] : engines) {
             engine.advance(std::chrono::seconds{1}, 1.0);
-            tell(report_seen{vm, engine.says, now});
+            tell(report_seen{vm, engine.current_report, now});
         }
         tell(tick{});
     }
--- a/groups/orders.cc
+++ b/groups/orders.cc
@@ -16,7 +16,7 @@
 /// The places of a group that must be loaded or told anew.
 struct group_work {
     const group_assignment* group = nullptr;
-    const group_sight* sight = nullptr;
+    const group_health* health = nullptr;
     std::vector<member> members;
     std::vector<std::size_t> to_order;
     std::size_t loads = 0; ///< of them, those that need weights
@@ -53,21 +53,21 @@
 }
 
 /// Which places of `group` differ from what they should be.
-group_work work_of(const group_assignment& group, const group_sight& sight, vm_table& vms,
+group_work work_of(const group_assignment& group, const group_health& health, vm_table& vms,
                    const order_input& in)
 {
-    group_work work{&group, &sight, group.members, {}, 0};
+    group_work work{&group, &health, group.members, {}, 0};
     // Survivors are only told of the new composition once every replacement is loaded; while the
     // platform answers, the record is changed first and `members` are the new ones by then.
-    const bool switching = in.dark && (sight.can_switch || sight.switched);
+    const bool switching = in.platform_unreachable && (health.can_switch || health.switched);
     if (switching)
-        work.members = sight.target;
+        work.members = health.target;
     for (std::size_t rank = 0; rank < group.members.size(); ++rank) {
-        const bool substitute = sight.places[rank].substitute.has_value();
-        const std::vector<member>& members = substitute ? sight.target : work.members;
+        const bool substitute = health.places[rank].substitute.has_value();
+        const std::vector<member>& members = substitute ? health.target : work.members;
         const member& one = members[rank];
         const vm_view* view = vms.find(one.vm);
-        if (view == nullptr || vms.condition(*view, in.now) != vm_condition::sound)
+        if (view == nullptr || vms.condition(*view, in.now) != vm_condition::healthy)
             continue;
         if (holds_place(*view->report, group, rank, members))
             continue;
@@ -85,15 +85,15 @@
     std::map<vm_id, group_id> named;
     std::vector<group_work> works;
     for (const group_assignment& group : in.record.groups) {
-        const group_sight& sight = in.sights.at(group.group);
+        const group_health& health = in.health_by_group.at(group.group);
         for (const member& one : group.members)
             named[one.vm] = group.group;
-        for (const place_sight& place : sight.places) {
+        for (const place_health& place : health.places) {
             if (place.substitute)
                 named[place.substitute->vm] = group.group;
         }
         if (!group.retiring)
-            works.push_back(work_of(group, sight, vms, in));
+            works.push_back(work_of(group, health, vms, in));
     }
     for (const auto& [vm, group] : named) {
         const auto [at, added] = m_bound.try_emplace(vm, group, in.now);
@@ -104,7 +104,8 @@
 
     // Whatever an engine believes, the record goes before it: let go what isn't named there.
     for (auto& [vm, view] : vms.all()) {
-        if (in.dark || !vms.fresh(view, in.now) || view.report->group.value().empty())
+        if (in.platform_unreachable || !vms.fresh(view, in.now) ||
+            view.report->group.value().empty())
             continue;
         const auto at = named.find(vm);
         if (at == named.end() && (view.ambiguous || held_elsewhere(vm, in)))
@@ -120,14 +121,15 @@
         // A group is let in whole or not at all; the first always, whatever its size.
         const bool room =
             work.loads == 0 || loads == 0 || loads + work.loads <= in.settings.loads_at_once;
-        const bool started =
-            work.loads < work.group->members.size() && work.sight->lost == 0 && !work.sight->whole;
+        const bool started = work.loads < work.group->members.size() && work.health->lost == 0 &&
+                             !work.health->complete;
         if (!room && !started)
             continue;
         loads += work.loads;
         for (const std::size_t rank : work.to_order) {
-            const bool substitute = work.sight->places[rank].substitute.has_value();
-            assign(in, vms, *work.group, substitute ? work.sight->target : work.members, rank, out);
+            const bool substitute = work.health->places[rank].substitute.has_value();
+            assign(in, vms, *work.group, substitute ? work.health->target : work.members, rank,
+                   out);
         }
     }
     return out;
@@ -144,7 +146,7 @@
     const auto bound = m_bound.find(view.id.vm);
     const bool bound_long =
         bound != m_bound.end() && in.now - bound->second.second >= in.settings.order_horizon;
-    if (reported.value().empty() && !bound_long && !vms.quiet(view, in.now))
+    if (reported.value().empty() && !bound_long && !vms.assignable(view, in.now))
         return;
 
     order_assign order;
@@ -201,7 +203,7 @@
         return false;
     // An engine that takes an order and does nothing, or fails at it again and again.
     if (view.order.attempts >= in.settings.order_attempts) {
-        vms.set_aside(view.id.vm, in.now);
+        vms.quarantine(view.id.vm, in.now);
         return false;
     }
     view.order.at = in.now;
--- a/groups/orders.h
+++ b/groups/orders.h
@@ -15,11 +15,11 @@
     const manager_settings& settings;
     const domain_record& record;
     const record_map& records; ///< of all domains
-    const std::map<group_id, group_sight>& sights;
+    const std::map<group_id, group_health>& health_by_group;
     time_point now;
     time_point not_after; ///< no order may be sent later
     /// The platform is dark: only switches to bound standbys, nothing is released.
-    bool dark = false;
+    bool platform_unreachable = false;
 };
 
 /// Numbers and sends the orders of one manager.
--- a/groups/plan.cc
+++ b/groups/plan.cc
@@ -48,17 +48,17 @@
     return now - m_since.try_emplace(what, now).first->second;
 }
 
-void planner::look(const plan_input& in)
+void planner::assess(const plan_input& in)
 {
-    m_substitutes.keep_only(in.record);
-    m_sights.clear();
+    m_substitutes.prune(in.record);
+    m_health_by_group.clear();
     for (const group_assignment& group : in.record.groups)
-        m_sights[group.group] = m_substitutes.look(group, in.vms, in.now);
+        m_health_by_group[group.group] = m_substitutes.assess(group, in.vms, in.now);
 }
 
 domain_record planner::next(const plan_input& in, std::vector<notice>& notices)
 {
-    look(in);
+    assess(in);
     pass run{*this, in, notices};
     run.drop_useless_standbys();
     run.retire_unwanted();
@@ -81,7 +81,7 @@
 {
     const std::set<vm_id> assigned = all_assigned(in.records, next);
     for (const auto& [vm, view] : in.vms.all()) {
-        if (!assigned.contains(vm) && in.vms.quiet(view, in.now))
+        if (!assigned.contains(vm) && in.vms.assignable(view, in.now))
             m_spares.push_back(view.id);
     }
 }
@@ -94,9 +94,9 @@
             if (view == nullptr)
                 return true;
             const vm_condition condition = in.vms.condition(*view, in.now);
-            if (condition == vm_condition::silent)
-                return in.now - view->silent_since > in.settings.hold_down;
-            return condition != vm_condition::sound || view->leaving || view->ambiguous;
+            if (condition == vm_condition::unresponsive)
+                return in.now - view->unresponsive_since > in.settings.hold_down;
+            return condition != vm_condition::healthy || view->leaving || view->ambiguous;
         });
     }
 }
@@ -117,9 +117,9 @@
         // Another domain's manager may see the list or a record later than this
         // one: a difference that has not lasted is no reason to dissolve a group.
         const bool surplus = self.m_since.lasting("surplus " + row->name.value(), share.surplus > 0,
-                                                  in.now) > in.settings.settle;
+                                                  in.now) > in.settings.reassign_delay;
         const bool yields = self.m_since.lasting("yields " + row->name.value(), share.yielding > 0,
-                                                 in.now) > in.settings.settle;
+                                                 in.now) > in.settings.reassign_delay;
         const std::size_t go = (surplus ? share.surplus : 0) + (yields ? share.yielding : 0);
         std::vector<group_assignment*> candidates;
         for (group_assignment& group : next.groups) {
@@ -128,8 +128,8 @@
         }
         std::stable_sort(candidates.begin(), candidates.end(),
                          [&](const group_assignment* left, const group_assignment* right) {
-                             if (whole(*left) != whole(*right))
-                                 return !whole(*left);
+                             if (complete(*left) != complete(*right))
+                                 return !complete(*left);
                              return outdated(*left) && !outdated(*right);
                          });
         for (std::size_t i = 0; i < std::min(go, candidates.size()); ++i)
@@ -141,9 +141,9 @@
 {
     std::vector<group_id> hopeless;
     for (const group_assignment& group : next.groups) {
-        const bool lost = !group.retiring && !whole(group) && !shares.viable(group.group) &&
+        const bool lost = !group.retiring && !complete(group) && !shares.viable(group.group) &&
                           group.replaces.value().empty();
-        if (lasting("hopeless", group.group, lost) > in.settings.settle)
+        if (lasting("hopeless", group.group, lost) > in.settings.reassign_delay)
             hopeless.push_back(group.group);
     }
     for (const group_id& group : hopeless)
@@ -164,7 +164,7 @@
 void planner::pass::switch_to_substitutes()
 {
     for (group_assignment& group : next.groups) {
-        const group_sight& seen = sight(group);
+        const group_health& seen = health(group);
         if (group.retiring)
             continue;
         if (!seen.can_switch && !seen.switched) {
@@ -181,7 +181,7 @@
         }
         // A planned switch ends the requests in flight, so it waits until there are
         // none.
-        if (seen.whole && !seen.switched && !at_last_moment) {
+        if (seen.complete && !seen.switched && !at_last_moment) {
             if (being_replaced(group.group))
                 continue;
             if (!group.draining)
@@ -212,11 +212,11 @@
     return at == in.tables.pools.end() || at->kind != pool_kind::model ? nullptr : &*at;
 }
 
-const group_sight& planner::pass::sight(const group_assignment& group) const
+const group_health& planner::pass::health(const group_assignment& group) const
 {
-    static const group_sight nothing;
-    const auto at = self.m_sights.find(group.group);
-    return at == self.m_sights.end() ? nothing : at->second;
+    static const group_health nothing;
+    const auto at = self.m_health_by_group.find(group.group);
+    return at == self.m_health_by_group.end() ? nothing : at->second;
 }
 
 bool planner::pass::outdated(const group_assignment& group) const
@@ -227,9 +227,9 @@
             group.adapters != row->adapters || group.members.size() != row->replica_vms);
 }
 
-bool planner::pass::whole(const group_assignment& group) const
+bool planner::pass::complete(const group_assignment& group) const
 {
-    return sight(group).whole || sight(group).switched;
+    return health(group).complete || health(group).switched;
 }
 
 duration planner::pass::lasting(const char* why, const group_id& group, bool holds)
@@ -264,11 +264,11 @@
     const duration lasted = lasting("draining", group.group, draining);
     if (!draining)
         return false;
-    if (!whole(group))
+    if (!complete(group))
         return true;
     // By then every node's ticket says that it drains, or has run out.
     const bool known = lasted > in.settings.report_horizon;
-    return (known && sight(group).idle) || lasted > in.settings.drain_limit;
+    return (known && health(group).idle) || lasted > in.settings.drain_timeout;
 }
 
 void planner::pass::tell(const char* kind, const group_id& group, std::string detail)
--- a/groups/plan.h
+++ b/groups/plan.h
@@ -3,7 +3,7 @@
 #pragma once
 
 #include "groups/allotment.h"
-#include "groups/sight.h"
+#include "groups/group_health.h"
 
 #include <map>
 #include <set>
@@ -38,15 +38,18 @@
     /// The next record; equal to `in.record` but for `change` if nothing is to be done.
     domain_record next(const plan_input& in, std::vector<notice>& notices);
     /// How the groups of the record stood at the last call of next().
-    [[nodiscard]] const std::map<group_id, group_sight>& sights() const { return m_sights; }
+    [[nodiscard]] const std::map<group_id, group_health>& health_by_group() const
+    {
+        return m_health_by_group;
+    }
     /// Looks again, without planning: for a manager that may not write.
-    void look(const plan_input& in);
+    void assess(const plan_input& in);
 
 private:
     struct pass;
 
     substitutes m_substitutes;
-    std::map<group_id, group_sight> m_sights;
+    std::map<group_id, group_health> m_health_by_group;
     since_table m_since;
 };
 
--- a/groups/plan_pass.h
+++ b/groups/plan_pass.h
@@ -30,10 +30,10 @@
 
     group_assignment* find(const group_id& group);
     [[nodiscard]] const pool* pool_of(const group_assignment& group) const;
-    [[nodiscard]] const group_sight& sight(const group_assignment& group) const;
+    [[nodiscard]] const group_health& health(const group_assignment& group) const;
     [[nodiscard]] bool outdated(const group_assignment& group) const;
     /// All members ready, in the record's composition or after a switch.
-    [[nodiscard]] bool whole(const group_assignment& group) const;
+    [[nodiscard]] bool complete(const group_assignment& group) const;
     duration lasting(const char* why, const group_id& group, bool holds);
     void erase(const group_id& group, const char* why);
     void start_drain(group_assignment& group, bool retire, const char* why);
--- a/groups/repair.cc
+++ b/groups/repair.cc
@@ -1,8 +1,9 @@
 // Where VMs go that are free, and which group is given up for which.
 //
 // The choice is by cost = w_down x group-seconds down + w_idle x accelerator-seconds idle, with the
-// weights of the pool's row. A lost VM is replaced by the platform after about `expected_vm`,
-// whatever we do; a VM at hand loads in about `expected_load`. Hence in this order:
+// weights of the pool's row. A lost VM is replaced by the platform after about
+// `expected_replacement_time`, whatever we do; a VM at hand loads in about `expected_load_time`.
+// Hence in this order:
 //
 // - a bound standby or a spare: its accelerators idle anyway, so using one costs nothing;
 // - a standby bound elsewhere and not needed there: likewise;
@@ -23,15 +24,15 @@
 }
 
 /// How long until the platform has replaced the lost members of `sight`, by experience.
-duration expected_wait(const group_sight& sight, const manager_settings& settings, time_point now)
+duration expected_wait(const group_health& health, const manager_settings& settings, time_point now)
 {
     duration longest{0};
-    for (const place_sight& place : sight.places) {
+    for (const place_health& place : health.places) {
         if (!place.lost || place.substitute)
             continue;
         // One that is overdue isn't expected at once: the longer it took, the less is known.
-        const duration left = settings.expected_vm - (now - place.lost_since);
-        longest = std::max(longest, std::max(left, settings.expected_vm / 4));
+        const duration left = settings.expected_replacement_time - (now - place.lost_since);
+        longest = std::max(longest, std::max(left, settings.expected_replacement_time / 4));
     }
     return longest;
 }
@@ -51,8 +52,8 @@
 bool planner::pass::unneeded(const group_assignment& group, const member& standby) const
 {
     const vm_view* view = in.vms.find(standby.vm);
-    return view != nullptr && in.vms.quiet(*view, in.now) &&
-           !self.m_substitutes.chosen(group.group, standby.vm) && sight(group).uncovered == 0;
+    return view != nullptr && in.vms.assignable(*view, in.now) &&
+           !self.m_substitutes.chosen(group.group, standby.vm) && health(group).uncovered == 0;
 }
 
 std::size_t planner::pass::unneeded_standbys() const
@@ -100,7 +101,7 @@
 {
     std::vector<group_assignment*> broken;
     for (group_assignment& group : next.groups) {
-        if (!group.retiring && sight(group).uncovered > 0)
+        if (!group.retiring && health(group).uncovered > 0)
             broken.push_back(&group);
     }
     // The one soonest whole goes first: only whole groups count.
@@ -112,13 +113,13 @@
                          const std::uint32_t right_rank = b == nullptr ? 0 : b->rank;
                          if (left_rank != right_rank)
                              return left_rank > right_rank;
-                         return sight(*left).uncovered < sight(*right).uncovered;
+                         return health(*left).uncovered < health(*right).uncovered;
                      });
     for (group_assignment* group : broken) {
         std::size_t bound = 0;
         for (const member& standby : group->standbys)
             bound += self.m_substitutes.chosen(group->group, standby.vm) ? 0 : 1;
-        const std::size_t uncovered = sight(*group).uncovered;
+        const std::size_t uncovered = health(*group).uncovered;
         const std::size_t need = uncovered - std::min(uncovered, bound);
         // Half a repair repairs nothing, and would hold VMs that complete another group.
         if (spares().size() + unneeded_standbys() < need)
@@ -134,13 +135,14 @@
 {
     std::vector<const group_assignment*> broken;
     for (const group_assignment& group : next.groups) {
-        const bool short_of_vms = !group.retiring && !whole(group) && sight(group).uncovered > 0 &&
-                                  group.standbys.size() < sight(group).uncovered;
+        const bool short_of_vms = !group.retiring && !complete(group) &&
+                                  health(group).uncovered > 0 &&
+                                  group.standbys.size() < health(group).uncovered;
         if (lasting("broken", group.group, short_of_vms) > in.settings.hold_down)
             broken.push_back(&group);
     }
     std::stable_sort(broken.begin(), broken.end(), [&](const auto* left, const auto* right) {
-        return sight(*left).uncovered < sight(*right).uncovered;
+        return health(*left).uncovered < health(*right).uncovered;
     });
     if (broken.size() < 2)
         return;
@@ -150,13 +152,13 @@
     const pool* gives_row = pool_of(gives);
     if (gets_row == nullptr || gives_row == nullptr || gives_row->rank > gets_row->rank)
         return;
-    const std::size_t lacking = sight(gets).uncovered;
-    const std::size_t at_hand = gives.members.size() - sight(gives).lost;
+    const std::size_t lacking = health(gets).uncovered;
+    const std::size_t at_hand = gives.members.size() - health(gives).lost;
     if (at_hand < lacking)
         return;
-    const double load = seconds(in.settings.expected_load + in.settings.order_horizon);
-    const double wait_gets = seconds(expected_wait(sight(gets), in.settings, in.now));
-    const double wait_gives = seconds(expected_wait(sight(gives), in.settings, in.now));
+    const double load = seconds(in.settings.expected_load_time + in.settings.order_horizon);
+    const double wait_gets = seconds(expected_wait(health(gets), in.settings, in.now));
+    const double wait_gives = seconds(expected_wait(health(gives), in.settings, in.now));
     const double wait_both = std::max(wait_gets, wait_gives);
     const double idle_gets = gets_row->weight_idle * accelerators_of(gets, in.vms);
     const double idle_gives = gives_row->weight_idle * accelerators_of(gives, in.vms);
--- a/groups/repair_baselines.cc
+++ b/groups/repair_baselines.cc
@@ -121,7 +121,8 @@
     return first_fit{options}.run(schedule);
 }
 
-repair_cost run_bound(const repair_options& options, const std::vector<scheduled_fault>& schedule)
+repair_cost run_lower_bound(const repair_options& options,
+                            const std::vector<scheduled_fault>& schedule)
 {
     repair_cost cost;
     std::vector<std::size_t> alive(options.domains, options.vms_per_domain);
--- a/groups/repair_main.cc
+++ b/groups/repair_main.cc
@@ -27,7 +27,7 @@
     const repair_cost ours = run_manager(options, schedule);
     const std::chrono::duration<double> took = std::chrono::steady_clock::now() - started;
     const repair_cost fit = run_first_fit(options, schedule);
-    const repair_cost bound = run_bound(options, schedule);
+    const repair_cost bound = run_lower_bound(options, schedule);
     const auto line = [&](const char* policy, const repair_cost& cost) {
         std::printf("| %s | %s | %.0f | %.0f | %.0f | %.2f |\n", name, policy,
                     cost.group_seconds_down, cost.accelerator_seconds_idle, cost.weighted(options),
@@ -40,7 +40,7 @@
                  "%s: %zu changes, %llu writes, most a second %llu, ran %.1f s; first fit / ours: "
                  "down %.2f, idle %.2f\n",
                  name, schedule.size(), static_cast<unsigned long long>(ours.record_writes),
-                 static_cast<unsigned long long>(ours.most_writes_a_second), took.count(),
+                 static_cast<unsigned long long>(ours.max_writes_per_second), took.count(),
                  fit.group_seconds_down / ours.group_seconds_down,
                  fit.accelerator_seconds_idle / ours.accelerator_seconds_idle);
 }
@@ -65,7 +65,7 @@
     const repair_cost cost = run_manager(options, schedule);
     std::fprintf(stderr, "failure domain lost: %llu writes, most a second %llu\n",
                  static_cast<unsigned long long>(cost.record_writes),
-                 static_cast<unsigned long long>(cost.most_writes_a_second));
+                 static_cast<unsigned long long>(cost.max_writes_per_second));
 }
 
 } // namespace
--- a/groups/repair_world.cc
+++ b/groups/repair_world.cc
@@ -299,16 +299,17 @@
     }
     double loading = 0;
     for (const auto& [vm, engine] : domain.engines)
-        loading += engine.says.state == member_state::loading ? 1 : 0;
+        loading += engine.current_report.state == member_state::loading ? 1 : 0;
     for (auto& [vm, engine] : domain.engines) {
         if (domain.paused.contains(vm))
             continue;
         engine.advance(step_length, std::min(1.0, loads_at_full_rate / std::max(1.0, loading)));
-        const auto drains = domain.draining_since.find(engine.says.group);
+        const auto drains = domain.draining_since.find(engine.current_report.group);
         const bool done =
             drains != domain.draining_since.end() && now - drains->second >= stream_length;
-        engine.says.running = engine.says.state == member_state::ready && !done ? 1 : 0;
-        tell(domain, report_seen{engine.row.vm, engine.says, now});
+        engine.current_report.running =
+            engine.current_report.state == member_state::ready && !done ? 1 : 0;
+        tell(domain, report_seen{engine.row.vm, engine.current_report, now});
     }
     tell(domain, tick{});
     account(domain);
@@ -327,17 +328,19 @@
         by_address[engine.row.address] = &engine;
     }
     for (const auto& [address, engine] : by_address) {
-        const member_report& says = engine->says;
-        if (says.rank != 0 || says.state != member_state::ready)
+        const member_report& current_report = engine->current_report;
+        if (current_report.rank != 0 || current_report.state != member_state::ready)
             continue;
         const bool whole =
-            !domain.draining_since.contains(says.group) &&
-            std::all_of(says.members.begin(), says.members.end(), [&](const std::string& one) {
-                const auto at = by_address.find(one);
-                return at != by_address.end() && at->second->says.group == says.group &&
-                       at->second->says.members == says.members &&
-                       at->second->says.state == member_state::ready;
-            });
+            !domain.draining_since.contains(current_report.group) &&
+            std::all_of(current_report.members.begin(), current_report.members.end(),
+                        [&](const std::string& one) {
+                            const auto at = by_address.find(one);
+                            return at != by_address.end() &&
+                                   at->second->current_report.group == current_report.group &&
+                                   at->second->current_report.members == current_report.members &&
+                                   at->second->current_report.state == member_state::ready;
+                        });
         domain.whole += whole ? 1.0 : 0.0;
     }
     domain.cost.idle = (alive - domain.whole * m_options.replica_vms) * m_options.accelerators;
@@ -369,8 +372,8 @@
         }
         down.move(m_now, m_cost);
         down.down = std::max(0.0, double(m_options.replicas) - whole);
-        m_cost.most_writes_a_second =
-            std::max(m_cost.most_writes_a_second,
+        m_cost.max_writes_per_second =
+            std::max(m_cost.max_writes_per_second,
                      m_writes_this_second / static_cast<std::uint64_t>(step_length.count()));
         m_writes_this_second = 0;
         m_now += step_length;
--- a/groups/repair_world.h
+++ b/groups/repair_world.h
@@ -38,7 +38,7 @@
     double group_seconds_down = 0.0;
     double accelerator_seconds_idle = 0.0;
     std::uint64_t record_writes = 0;
-    std::uint64_t most_writes_a_second = 0;
+    std::uint64_t max_writes_per_second = 0;
 
     [[nodiscard]] double weighted(const repair_options& options) const
     {
@@ -58,6 +58,7 @@
                           const std::vector<scheduled_fault>& schedule);
 /// A repair that knows every fault beforehand and loads in no time: as many whole groups as the
 /// live VMs of each domain allow, at every moment. No policy can cost less.
-repair_cost run_bound(const repair_options& options, const std::vector<scheduled_fault>& schedule);
+repair_cost run_lower_bound(const repair_options& options,
+                            const std::vector<scheduled_fault>& schedule);
 
 } // namespace jaynotch::groups
--- a/groups/rollout.cc
+++ b/groups/rollout.cc
@@ -45,8 +45,8 @@
 {
     std::vector<group_id> leaving;
     for (const group_assignment& group : next.groups) {
-        const group_sight& seen = sight(group);
-        const bool planned = seen.whole && seen.lost > 0 && !seen.can_switch;
+        const group_health& seen = health(group);
+        const bool planned = seen.complete && seen.lost > 0 && !seen.can_switch;
         if (planned && !group.draining && !outdated(group) && group.replaces.value().empty() &&
             !being_replaced(group.group))
             leaving.push_back(group.group);
@@ -62,7 +62,7 @@
 {
     for (group_assignment& group : next.groups) {
         const group_assignment* old = find(group.replaces);
-        const bool ready = old != nullptr && whole(group);
+        const bool ready = old != nullptr && complete(group);
         // Whole in the manager's sight is not yet a ticket: the watchers need
         // another probe.
         if (lasting("ready", group.group, ready) < in.settings.report_horizon || !ready)
@@ -77,8 +77,8 @@
         for (const group_assignment& group : next.groups) {
             if (group.pool != row->name || group.retiring)
                 continue;
-            changing =
-                changing || !group.replaces.value().empty() || (!outdated(group) && !whole(group));
+            changing = changing || !group.replaces.value().empty() ||
+                       (!outdated(group) && !complete(group));
             if (outdated(group))
                 old.push_back(group.group);
         }
@@ -102,7 +102,7 @@
             old, [&](const group_id& id) { return find(id) == nullptr || !outdated(*find(id)); });
         // A broken one serves nobody: it changes first, and costs nothing.
         const auto first = std::stable_partition(
-            old.begin(), old.end(), [&](const group_id& id) { return !whole(*find(id)); });
+            old.begin(), old.end(), [&](const group_id& id) { return !complete(*find(id)); });
         const bool one_draining = std::any_of(
             old.begin(), old.end(), [&](const group_id& id) { return find(id)->draining; });
         if (old.empty() || changing || one_draining || others_first(in.records, next.domain, *row))
--- a/groups/ticket_board.cc
+++ b/groups/ticket_board.cc
@@ -101,7 +101,7 @@
         return;
     const bool moved = !known.report || known.report->group != seen.report.group ||
                        known.report->boot != seen.report.boot ||
-                       now - known.sent_at >= settings.settled;
+                       now - known.sent_at >= settings.settling_time;
     // A gap as long as `settled` could hide a stay in another group that was long enough for a
     // ticket. From the answer, not from the sending: the VM may have moved just before it answered
     // (models/claim_fence.pml, -DSETTLED_FROM_SENDING).
@@ -140,7 +140,7 @@
     }
     std::erase_if(groups, [&](const auto& entry) { return entry.second.domain == record.domain; });
     for (const group_assignment& assigned : record.groups) {
-        if (groups.size() >= settings.most_groups)
+        if (groups.size() >= settings.max_groups)
             break;
         watched_group& group = groups[assigned.group];
         if (const auto old = kept.find(assigned.group); old != kept.end()) {
@@ -354,8 +354,8 @@
         all_since = std::max(all_since, known.same_place_since);
         all_until = std::min(all_until, known.sent_at);
         const bool fresh = now - known.sent_at < settings.ticket_horizon;
-        const bool settled = known.sent_at - known.same_group_since >= settings.settled;
-        if (!fresh || !settled || !ready_in_place(*known.report, group, rank, members))
+        const bool settling_time = known.sent_at - known.same_group_since >= settings.settling_time;
+        if (!fresh || !settling_time || !ready_in_place(*known.report, group, rank, members))
             return false;
     }
     return !members.empty() && all_since <= all_until;
--- a/groups/ticket_board.h
+++ b/groups/ticket_board.h
@@ -41,9 +41,9 @@
     node_id self;
     duration probe_period = 1s;
     duration ticket_horizon = 3s; ///< a ticket ends this long after the oldest report it rests on
-    duration settled = 8s;        ///< a VM counts once it has been seen in its group for this long
+    duration settling_time = 8s;  ///< a VM counts once it has been seen in its group for this long
     std::size_t watchers = 2;     ///< of each group
-    std::size_t most_groups = 4096;
+    std::size_t max_groups = 4096;
 };
 
 /// The tickets of one node. Pure: no clock, no sockets, no threads.
--- a/groups/vm_table.cc
+++ b/groups/vm_table.cc
@@ -25,7 +25,7 @@
 
 } // namespace
 
-void vm_table::take_list(const std::vector<vm_row>& rows, time_point now)
+void vm_table::apply_list(const std::vector<vm_row>& rows, time_point now)
 {
     std::map<vm_id, const vm_row*> first;
     std::set<vm_id> ambiguous;
@@ -48,7 +48,7 @@
         const auto [at, fresh_row] = m_vms.try_emplace(vm);
         vm_view& view = at->second;
         if (fresh_row)
-            view.silent_since = now;
+            view.unresponsive_since = now;
         if (view.id.address != row->address)
             view.report.reset(); // another machine under the old name
         view.id = {vm, row->address};
@@ -66,13 +66,13 @@
     });
 }
 
-bool vm_table::take_report(const report_seen& seen, time_point now)
+bool vm_table::apply_report(const report_seen& seen, time_point now)
 {
     vm_view* view = find(seen.vm);
     if (view == nullptr)
         return true; // not ours
     if (seen.report.vm != seen.vm || seen.report.members.size() > most_members) {
-        set_aside(seen.vm, now);
+        quarantine(seen.vm, now);
         return false;
     }
     if (view->report && seen.sent_at < view->reported_at)
@@ -90,14 +90,14 @@
     }
     view->report = seen.report;
     view->reported_at = seen.sent_at;
-    view->silent_since = seen.sent_at;
+    view->unresponsive_since = seen.sent_at;
     return true;
 }
 
-void vm_table::set_aside(const vm_id& vm, time_point now)
+void vm_table::quarantine(const vm_id& vm, time_point now)
 {
     if (vm_view* view = find(vm); view != nullptr) {
-        view->set_aside_until = now + m_settings->set_aside;
+        view->quarantined_until = now + m_settings->quarantine;
         view->order.attempts = 0;
     }
 }
@@ -109,20 +109,20 @@
 
 vm_condition vm_table::condition(const vm_view& view, time_point now) const
 {
-    if (now < view.set_aside_until)
-        return vm_condition::unfit;
+    if (now < view.quarantined_until)
+        return vm_condition::excluded;
     if (!fresh(view, now))
-        return view.listed ? vm_condition::silent : vm_condition::unfit;
+        return view.listed ? vm_condition::unresponsive : vm_condition::excluded;
     if (view.report->leaving)
         return vm_condition::leaving;
     if (view.leaving && view.leaves_at - now <= m_settings->leave_notice)
         return vm_condition::leaving;
-    return vm_condition::sound;
+    return vm_condition::healthy;
 }
 
-bool vm_table::quiet(const vm_view& view, time_point now) const
+bool vm_table::assignable(const vm_view& view, time_point now) const
 {
-    return condition(view, now) == vm_condition::sound && view.listed && !view.ambiguous &&
+    return condition(view, now) == vm_condition::healthy && view.listed && !view.ambiguous &&
            !view.leaving && view.report->group.value().empty() &&
            view.report->state == member_state::idle &&
            now - view.same_group_since >= m_settings->order_horizon;
--- a/groups/vm_table.h
+++ b/groups/vm_table.h
@@ -14,10 +14,10 @@
 
 /// How a VM stands, as far as assigning it goes.
 enum class vm_condition {
-    sound,   ///< listed, answers, stays
-    silent,  ///< no fresh report
-    leaving, ///< goes soon, by the list's or its own word
-    unfit,   ///< set aside, listed in two domains, or not listed and silent
+    healthy,      ///< listed, answers, stays
+    unresponsive, ///< no fresh report
+    leaving,      ///< goes soon, by the list's or its own word
+    excluded,     ///< set aside, listed in two domains, or not listed and silent
 };
 
 /// The last order sent to a VM, to tell an order without effect from one not sent yet.
@@ -35,13 +35,13 @@
     bool leaving = false;
     time_point leaves_at;
     std::optional<member_report> report;
-    time_point reported_at;      ///< when the request of `report` was sent
-    time_point same_group_since; ///< reports have shown this group (or none) since then
-    time_point silent_since;     ///< the last good report, or when it was first listed
-    time_point last_probe;       ///< when a probe was last asked for
-    time_point set_aside_until;  ///< it failed at its task
-    double progress = 0.0;       ///< of the present load, as last seen to grow
-    time_point progress_at;      ///< when it last grew
+    time_point reported_at;        ///< when the request of `report` was sent
+    time_point same_group_since;   ///< reports have shown this group (or none) since then
+    time_point unresponsive_since; ///< the last good report, or when it was first listed
+    time_point last_probe;         ///< when a probe was last asked for
+    time_point quarantined_until;  ///< it failed at its task
+    double progress = 0.0;         ///< of the present load, as last seen to grow
+    time_point progress_at;        ///< when it last grew
     sent_order order;
 };
 
@@ -51,15 +51,15 @@
     explicit vm_table(const manager_settings& settings) : m_settings{&settings} {}
 
     /// Takes the platform's list: rows of this domain, and which VMs other rows name too.
-    void take_list(const std::vector<vm_row>& rows, time_point now);
+    void apply_list(const std::vector<vm_row>& rows, time_point now);
     /// Takes a report; returns false if it is a lie on its face.
-    bool take_report(const report_seen& seen, time_point now);
-    void set_aside(const vm_id& vm, time_point now);
+    bool apply_report(const report_seen& seen, time_point now);
+    void quarantine(const vm_id& vm, time_point now);
 
     [[nodiscard]] bool fresh(const vm_view& view, time_point now) const;
     [[nodiscard]] vm_condition condition(const vm_view& view, time_point now) const;
     /// Sound, in no group by its own word, and so for an order horizon: may join a group.
-    [[nodiscard]] bool quiet(const vm_view& view, time_point now) const;
+    [[nodiscard]] bool assignable(const vm_view& view, time_point now) const;
     [[nodiscard]] const vm_view* find(const vm_id& vm) const;
     [[nodiscard]] vm_view* find(const vm_id& vm);
     std::map<vm_id, vm_view>& all() { return m_vms; }
