--- a/groups/fake_check.cc
+++ b/groups/fake_check.cc
@@ -29,7 +29,7 @@
     for (const kv_entry& entry : m_store.records(fake_deployment)) {
         const auto record = parse_record(entry);
         if (!record) {
-            violate(to_string(record.error()));
+            add_violation(to_string(record.error()));
             continue;
         }
         for (const group_assignment& group : record.value().groups) {
@@ -37,8 +37,8 @@
                 for (const member& one : *list) {
                     const auto [at, added] = assigned.emplace(one.vm, group.group);
                     if (!added)
-                        violate(one.vm.value() + " is in two records: " + at->second.value() +
-                                " and " + group.group.value());
+                        add_violation(one.vm.value() + " is in two records: " + at->second.value() +
+                                      " and " + group.group.value());
                 }
             }
         }
@@ -52,38 +52,39 @@
         if (current_report.state != member_state::ready || current_report.rank != 0)
             continue;
         std::vector<vm_id> members;
-        bool whole = true;
-        for (std::size_t rank = 0; rank < current_report.members.size() && whole; ++rank) {
+        bool all_ready = true;
+        for (std::size_t rank = 0; rank < current_report.members.size() && all_ready; ++rank) {
             const auto at = by_address.find(current_report.members[rank]);
             if (at == by_address.end()) {
-                whole = false;
+                all_ready = false;
                 break;
             }
             const fake_engine& other = *m_engines.at(at->second);
-            whole = other.answers(m_now) && other.current_report.group == current_report.group &&
-                    other.current_report.rank == rank &&
-                    other.current_report.members == current_report.members &&
-                    other.current_report.state == member_state::ready &&
-                    other.current_report.version == current_report.version;
+            all_ready = other.answers(m_now) &&
+                        other.current_report.group == current_report.group &&
+                        other.current_report.rank == rank &&
+                        other.current_report.members == current_report.members &&
+                        other.current_report.state == member_state::ready &&
+                        other.current_report.version == current_report.version;
             members.push_back(at->second);
         }
-        if (whole)
-            m_last_whole[composition_name(current_report.group, members)] = m_now;
+        if (all_ready)
+            m_last_complete[composition_name(current_report.group, members)] = m_now;
     }
     std::map<vm_id, group_id> serving;
     for (const auto& one : m_nodes) {
         for (const complete_group& group : one->board->complete(m_now)) {
-            const auto last = m_last_whole.find(composition_name(group.group, group.members));
+            const auto last = m_last_complete.find(composition_name(group.group, group.members));
             const duration horizon = board_settings{}.ticket_horizon + m_options.step;
-            if (last == m_last_whole.end())
-                violate("ticket for a group that was never whole: " + group.group.value());
+            if (last == m_last_complete.end())
+                add_violation("ticket for a group that was never whole: " + group.group.value());
             else if (m_now - last->second > horizon)
-                violate("ticket outlived its horizon: " + group.group.value());
+                add_violation("ticket outlived its horizon: " + group.group.value());
             for (const vm_id& vm : group.members) {
                 const auto [at, added] = serving.emplace(vm, group.group);
                 if (!added && at->second != group.group)
-                    violate(vm.value() + " serves in two groups: " + at->second.value() + " and " +
-                            group.group.value());
+                    add_violation(vm.value() + " serves in two groups: " + at->second.value() +
+                                  " and " + group.group.value());
             }
         }
     }
--- a/groups/fake_fleet.cc
+++ b/groups/fake_fleet.cc
@@ -18,7 +18,7 @@
     }
 }
 
-bool fake_store::holds(const kv_compare& compare) const
+bool fake_store::matches(const kv_compare& compare) const
 {
     const auto at = m_entries.find(compare.key);
     return (at == m_entries.end() ? 0 : at->second.mod_revision) == compare.mod_revision;
@@ -31,7 +31,7 @@
     kv_outcome outcome;
     outcome.succeeded = true;
     for (const kv_compare& compare : transaction.compares)
-        outcome.succeeded = outcome.succeeded && holds(compare);
+        outcome.succeeded = outcome.succeeded && matches(compare);
     const auto& operations = outcome.succeeded ? transaction.then : transaction.otherwise;
     bool wrote = false;
     for (const kv_operation& operation : operations) {
--- a/groups/fake_fleet.h
+++ b/groups/fake_fleet.h
@@ -32,7 +32,7 @@
     };
 
     void expire(time_point now);
-    [[nodiscard]] bool holds(const kv_compare& compare) const;
+    [[nodiscard]] bool matches(const kv_compare& compare) const;
 
     std::map<std::string, kv_entry> m_entries;
     std::map<lease_id, lease_row> m_leases;
--- a/groups/fake_registry.cc
+++ b/groups/fake_registry.cc
@@ -12,8 +12,8 @@
 
 constexpr duration step_time = 10ms;
 constexpr duration three_heartbeats = 3'600ms;
-constexpr duration answer_wait = 300ms; ///< for a runner's answer to an order
-constexpr duration words_kept = 1s;     ///< longer than reports may be late
+constexpr duration answer_wait = 300ms;   ///< for a runner's answer to an order
+constexpr duration report_retention = 1s; ///< longer than reports may be late
 
 bool has(const std::vector<std::string>& list, const std::string& wanted)
 {
@@ -52,7 +52,7 @@
         m_peers.push_back({node_id{"node-" + std::to_string(index)}, failure_domain_id{"f"}});
     for (std::size_t index = 0; index < settings.managers; ++index) {
         m_managers.push_back(make_manager(index));
-        tell_start(index);
+        deliver_initial_state(index);
     }
     for (std::size_t domain = 0; domain < settings.domains; ++domain) {
         for (std::size_t index = 0; index < settings.runners; ++index) {
@@ -74,24 +74,24 @@
     return {std::move(known), std::move(core)};
 }
 
-void fake_registry::tell_start(std::size_t manager)
+void fake_registry::deliver_initial_state(std::size_t manager)
 {
-    tell(manager, model_pools_seen{pools()});
-    tell(manager, registry_current{true, manager});
-    tell(manager, peers_seen{m_peers});
+    deliver(manager, model_pools_seen{pools()});
+    deliver(manager, registry_current{true, manager});
+    deliver(manager, peers_seen{m_peers});
     const kv_entry* key = m_store.find(formation_key("test", failure_domain_id{"f"}));
-    tell(manager,
-         manager_key_seen{key == nullptr ? std::optional<kv_entry>{} : std::optional{*key}});
+    deliver(manager,
+            manager_key_seen{key == nullptr ? std::optional<kv_entry>{} : std::optional{*key}});
     if (m_traffic)
-        tell(manager, traffic_begun{});
+        deliver(manager, traffic_begun{});
     for (const auto& [id, row] : m_published)
-        tell(manager, runner_seen{row});
+        deliver(manager, runner_seen{row});
 }
 
 void fake_registry::start_manager(std::size_t index)
 {
     m_managers[index] = make_manager(index);
-    tell_start(index);
+    deliver_initial_state(index);
 }
 
 void fake_registry::add(const std::string& id, std::size_t domain)
@@ -102,7 +102,7 @@
     made.row.address = "10.0.0.1:1";
     made.row.failure_domain = failure_domain_id{"f"};
     made.row.fabric_domain = fabric_domain_id{"d" + std::to_string(domain)};
-    made.row.born_ms = ++m_last_birth;
+    made.row.born_ms = ++m_last_born_ms;
     publish(m_runners.insert_or_assign(id, std::move(made)).first->second);
 }
 
@@ -134,7 +134,7 @@
     fresh.row.group.reset();
     fresh.row.model.clear();
     fresh.row.leaving = false;
-    fresh.row.born_ms = ++m_last_birth;
+    fresh.row.born_ms = ++m_last_born_ms;
     m_runners[id] = fresh;
     publish(m_runners[id]);
 }
@@ -154,8 +154,8 @@
 {
     m_store_down = false;
     // A watch that was cut begins anew, and what it missed takes its time like any entry.
-    for (auto& [at, row] : m_late_entries)
-        at = std::max(at, m_now + m_entries_late);
+    for (auto& [at, row] : m_delayed_entries)
+        at = std::max(at, m_now + m_entry_delay);
     for (auto& [id, at] : m_runners) {
         if (!at.alive) {
             unlist(at);
@@ -163,8 +163,8 @@
         }
         at.list_at = m_now + entries_late;
         // The call that it had under way is done first, whatever has changed since.
-        if (const auto first = std::exchange(at.unwritten, std::nullopt))
-            show(*first);
+        if (const auto first = std::exchange(at.pending_entry, std::nullopt))
+            publish_entry(*first);
     }
     publish_key();
 }
@@ -172,7 +172,7 @@
 void fake_registry::begin_traffic()
 {
     m_traffic = true;
-    tell_all(traffic_begun{});
+    broadcast(traffic_begun{});
 }
 
 void fake_registry::kill_manager(std::size_t index)
@@ -182,7 +182,7 @@
 
 void fake_registry::report_unresponsive_group(const std::string& head)
 {
-    tell_all(group_silent{vm_id{head}});
+    broadcast(group_silent{vm_id{head}});
 }
 
 void fake_registry::run(duration time)
@@ -211,29 +211,30 @@
     m_due = std::move(later);
     for (const due_order& due : now) {
         fake_runner* at = find(due.order.vm.value());
-        const bool heard = due.carried_out && at != nullptr && at->alive && at->reachable;
-        const order_reply reply = heard ? obey(*at, due.order) : order_reply::lost;
+        const bool delivered = due.carried_out && at != nullptr && at->alive && at->reachable;
+        const order_reply reply = delivered ? execute(*at, due.order) : order_reply::lost;
         if (due.answered)
-            tell(due.manager, order_answered{due.order.token, due.order.vm, reply});
+            deliver(due.manager, order_answered{due.order.token, due.order.vm, reply});
     }
     for (auto& [id, row] : m_runners)
-        progress(row);
-    while (!m_store_down && !m_late_entries.empty() && m_late_entries.front().first <= m_now) {
-        tell_all(runner_seen{m_late_entries.front().second});
-        m_late_entries.pop_front();
+        advance(row);
+    while (!m_store_down && !m_delayed_entries.empty() && m_delayed_entries.front().first <= m_now)
+    {
+        broadcast(runner_seen{m_delayed_entries.front().second});
+        m_delayed_entries.pop_front();
     }
     constexpr std::int64_t steps_in_tick = 5;
     if (m_now.time_since_epoch() / step_time % steps_in_tick == 0)
-        tell_all(formation_tick{});
+        broadcast(formation_tick{});
 }
 
-void fake_registry::tell_all(const formation_event& event)
+void fake_registry::broadcast(const formation_event& event)
 {
     for (std::size_t index = 0; index < m_managers.size(); ++index)
-        tell(index, event);
+        deliver(index, event);
 }
 
-void fake_registry::tell(std::size_t manager, const formation_event& event)
+void fake_registry::deliver(std::size_t manager, const formation_event& event)
 {
     if (!m_managers[manager].alive)
         return;
@@ -255,12 +256,12 @@
         const call_token token = renewal != nullptr ? renewal->token : asked_lease->token;
         if (renewal != nullptr && leases_outlast_outages)
             (void)m_store.keep_alive(renewal->lease, m_now);
-        tell(manager, lease_result{token, result<lease_id>{unreachable}});
+        deliver(manager, lease_result{token, result<lease_id>{unreachable}});
     }
     else if (const auto* asked = std::get_if<ask_runner>(&command)) {
         const fake_runner* at = find(asked->vm.value());
         if (at != nullptr && at->alive && at->reachable)
-            tell(manager, runner_reported{report_of(*at)});
+            deliver(manager, runner_reported{report_of(*at)});
     }
     else if (const auto* told = std::get_if<share_runner>(&command)) {
         for (const fake_manager& other : m_managers)
@@ -271,34 +272,34 @@
             return;
         for (std::size_t other = 0; other < m_managers.size(); ++other) {
             if (other != manager)
-                tell(other, outage_conceded{});
+                deliver(other, outage_conceded{});
         }
-        tell(manager, outage_confirmed{m_now});
+        deliver(manager, outage_confirmed{m_now});
     }
     else if (const auto* call = std::get_if<kv_call>(&command)) {
         const result<kv_outcome> done = m_store.transact(call->transaction);
-        tell(manager, kv_result{call->token, done});
+        deliver(manager, kv_result{call->token, done});
         publish_key();
     }
     else if (const auto* wanted = std::get_if<lease_grant>(&command)) {
-        tell(manager, lease_result{wanted->token, m_store.grant(wanted->ttl, m_now)});
+        deliver(manager, lease_result{wanted->token, m_store.grant(wanted->ttl, m_now)});
     }
     else if (const auto* renewed = std::get_if<lease_renew>(&command)) {
         const bool kept = m_store.keep_alive(renewed->lease, m_now).has_value();
         const result<lease_id> told =
             kept ? result<lease_id>{renewed->lease}
                  : result<lease_id>{error{error_kind::not_found, "the lease has ended", ""}};
-        tell(manager, lease_result{renewed->token, told});
+        deliver(manager, lease_result{renewed->token, told});
     }
     else if (const auto* order = std::get_if<send_order>(&command)) {
         send(manager, *order);
     }
     else if (const auto* asked = std::get_if<probe_member>(&command)) {
         const fake_runner* at = find(asked->vm.value());
-        tell(manager, member_probed{asked->vm, at != nullptr && at->alive && at->reachable});
+        deliver(manager, member_probed{asked->vm, at != nullptr && at->alive && at->reachable});
     }
     else if (const auto* doubted = std::get_if<ask_peers>(&command)) {
-        tell(manager, peers_word{doubted->vm, peers_reach_runner});
+        deliver(manager, peers_word{doubted->vm, peers_reach_runner});
     }
 }
 
@@ -307,8 +308,8 @@
     ++m_orders;
     const bool late = m_random.chance(m_lost_orders);
     const bool answered = !late && !m_random.chance(m_lost_answers);
-    const duration lateness{m_random.between(duration{2s}.count(), duration{12s}.count())};
-    m_due.push_back({m_now + (late ? lateness : step_time), manager, order, answered, true});
+    const duration delay{m_random.between(duration{2s}.count(), duration{12s}.count())};
+    m_due.push_back({m_now + (late ? delay : step_time), manager, order, answered, true});
     if (!answered)
         m_due.push_back({m_now + answer_wait, manager, order, true, false});
 }
@@ -316,8 +317,8 @@
 runner_report fake_registry::report_of(const fake_runner& at) const
 {
     runner_report told{{at.row.id, at.row.born_ms, std::nullopt, {}}, 0};
-    for (const auto& [since, report] : at.words) {
-        if (since <= m_now - m_reports_late)
+    for (const auto& [since, report] : at.reports) {
+        if (since <= m_now - m_report_delay)
             told = report;
     }
     return told;
@@ -326,40 +327,40 @@
 /// From now on its reports tell what holds now.
 void fake_registry::note_report(fake_runner& at, time_point now)
 {
-    at.words.emplace_back(
+    at.reports.emplace_back(
         now,
         runner_report{{at.row.id, at.row.born_ms, at.row.group, at.row.model}, at.begun_orders});
-    while (at.words.size() > 1 && at.words[1].first < now - words_kept)
-        at.words.pop_front();
+    while (at.reports.size() > 1 && at.reports[1].first < now - report_retention)
+        at.reports.pop_front();
 }
 
 void fake_registry::publish(fake_runner& changed)
 {
     note_report(changed, m_now);
-    if (m_store_down && changed.alive && changed.reachable && !changed.unwritten)
-        changed.unwritten = changed.row;
+    if (m_store_down && changed.alive && changed.reachable && !changed.pending_entry)
+        changed.pending_entry = changed.row;
     // Until a runner writes its entry after an outage, the registry shows what it was before.
     const bool written = changed.listed && changed.alive && changed.reachable && !m_store_down &&
                          changed.list_at == time_point::max();
     if (!written)
         return;
-    show(changed.row);
+    publish_entry(changed.row);
 }
 
-void fake_registry::show(const runner& row)
+void fake_registry::publish_entry(const runner& row)
 {
     m_published[row.id.value()] = row;
-    if (m_entries_late > duration{0})
-        m_late_entries.emplace_back(m_now + m_entries_late, row);
+    if (m_entry_delay > duration{0})
+        m_delayed_entries.emplace_back(m_now + m_entry_delay, row);
     else
-        tell_all(runner_seen{row});
+        broadcast(runner_seen{row});
 }
 
 void fake_registry::unlist(fake_runner& gone)
 {
     gone.listed = false;
     m_published.erase(gone.row.id.value());
-    tell_all(runner_gone{gone.row.id});
+    broadcast(runner_gone{gone.row.id});
 }
 
 void fake_registry::publish_key()
@@ -371,7 +372,7 @@
     if (revision == m_key_revision)
         return;
     m_key_revision = revision;
-    tell_all(manager_key_seen{key == nullptr ? std::optional<kv_entry>{} : std::optional{*key}});
+    broadcast(manager_key_seen{key == nullptr ? std::optional<kv_entry>{} : std::optional{*key}});
 }
 
 std::size_t fake_registry::open_groups(const std::string& model) const
@@ -398,7 +399,7 @@
 std::vector<std::string> fake_registry::members_of(const std::string& head) const
 {
     std::vector<std::string> ids;
-    for (const vm_id& member : m_runners.at(head).list)
+    for (const vm_id& member : m_runners.at(head).members)
         ids.push_back(member.value());
     return ids;
 }
@@ -409,7 +410,7 @@
     for (const auto& [id, at] : m_runners) {
         if (!at.alive || !at.row.group || at.row.group->phase != member_phase::open)
             continue;
-        for (const vm_id& member : at.list)
+        for (const vm_id& member : at.members)
             used.insert(member.value());
     }
     std::vector<std::string> ids;
@@ -445,7 +446,7 @@
     return static_cast<std::size_t>(found - m_managers.begin());
 }
 
-void fake_registry::fail(const std::string& what)
+void fake_registry::record_violation(const std::string& what)
 {
     if (m_violation.empty())
         m_violation = what;
--- a/groups/fake_registry.h
+++ b/groups/fake_registry.h
@@ -62,9 +62,9 @@
     /// From now on, orders are carried out at once but get no answer with this chance.
     void lose_answers(double chance) { m_lost_answers = chance; }
     /// From now on, runners tell in their reports what held this long ago.
-    void delay_reports(duration late) { m_reports_late = late; }
+    void delay_reports(duration late) { m_report_delay = late; }
     /// From now on the managers hear of each entry this much later than it was written.
-    void delay_entries(duration late) { m_entries_late = late; }
+    void delay_entries(duration late) { m_entry_delay = late; }
     /// Requests at the group of this head get nothing: every manager's node says so.
     void report_unresponsive_group(const std::string& head);
     /// The store answers nobody and shows nothing from now on; leases run out meanwhile.
@@ -103,18 +103,18 @@
         time_point list_at = time_point::max();
         std::int64_t fence = 0;
         std::int64_t epoch = 0;
-        std::string warm;
-        std::vector<vm_id> list;                               ///< members of its group
+        std::string loaded_model;
+        std::vector<vm_id> members;                            ///< members of its group
         std::set<std::pair<group_id, std::int64_t>> was_ready; ///< compositions of this life
         std::string joining_model;
         time_point joined_at = time_point::max();
         time_point opens_at = time_point::max();
-        std::optional<runner> unwritten; ///< its first entry that the store did not take
+        std::optional<runner> pending_entry; ///< its first entry that the store did not take
         std::int64_t begun_orders = 0;
         std::string staging;
         time_point staged_at = time_point::max();
         std::deque<std::pair<time_point, runner_report>>
-            words; ///< by the time from which they held
+            reports; ///< by the time from which they held
     };
     struct fake_manager {
         std::unique_ptr<runner_registry> known;
@@ -130,24 +130,24 @@
     };
 
     fake_manager make_manager(std::size_t manager) const;
-    void tell_start(std::size_t manager);
+    void deliver_initial_state(std::size_t manager);
     void unlist(fake_runner& gone);
     void step();
-    void tell_all(const formation_event& event);
-    void tell(std::size_t manager, const formation_event& event);
+    void broadcast(const formation_event& event);
+    void deliver(std::size_t manager, const formation_event& event);
     void carry_out(std::size_t manager, const formation_command& command);
     static void note_report(fake_runner& at, time_point now);
     void send(std::size_t manager, const send_order& order);
     [[nodiscard]] runner_report report_of(const fake_runner& at) const;
     void publish(fake_runner& changed);
-    void show(const runner& row);
+    void publish_entry(const runner& row);
     void publish_key();
-    order_reply obey(fake_runner& at, const send_order& order);
-    void begin(fake_runner& at);
+    order_reply execute(fake_runner& at, const send_order& order);
+    void count_order(fake_runner& at);
     order_reply join(fake_runner& at, const join_group& order);
     order_reply open(fake_runner& at, const open_group& order);
-    void progress(fake_runner& at);
-    void fail(const std::string& what);
+    void advance(fake_runner& at);
+    void record_violation(const std::string& what);
     fake_runner* find(const std::string& id);
 
     fake_registry_settings m_settings;
@@ -160,10 +160,10 @@
     std::map<std::string, runner> m_published; ///< what the registry shows
     std::vector<fake_manager> m_managers;
     std::deque<due_order> m_due;
-    std::int64_t m_last_birth = 0;
-    std::deque<std::pair<time_point, runner>> m_late_entries; ///< written, not heard of yet
-    duration m_entries_late{0};
-    duration m_reports_late{0};
+    std::int64_t m_last_born_ms = 0;
+    std::deque<std::pair<time_point, runner>> m_delayed_entries; ///< written, not heard of yet
+    duration m_entry_delay{0};
+    duration m_report_delay{0};
     double m_lost_orders = 0.0;
     double m_lost_answers = 0.0;
     bool m_traffic = false;
--- a/groups/fake_runner.cc
+++ b/groups/fake_runner.cc
@@ -9,17 +9,17 @@
 
 namespace {
 
-constexpr std::int64_t early_loads = 10; ///< times faster, before the first request
+constexpr std::int64_t pre_traffic_load_speedup = 10; ///< times faster, before the first request
 
 duration load_time(const std::string& model, bool traffic)
 {
     const duration load = model == "big" ? 16s : 12s;
-    return traffic ? load : load / early_loads;
+    return traffic ? load : load / pre_traffic_load_speedup;
 }
 
 } // namespace
 
-void fake_registry::progress(fake_runner& at)
+void fake_registry::advance(fake_runner& at)
 {
     if (at.listed && !m_store_down && m_now >= at.unlist_at)
         unlist(at);
@@ -40,7 +40,7 @@
         at.joined_at = time_point::max();
         at.row.staged = {at.joining_model};
         at.row.model = at.joining_model;
-        at.warm = at.joining_model;
+        at.loaded_model = at.joining_model;
         at.row.group->phase = member_phase::ready;
         at.was_ready.insert({at.row.group->group, at.row.group->epoch});
         publish(at);
@@ -52,7 +52,7 @@
     }
 }
 
-order_reply fake_registry::obey(fake_runner& at, const send_order& order)
+order_reply fake_registry::execute(fake_runner& at, const send_order& order)
 {
     if (order.fence.value() < at.fence)
         return order_reply::outdated;
@@ -81,19 +81,19 @@
         at.row.model.clear();
         at.joined_at = time_point::max();
         at.opens_at = time_point::max();
-        begin(at);
+        count_order(at);
         return order_reply::holds; // it is done already, though it counts
     }
     const auto& closed = std::get<close_group>(order.order);
     if (!named(closed.group, closed.epoch))
         return order_reply::misfit;
     at.row.group->phase = member_phase::ready; // it has nothing to finish here
-    begin(at);
+    count_order(at);
     return order_reply::begun;
 }
 
 /// Counts an order that changes something, and tells of the change.
-void fake_registry::begin(fake_runner& at)
+void fake_registry::count_order(fake_runner& at)
 {
     ++at.begun_orders;
     publish(at);
@@ -115,13 +115,13 @@
                               other.row.group->group == at.row.group->group &&
                               other.row.group->epoch == at.row.group->epoch;
             if (head && other.row.group->phase == member_phase::open)
-                fail(at.row.id.value() + " joined " + order.group.value() + " while " + id +
-                     " served its group");
+                record_violation(at.row.id.value() + " joined " + order.group.value() + " while " +
+                                 id + " served its group");
         }
     }
     const auto place = std::find(order.members.begin(), order.members.end(), at.row.id);
     at.epoch = order.epoch;
-    at.list = order.members;
+    at.members = order.members;
     at.row.group = membership{order.group, order.epoch,
                               static_cast<std::uint32_t>(place - order.members.begin()),
                               member_phase::joining};
@@ -133,10 +133,10 @@
         std::find(at.row.staged.begin(), at.row.staged.end(), order.model) != at.row.staged.end();
     if (staged)
         takes = 1'100ms;
-    if (at.warm == order.model)
+    if (at.loaded_model == order.model)
         takes = 200ms;
     at.joined_at = m_now + takes;
-    begin(at);
+    count_order(at);
     return order_reply::begun;
 }
 
@@ -149,15 +149,17 @@
     if (!head || at.row.group->phase != member_phase::ready)
         return order_reply::misfit;
     const std::size_t size = at.row.model == "big" ? 4 : 3;
-    if (at.list.size() != size)
-        fail(order.group.value() + " opened with " + std::to_string(at.list.size()) + " members");
-    for (const vm_id& member : at.list) {
+    if (at.members.size() != size)
+        record_violation(order.group.value() + " opened with " + std::to_string(at.members.size()) +
+                         " members");
+    for (const vm_id& member : at.members) {
         const fake_runner* other = find(member.value());
         // One that was ready and is lost since excuses the opening.
         const bool was_ready =
             other == nullptr || other->was_ready.contains({order.group, order.epoch});
         if (!was_ready && other->alive)
-            fail(order.group.value() + " opened before " + member.value() + " was ready");
+            record_violation(order.group.value() + " opened before " + member.value() +
+                             " was ready");
     }
     at.opens_at = m_now + 300ms;
     ++at.begun_orders;
--- a/groups/fake_world.cc
+++ b/groups/fake_world.cc
@@ -46,12 +46,12 @@
         made->board = std::make_unique<ticket_board>(settings);
         m_nodes.push_back(std::move(made));
     }
-    m_next_feed = m_now;
+    m_next_update = m_now;
 }
 
-void fake_world::later(duration delay, std::function<void()> what)
+void fake_world::schedule(duration delay, std::function<void()> action)
 {
-    m_queue.emplace(m_now + delay, std::move(what));
+    m_queue.emplace(m_now + delay, std::move(action));
 }
 
 duration fake_world::delay()
@@ -65,67 +65,67 @@
     m_tables = std::move(tables);
     for (std::size_t n = 0; n < m_nodes.size(); ++n) {
         for (std::size_t d = 0; d < m_domains.size(); ++d)
-            tell(n, tables_installed{m_tables}, d);
+            deliver(n, tables_installed{m_tables}, d);
     }
 }
 
-void fake_world::tell(std::size_t at, const manager_event& event, std::size_t domain)
+void fake_world::deliver(std::size_t at, const manager_event& event, std::size_t domain)
 {
     node& to = *m_nodes[at];
     if (m_now < to.paused_until) {
-        to.held.emplace_back([this, at, event, domain] { tell(at, event, domain); });
+        to.deferred.emplace_back([this, at, event, domain] { deliver(at, event, domain); });
         return;
     }
     for (const manager_command& command : to.managers[domain].handle(event, m_now))
-        carry_out(at, domain, command);
+        execute(at, domain, command);
 }
 
-void fake_world::tell_board(std::size_t at, const board_event& event)
+void fake_world::deliver_to_board(std::size_t at, const board_event& event)
 {
     node& to = *m_nodes[at];
     if (m_now < to.paused_until) {
-        to.held.emplace_back([this, at, event] { tell_board(at, event); });
+        to.deferred.emplace_back([this, at, event] { deliver_to_board(at, event); });
         return;
     }
     for (const board_command& command : to.board->handle(event, m_now))
-        carry_out(at, command);
+        execute(at, command);
 }
 
-void fake_world::carry_out(std::size_t at, std::size_t domain, const manager_command& command)
+void fake_world::execute(std::size_t at, std::size_t domain, const manager_command& command)
 {
-    const bool lost = m_platform_down || m_random.chance(m_lost_replies);
+    const bool lost = m_platform_down || m_random.chance(m_reply_loss);
     if (const auto* call = std::get_if<kv_call>(&command)) {
-        later(delay(), [this, at, domain, call = *call, lost] {
+        schedule(delay(), [this, at, domain, call = *call, lost] {
             kv_result answer{call.token, error{error_kind::unknown_outcome, "no reply", ""}};
             if (!m_platform_down) {
                 const kv_outcome outcome = m_store.apply(call.transaction, m_now);
                 if (!lost)
                     answer.outcome = outcome;
             }
-            later(lost ? std::chrono::seconds{1} : delay(),
-                  [this, at, domain, answer] { tell(at, answer, domain); });
+            schedule(lost ? std::chrono::seconds{1} : delay(),
+                     [this, at, domain, answer] { deliver(at, answer, domain); });
         });
     }
     else if (const auto* grant = std::get_if<lease_grant>(&command)) {
-        later(delay(), [this, at, domain, grant = *grant, lost] {
+        schedule(delay(), [this, at, domain, grant = *grant, lost] {
             lease_result answer{grant.token, error{error_kind::unavailable, "no reply", ""}};
             if (!m_platform_down) {
                 const lease_id lease = m_store.grant(grant.ttl, m_now);
                 if (!lost)
                     answer.lease = lease;
             }
-            later(delay(), [this, at, domain, answer] { tell(at, answer, domain); });
+            schedule(delay(), [this, at, domain, answer] { deliver(at, answer, domain); });
         });
     }
     else if (const auto* renew = std::get_if<lease_renew>(&command)) {
-        later(delay(), [this, at, domain, renew = *renew, lost] {
+        schedule(delay(), [this, at, domain, renew = *renew, lost] {
             lease_result answer{renew.token, error{error_kind::unavailable, "no reply", ""}};
             if (!m_platform_down) {
                 auto lease = m_store.renew(renew.lease, m_now);
                 if (!lost)
                     answer.lease = lease;
             }
-            later(delay(), [this, at, domain, answer] { tell(at, answer, domain); });
+            schedule(delay(), [this, at, domain, answer] { deliver(at, answer, domain); });
         });
     }
     else if (const auto* asked = std::get_if<probe>(&command)) {
@@ -134,24 +134,25 @@
     else if (!std::holds_alternative<notice>(command)) {
         // A pause between the decision and the sending: the shell sees `not_after` when it wakes,
         // unless the pause hit behind that check too.
-        later(std::chrono::milliseconds{1},
-              [this, at, domain, command] { order(at, domain, command); });
+        schedule(std::chrono::milliseconds{1},
+                 [this, at, domain, command] { dispatch_order(at, domain, command); });
     }
 }
 
-void fake_world::order(std::size_t at, std::size_t domain, const manager_command& command)
+void fake_world::dispatch_order(std::size_t at, std::size_t domain, const manager_command& command)
 {
     if (m_now < m_nodes[at]->paused_until) {
-        m_nodes[at]->held.emplace_back([this, at, domain, command] { order(at, domain, command); });
+        m_nodes[at]->deferred.emplace_back(
+            [this, at, domain, command] { dispatch_order(at, domain, command); });
         return;
     }
     std::visit(
         [&](const auto& given) {
             if constexpr (requires { given.not_after; }) {
-                if (m_now > given.not_after && !m_late_orders)
+                if (m_now > given.not_after && !m_send_late_orders)
                     return;
                 ++m_orders;
-                later(delay(), [this, at, domain, given] {
+                schedule(delay(), [this, at, domain, given] {
                     const auto to = m_engines.find(given.vm);
                     if (to == m_engines.end() || !to->second->answers(m_now))
                         return;
@@ -160,14 +161,14 @@
                         answer.answer = to->second->assign(given);
                     else
                         answer.answer = to->second->release(given);
-                    later(delay(), [this, at, domain, answer] { tell(at, answer, domain); });
+                    schedule(delay(), [this, at, domain, answer] { deliver(at, answer, domain); });
                 });
             }
         },
         command);
 }
 
-void fake_world::carry_out(std::size_t at, const board_command& command)
+void fake_world::execute(std::size_t at, const board_command& command)
 {
     if (const auto* asked = std::get_if<probe>(&command))
         probe_vm(at, asked->vm);
@@ -186,32 +187,32 @@
         const time_point sent_at = m_now - std::chrono::milliseconds{m_random.between(0, 1000)};
         const ticket_seen seen{m_nodes[at]->name, change.group, change.complete,
                                change.group.valid_until - m_now, sent_at};
-        later(delay(), [this, n, seen] { tell_board(n, seen); });
+        schedule(delay(), [this, n, seen] { deliver_to_board(n, seen); });
     }
 }
 
 void fake_world::probe_vm(std::size_t at, const vm_id& vm)
 {
     const time_point sent_at = m_now;
-    later(delay(), [this, at, vm, sent_at] {
+    schedule(delay(), [this, at, vm, sent_at] {
         const auto to = m_engines.find(vm);
         if (to == m_engines.end() || !to->second->answers(m_now))
             return;
         report_seen seen{vm, to->second->current_report, sent_at};
         if (to->second->fault == engine_fault::names_another_vm)
             seen.report.vm = vm_id{"another"};
-        later(delay(), [this, at, seen] {
+        schedule(delay(), [this, at, seen] {
             for (std::size_t d = 0; d < m_domains.size(); ++d)
-                tell(at, seen, d);
-            tell_board(at, seen);
+                deliver(at, seen, d);
+            deliver_to_board(at, seen);
         });
     });
 }
 
-void fake_world::feed()
+void fake_world::deliver_updates()
 {
-    if (m_now >= m_next_feed) {
-        m_next_feed = m_now + std::chrono::seconds{5};
+    if (m_now >= m_next_update) {
+        m_next_update = m_now + std::chrono::seconds{5};
         vms_seen list;
         for (const auto& [vm, engine] : m_engines) {
             if (engine->alive && !m_hidden.contains(vm))
@@ -226,27 +227,27 @@
         for (std::size_t n = 0; n < m_nodes.size(); ++n) {
             for (std::size_t d = 0; d < m_domains.size(); ++d) {
                 if (!m_platform_down)
-                    tell(n, list, d);
-                tell(n, peers, d);
+                    deliver(n, list, d);
+                deliver(n, peers, d);
             }
-            tell_board(n, peers);
+            deliver_to_board(n, peers);
         }
     }
-    if (!m_platform_down && m_store.revision() != m_fed_revision) {
-        m_fed_revision = m_store.revision();
+    if (!m_platform_down && m_store.revision() != m_delivered_revision) {
+        m_delivered_revision = m_store.revision();
         for (const kv_entry& entry : m_store.records(fake_deployment)) {
             for (std::size_t n = 0; n < m_nodes.size(); ++n) {
-                later(delay(), [this, n, entry] {
+                schedule(delay(), [this, n, entry] {
                     for (std::size_t d = 0; d < m_domains.size(); ++d)
-                        tell(n, record_seen{entry}, d);
-                    tell_board(n, record_seen{entry});
+                        deliver(n, record_seen{entry}, d);
+                    deliver_to_board(n, record_seen{entry});
                 });
             }
         }
     }
 }
 
-void fake_world::load_weights()
+void fake_world::advance_loads()
 {
     const auto loading = std::count_if(m_engines.begin(), m_engines.end(), [&](const auto& entry) {
         return entry.second->answers(m_now) &&
@@ -264,7 +265,7 @@
     m_nodes[at]->paused_until = std::max(m_nodes[at]->paused_until, m_now + span);
 }
 
-void fake_world::maybe_fault()
+void fake_world::maybe_inject_fault()
 {
     if (m_engines.empty() || !m_random.chance(m_options.faults_per_step))
         return;
@@ -275,14 +276,14 @@
     case 0: {
         // Lost for good; a new VM comes under a new name.
         vm_row row = engine.row;
-        row.vm = vm_id{"new-" + std::to_string(++m_replaced)};
+        row.vm = vm_id{"new-" + std::to_string(++m_replacements)};
         row.address = row.vm.value() + ":1";
         row.leaving = false;
         auto made = std::make_shared<fake_engine>(row);
         made->checks_fencing = m_options.engines_check_fencing;
         m_engines.erase(any);
-        later(std::chrono::seconds{m_random.between(5, 60)},
-              [this, made] { m_engines[made->row.vm] = made; });
+        schedule(std::chrono::seconds{m_random.between(5, 60)},
+                 [this, made] { m_engines[made->row.vm] = made; });
         break;
     }
     case 1:
@@ -296,11 +297,12 @@
         break;
     case 4:
         m_platform_down = true;
-        later(std::chrono::seconds{m_random.between(1, 60)}, [this] { m_platform_down = false; });
+        schedule(std::chrono::seconds{m_random.between(1, 60)},
+                 [this] { m_platform_down = false; });
         break;
     case 5:
-        m_lost_replies = m_random.unit() * 0.5;
-        later(std::chrono::seconds{20}, [this] { m_lost_replies = 0.0; });
+        m_reply_loss = m_random.unit() * 0.5;
+        schedule(std::chrono::seconds{20}, [this] { m_reply_loss = 0.0; });
         break;
     case 6:
         engine.fault = static_cast<engine_fault>(m_random.index(4));
@@ -325,7 +327,7 @@
 {
     m_options.faults_per_step = 0.0;
     m_platform_down = false;
-    m_lost_replies = 0.0;
+    m_reply_loss = 0.0;
     m_hidden.clear();
     m_extra_rows.clear();
     for (auto& [vm, engine] : m_engines) {
@@ -339,27 +341,27 @@
 void fake_world::step()
 {
     m_now += m_options.step;
-    maybe_fault();
+    maybe_inject_fault();
     for (auto& one : m_nodes) {
-        if (m_now < one->paused_until || one->held.empty())
+        if (m_now < one->paused_until || one->deferred.empty())
             continue;
-        const auto held = std::exchange(one->held, {});
-        for (const auto& what : held)
-            what();
+        const auto deferred = std::exchange(one->deferred, {});
+        for (const auto& action : deferred)
+            action();
     }
     while (!m_queue.empty() && m_queue.begin()->first <= m_now) {
-        const auto what = std::move(m_queue.begin()->second);
+        const auto action = std::move(m_queue.begin()->second);
         m_queue.erase(m_queue.begin());
-        what();
+        action();
     }
-    feed();
-    load_weights();
+    deliver_updates();
+    advance_loads();
     for (std::size_t n = 0; n < m_nodes.size(); ++n) {
         if (m_now < m_nodes[n]->paused_until)
             continue; // ticks aren't queued
         for (std::size_t d = 0; d < m_domains.size(); ++d)
-            tell(n, tick{}, d);
-        tell_board(n, tick{});
+            deliver(n, tick{}, d);
+        deliver_to_board(n, tick{});
     }
     check();
 }
@@ -370,7 +372,7 @@
         step();
 }
 
-void fake_world::violate(std::string what)
+void fake_world::add_violation(std::string what)
 {
     constexpr std::size_t most = 20;
     if (m_violations.size() < most)
--- a/groups/fake_world.h
+++ b/groups/fake_world.h
@@ -53,12 +53,12 @@
     void kill(const vm_id& vm) { engine(vm).alive = false; }
     void pause_node(std::size_t node, duration span);
     void platform_down(bool down) { m_platform_down = down; }
-    void lose_replies(double probability) { m_lost_replies = probability; }
-    void set_list(std::vector<vm_row> extra) { m_extra_rows = std::move(extra); }
+    void lose_replies(double probability) { m_reply_loss = probability; }
+    void set_extra_rows(std::vector<vm_row> extra) { m_extra_rows = std::move(extra); }
     /// The manager that leads `domain`, or -1.
     [[nodiscard]] int leader(std::size_t domain) const;
     /// Orders of the paused manager, sent whatever their `not_after` says when it wakes.
-    void send_late_orders(bool late) { m_late_orders = late; }
+    void send_late_orders(bool late) { m_send_late_orders = late; }
     fake_store& store() { return m_store; }
 
 private:
@@ -68,23 +68,23 @@
         std::unique_ptr<ticket_board> board;
         time_point paused_until;
         /// What arrived, or was about to be sent, in a pause.
-        std::vector<std::function<void()>> held;
+        std::vector<std::function<void()>> deferred;
     };
 
-    void later(duration delay, std::function<void()> what);
+    void schedule(duration delay, std::function<void()> action);
     duration delay();
-    void tell(std::size_t node, const manager_event& event, std::size_t domain);
-    void tell_board(std::size_t node, const board_event& event);
-    void carry_out(std::size_t node, std::size_t domain, const manager_command& command);
-    void carry_out(std::size_t node, const board_command& command);
+    void deliver(std::size_t node, const manager_event& event, std::size_t domain);
+    void deliver_to_board(std::size_t node, const board_event& event);
+    void execute(std::size_t node, std::size_t domain, const manager_command& command);
+    void execute(std::size_t node, const board_command& command);
     void probe_vm(std::size_t node, const vm_id& vm);
     void push(std::size_t node, const ticket_changed& change);
-    void order(std::size_t node, std::size_t domain, const manager_command& command);
-    void maybe_fault();
-    void feed();
-    void load_weights();
+    void dispatch_order(std::size_t node, std::size_t domain, const manager_command& command);
+    void maybe_inject_fault();
+    void deliver_updates();
+    void advance_loads();
     void check();
-    void violate(std::string what);
+    void add_violation(std::string what);
 
     world_options m_options;
     random_source m_random;
@@ -98,13 +98,13 @@
     std::vector<vm_row> m_extra_rows;
     std::set<vm_id> m_hidden; ///< vanished from the list
     bool m_platform_down = false;
-    bool m_late_orders = false;
-    double m_lost_replies = 0.0;
-    time_point m_next_feed;
-    std::int64_t m_fed_revision = -1;
-    std::uint64_t m_replaced = 0;
+    bool m_send_late_orders = false;
+    double m_reply_loss = 0.0;
+    time_point m_next_update;
+    std::int64_t m_delivered_revision = -1;
+    std::uint64_t m_replacements = 0;
     std::uint64_t m_orders = 0;
-    std::map<std::string, time_point> m_last_whole; ///< by group and members
+    std::map<std::string, time_point> m_last_complete; ///< by group and members
     std::vector<std::string> m_violations;
 };
 
--- a/groups/group_health.cc
+++ b/groups/group_health.cc
@@ -10,8 +10,8 @@
 
 namespace {
 
-place_health look_at_place(const group_assignment& group, std::size_t rank, const vm_table& vms,
-                           time_point now)
+place_health assess_place(const group_assignment& group, std::size_t rank, const vm_table& vms,
+                          time_point now)
 {
     place_health place;
     const vm_view* view = vms.find(group.members[rank].vm);
@@ -46,8 +46,8 @@
 
 /// Whether a member of the record already counts the VM at `address` in, as after a switch made
 /// while the platform was dark: the way back would be a second break.
-bool others_follow(const group_assignment& group, const std::string& address, const vm_table& vms,
-                   time_point now)
+bool listed_by_members(const group_assignment& group, const std::string& address,
+                       const vm_table& vms, time_point now)
 {
     return std::any_of(group.members.begin(), group.members.end(), [&](const member& one) {
         const vm_view* view = vms.find(one.vm);
@@ -70,7 +70,7 @@
 {
     group_health health;
     for (std::size_t rank = 0; rank < group.members.size(); ++rank)
-        health.places.push_back(look_at_place(group, rank, vms, now));
+        health.places.push_back(assess_place(group, rank, vms, now));
     health.complete = std::all_of(health.places.begin(), health.places.end(),
                                   [](const place_health& place) { return place.ready; });
     choose(group, vms, health, now);
@@ -122,7 +122,7 @@
         const bool usable = view != nullptr && vms.condition(*view, now) == vm_condition::healthy;
         const bool under_way = usable && in_this_group(*view, group);
         const bool returned = !place.lost && (place.ready || !under_way);
-        if (!usable || (returned && !others_follow(group, standby->address, vms, now)))
+        if (!usable || (returned && !listed_by_members(group, standby->address, vms, now)))
             chosen.erase(at);
     }
     for (std::size_t rank = 0; rank < health.places.size(); ++rank) {
--- a/groups/groups_test.cc
+++ b/groups/groups_test.cc
@@ -29,7 +29,7 @@
     return std::make_shared<const configuration>(std::move(tables));
 }
 
-void expect_sound(const fake_world& world)
+void expect_no_violations(const fake_world& world)
 {
     for (const std::string& what : world.violations())
         cr_log_error("%s", what.c_str());
@@ -43,7 +43,7 @@
     fake_world world{{.nodes = 2, .domains = 1, .vms_per_domain = 5}, 1};
     world.install(shared(one_pool(2, 2)));
     world.run(120s);
-    expect_sound(world);
+    expect_no_violations(world);
     const auto complete = world.complete_everywhere();
     cr_assert_eq(complete.size(), 2);
     const domain_record record = world.record(0);
@@ -54,7 +54,7 @@
 
 namespace {
 
-std::size_t whole_in(const fake_world& world)
+std::size_t complete_in(const fake_world& world)
 {
     const auto complete = world.complete_on(0);
     return static_cast<std::size_t>(
@@ -73,11 +73,11 @@
     fake_world world{{.nodes = 2, .domains = 1, .vms_per_domain = 3}, 3};
     world.install(shared(one_pool(1, 2)));
     world.run(120s);
-    cr_assert_eq(whole_in(world), 1);
+    cr_assert_eq(complete_in(world), 1);
     const domain_record before = world.record(0);
     world.platform_down(true);
     world.run(30s);
-    cr_assert_eq(whole_in(world), 1, "tickets go on without the platform");
+    cr_assert_eq(complete_in(world), 1, "tickets go on without the platform");
     const vm_id lost = before.groups[0].members[1].vm;
     world.kill(lost);
     world.run(180s);
@@ -89,8 +89,8 @@
     world.run(60s);
     cr_assert(world.record(0).groups[0].members[1].vm == complete[0].members[1],
               "the record follows once it can be written");
-    cr_assert_eq(whole_in(world), 1);
-    expect_sound(world);
+    cr_assert_eq(complete_in(world), 1);
+    expect_no_violations(world);
 }
 
 // A member answers nothing for ten seconds and then goes on as before. The
@@ -106,13 +106,13 @@
     const vm_id standby = before.groups[0].standbys[0].vm;
     world.engine(paused).paused_until = world.now() + 10s;
     world.run(9s);
-    cr_assert_eq(whole_in(world), 0);
+    cr_assert_eq(complete_in(world), 0);
     cr_assert(world.engine(standby).current_report.state == member_state::loading);
     world.run(30s);
-    cr_assert_eq(whole_in(world), 1);
+    cr_assert_eq(complete_in(world), 1);
     cr_assert(world.record(0).groups == before.groups);
     cr_assert(world.engine(standby).current_report.group.value().empty());
-    expect_sound(world);
+    expect_no_violations(world);
 }
 
 // A new version is put in the tables. Callers must find a whole group at every
@@ -122,18 +122,18 @@
     fake_world world{{.nodes = 1, .domains = 1, .vms_per_domain = 4}, 5};
     world.install(shared(one_pool(1, 2)));
     world.run(120s);
-    cr_assert_eq(whole_in(world), 1);
+    cr_assert_eq(complete_in(world), 1);
     configuration tables = one_pool(1, 2);
     tables.pools[0].version = "v2";
     world.install(shared(tables));
     for (int step = 0; step < 800; ++step) {
         world.step();
-        cr_assert(whole_in(world) >= 1, "no group at step %d", step);
+        cr_assert(complete_in(world) >= 1, "no group at step %d", step);
     }
     const auto complete = world.complete_on(0);
     cr_assert_eq(complete.size(), 1);
     cr_assert(complete[0].version == "v2");
-    expect_sound(world);
+    expect_no_violations(world);
 }
 
 // A VM is announced to leave. Its group must not break: a whole one is built
@@ -148,11 +148,11 @@
     world.engine(leaves).row.leaves_in = 100s;
     for (int step = 0; step < 600; ++step) {
         world.step();
-        cr_assert(whole_in(world) >= 1, "no group at step %d", step);
+        cr_assert(complete_in(world) >= 1, "no group at step %d", step);
         if (step == 400)
             world.kill(leaves);
     }
-    expect_sound(world);
+    expect_no_violations(world);
 }
 
 // An engine accepts every order and does nothing. Its group would wait for
@@ -169,5 +169,5 @@
     cr_assert_eq(complete.size(), 1);
     cr_assert(std::find(complete[0].members.begin(), complete[0].members.end(), idle) ==
               complete[0].members.end());
-    expect_sound(world);
+    expect_no_violations(world);
 }
--- a/groups/manager.cc
+++ b/groups/manager.cc
@@ -17,10 +17,10 @@
 
 namespace {
 
-constexpr std::size_t dark_deputies = 1; ///< nodes that act for a domain while the platform is dark
-constexpr std::size_t candidates = 2;    ///< nodes that campaign for the manager's key
-constexpr duration read_gap = 2s;        ///< between two reads of the record for cause
-constexpr std::size_t most_records = 4096;
+constexpr std::size_t max_deputies = 1; ///< nodes that act for a domain while the platform is dark
+constexpr std::size_t max_candidates = 2;  ///< nodes that campaign for the manager's key
+constexpr duration min_read_interval = 2s; ///< between two reads of the record for cause
+constexpr std::size_t max_records = 4096;
 
 bool same_assignment(const domain_record& left, const domain_record& right)
 {
@@ -56,48 +56,49 @@
     domain_record record; ///< as last read or written
     bool record_read = false;
     bool list_read = false;
-    bool read_again = false; ///< the record may have changed under us
+    bool reread_record = false; ///< the record may have changed under us
     time_point last_read;
-    fencing_number ahead; ///< highest fencing number that an engine of the record has reported
-    domain_record writing;
-    pending_call write;
+    fencing_number highest_reported_fencing; ///< highest fencing number that an engine of the
+                                             ///< record has reported
+    domain_record pending_record;
+    pending_call record_call;
     time_point last_write;
     time_point started;
     bool any_tick = false;
     std::uint64_t writes = 0;
     std::vector<manager_command> out;
 
-    void take(const vms_seen& seen, time_point now);
-    void take(const report_seen& seen, time_point now);
-    void take(const report_failed&, time_point) {}
-    void take(const kv_result& answer, time_point now);
-    void take(const lease_result& answer, time_point now) { lead.take(answer, now, out); }
-    void take(const record_seen& seen, time_point now) { install(seen.entry, now); }
-    void take(const tables_installed& installed, time_point) { tables = installed.tables; }
-    void take(const order_result& answer, time_point now);
-    void take(const peers_seen& seen, time_point) { peers = seen.peers; }
-    void take(const straggler_found& found, time_point now);
-    void take(const tick&, time_point now);
-
-    void install(const kv_entry& entry, time_point now);
+    void on_event(const vms_seen& seen, time_point now);
+    void on_event(const report_seen& seen, time_point now);
+    void on_event(const report_failed&, time_point) {}
+    void on_event(const kv_result& answer, time_point now);
+    void on_event(const lease_result& answer, time_point now) { lead.take(answer, now, out); }
+    void on_event(const record_seen& seen, time_point now) { apply_entry(seen.entry, now); }
+    void on_event(const tables_installed& installed, time_point) { tables = installed.tables; }
+    void on_event(const order_result& answer, time_point now);
+    void on_event(const peers_seen& seen, time_point) { peers = seen.peers; }
+    void on_event(const straggler_found& found, time_point now);
+    void on_event(const tick&, time_point now);
+
+    void apply_entry(const kv_entry& entry, time_point now);
     void settle_write(const kv_result& answer, time_point now);
     void write_record(domain_record next, time_point now);
     void read_record(time_point now);
     void send_probes(time_point now);
     void set_aside_stalled(time_point now);
-    void follow(time_point now, bool platform_unreachable);
-    [[nodiscard]] bool among_first(std::size_t count) const;
+    void send_orders(time_point now, bool without_platform);
+    [[nodiscard]] bool is_among_first(std::size_t count) const;
     [[nodiscard]] bool platform_unreachable(time_point now) const;
-    [[nodiscard]] plan_input planning(time_point now) const;
+    [[nodiscard]] plan_input make_plan_input(time_point now) const;
 };
 
-void domain_manager::state::take(const vms_seen& seen, time_point now)
+void domain_manager::state::on_event(const vms_seen& seen, time_point now)
 {
     vms.apply_list(seen.rows, now);
     list_read = true;
 }
 
-void domain_manager::state::take(const report_seen& seen, time_point now)
+void domain_manager::state::on_event(const report_seen& seen, time_point now)
 {
     if (!vms.apply_report(seen, now))
         out.emplace_back(notice{log_level::warning, "report_refused", seen.vm.value(),
@@ -105,12 +106,12 @@
     // A fencing number from the future: the record has moved on without us, or another domain's
     // manager ordered this VM while the list named it in both.
     if (seen.report.fencing > record.revision && names(record, seen.vm)) {
-        read_again = true;
-        ahead = std::max(ahead, seen.report.fencing);
+        reread_record = true;
+        highest_reported_fencing = std::max(highest_reported_fencing, seen.report.fencing);
     }
 }
 
-void domain_manager::state::take(const straggler_found& found, time_point now)
+void domain_manager::state::on_event(const straggler_found& found, time_point now)
 {
     if (vms.find(found.vm) == nullptr)
         return;
@@ -119,13 +120,13 @@
                             "it slows its group down"});
 }
 
-void domain_manager::state::take(const order_result& answer, time_point)
+void domain_manager::state::on_event(const order_result& answer, time_point)
 {
     if (answer.answer == order_answer::refused)
-        read_again = true;
+        reread_record = true;
 }
 
-void domain_manager::state::install(const kv_entry& entry, time_point)
+void domain_manager::state::apply_entry(const kv_entry& entry, time_point)
 {
     if (!is_record_key(settings.deployment, entry.key))
         return;
@@ -149,15 +150,15 @@
         record_read = true;
     }
     const auto known = others.find(read.domain);
-    if (known == others.end() && others.size() >= most_records)
+    if (known == others.end() && others.size() >= max_records)
         return;
     if (known == others.end() || known->second.revision < read.revision)
         others[read.domain] = read;
 }
 
-void domain_manager::state::take(const kv_result& answer, time_point now)
+void domain_manager::state::on_event(const kv_result& answer, time_point now)
 {
-    if (write.kind != call_kind::none && answer.token == write.token) {
+    if (record_call.kind != call_kind::none && answer.token == record_call.token) {
         settle_write(answer, now);
         return;
     }
@@ -166,23 +167,23 @@
         return;
     record_read = true; // the record came along, or there is none
     for (const kv_entry& entry : entries)
-        install(entry, now);
+        apply_entry(entry, now);
 }
 
 void domain_manager::state::settle_write(const kv_result& answer, time_point now)
 {
-    const pending_call call = std::exchange(write, {});
+    const pending_call call = std::exchange(record_call, {});
     if (!answer.outcome) {
-        read_again = true;
+        reread_record = true;
         return;
     }
     lead.hear_platform(now);
     const kv_outcome& outcome = answer.outcome.value();
     if (call.kind == call_kind::write && outcome.succeeded) {
         ++writes;
-        writing.revision = fencing_number{outcome.revision};
-        if (record.revision < writing.revision)
-            record = writing;
+        pending_record.revision = fencing_number{outcome.revision};
+        if (record.revision < pending_record.revision)
+            record = pending_record;
         others[record.domain] = record;
         return;
     }
@@ -190,7 +191,7 @@
     bool ours = false;
     for (const kv_entry& entry : outcome.entries) {
         ours = ours || (entry.key == manager && entry.mod_revision == lead.key_revision());
-        install(entry, now);
+        apply_entry(entry, now);
     }
     if (!ours)
         lead.lose();
@@ -198,32 +199,33 @@
 
 void domain_manager::state::write_record(domain_record next, time_point now)
 {
-    const std::string record_at = record_key(settings.deployment, settings.domain);
+    const std::string own_record_key = record_key(settings.deployment, settings.domain);
     const std::string manager = manager_key(settings.deployment, settings.domain);
-    write = {call_kind::write, lead.next_token(), now};
+    record_call = {call_kind::write, lead.next_token(), now};
     next.change = settings.self.value() + "/" + std::to_string(record.revision.value()) + "/" +
-                  std::to_string(write.token.value());
-    writing = std::move(next);
+                  std::to_string(record_call.token.value());
+    pending_record = std::move(next);
     last_write = now;
-    out.emplace_back(kv_call{
-        write.token, kv_transaction{{kv_compare{record_at, record.revision.value()},
-                                     kv_compare{manager, lead.key_revision()}},
-                                    {kv_put{record_at, format_record(writing), lease_id{0}}},
-                                    {kv_get{record_at}, kv_get{manager}}}});
+    out.emplace_back(
+        kv_call{record_call.token,
+                kv_transaction{{kv_compare{own_record_key, record.revision.value()},
+                                kv_compare{manager, lead.key_revision()}},
+                               {kv_put{own_record_key, format_record(pending_record), lease_id{0}}},
+                               {kv_get{own_record_key}, kv_get{manager}}}});
 }
 
 void domain_manager::state::read_record(time_point now)
 {
-    const std::string record_at = record_key(settings.deployment, settings.domain);
+    const std::string own_record_key = record_key(settings.deployment, settings.domain);
     const std::string manager = manager_key(settings.deployment, settings.domain);
-    read_again = false;
+    reread_record = false;
     last_read = now;
-    write = {call_kind::read, lead.next_token(), now};
-    out.emplace_back(
-        kv_call{write.token, kv_transaction{{}, {kv_get{record_at}, kv_get{manager}}, {}}});
+    record_call = {call_kind::read, lead.next_token(), now};
+    out.emplace_back(kv_call{record_call.token,
+                             kv_transaction{{}, {kv_get{own_record_key}, kv_get{manager}}, {}}});
 }
 
-bool domain_manager::state::among_first(std::size_t count) const
+bool domain_manager::state::is_among_first(std::size_t count) const
 {
     std::vector<std::string> names;
     const auto self = std::find_if(peers.begin(), peers.end(),
@@ -245,7 +247,7 @@
     return now - heard >= settings.platform_timeout;
 }
 
-plan_input domain_manager::state::planning(time_point now) const
+plan_input domain_manager::state::make_plan_input(time_point now) const
 {
     return {settings, record, vms, *tables, others, now};
 }
@@ -273,55 +275,60 @@
     }
 }
 
-void domain_manager::state::follow(time_point now, bool in_dark)
+void domain_manager::state::send_orders(time_point now, bool without_platform)
 {
     const time_point latest = now + settings.order_timeout;
-    const order_input in{settings, record,
-                         others,   plan.health_by_group(),
-                         now,      in_dark ? latest : std::min(latest, lead.until()),
-                         in_dark};
+    const order_input in{settings,
+                         record,
+                         others,
+                         plan.health_by_group(),
+                         now,
+                         without_platform ? latest : std::min(latest, lead.until()),
+                         without_platform};
     orders.send(
         in, vms, [this] { return lead.next_token(); }, out);
 }
 
-void domain_manager::state::take(const tick&, time_point now)
+void domain_manager::state::on_event(const tick&, time_point now)
 {
     if (!any_tick) {
         started = now;
         any_tick = true;
     }
-    lead.tick(among_first(candidates), now, out);
-    if (write.kind != call_kind::none && now - write.sent_at >= settings.call_timeout) {
-        write = {};
-        read_again = true;
+    lead.tick(is_among_first(max_candidates), now, out);
+    if (record_call.kind != call_kind::none && now - record_call.sent_at >= settings.call_timeout) {
+        record_call = {};
+        reread_record = true;
     }
     const bool leading = lead.leading(now) && record_read && tables && list_read;
     const bool deputy = !leading && platform_unreachable(now) && record_read && tables &&
-                        among_first(dark_deputies);
+                        is_among_first(max_deputies);
     if (!leading && !deputy)
         return;
     send_probes(now);
     set_aside_stalled(now);
     if (deputy) {
-        plan.assess(planning(now));
-        follow(now, true);
+        plan.assess(make_plan_input(now));
+        send_orders(now, true);
         return;
     }
-    if (write.kind == call_kind::none && read_again && now - last_read >= read_gap)
+    if (record_call.kind == call_kind::none && reread_record &&
+        now - last_read >= min_read_interval)
         read_record(now);
     std::vector<notice> notices;
-    domain_record next = plan.next(planning(now), notices);
+    domain_record next = plan.next(make_plan_input(now), notices);
     const bool may_write =
-        write.kind == call_kind::none && now - last_write >= settings.min_write_interval;
+        record_call.kind == call_kind::none && now - last_write >= settings.min_write_interval;
     // Engines that check would refuse every order until the record's revision has passed the number
     // they took elsewhere: writing it again raises it, since all keys share one revision.
-    const bool raise = ahead > record.revision && now - last_read >= read_gap;
-    if (may_write && (raise || !same_assignment(next, record))) {
-        for (notice& told : notices)
-            out.emplace_back(std::move(told));
+    const bool raise_revision =
+        highest_reported_fencing > record.revision && now - last_read >= min_read_interval;
+    if (may_write && (raise_revision || !same_assignment(next, record))) {
+        for (notice& one : notices)
+            out.emplace_back(std::move(one));
         write_record(std::move(next), now);
     }
-    follow(now, false);
+    send_orders(now, false);
 }
 
 domain_manager::domain_manager(manager_settings settings)
@@ -331,10 +338,10 @@
 domain_manager::domain_manager(domain_manager&&) noexcept = default;
 domain_manager& domain_manager::operator=(domain_manager&&) noexcept = default;
 
-std::vector<manager_command> domain_manager::handle(const manager_event& happened, time_point now)
+std::vector<manager_command> domain_manager::handle(const manager_event& event, time_point now)
 {
     m_state->out.clear();
-    std::visit([&](const auto& event) { m_state->take(event, now); }, happened);
+    std::visit([&](const auto& alternative) { m_state->on_event(alternative, now); }, event);
     return std::move(m_state->out);
 }
 
@@ -346,18 +353,18 @@
 manager_status domain_manager::status(time_point now) const
 {
     const state& s = *m_state;
-    manager_status told;
-    told.leading = s.lead.leading(now);
-    told.platform_unreachable = s.platform_unreachable(now);
-    told.record_revision = s.record.revision;
-    told.groups = s.record.groups.size();
+    manager_status current;
+    current.leading = s.lead.leading(now);
+    current.platform_unreachable = s.platform_unreachable(now);
+    current.record_revision = s.record.revision;
+    current.groups = s.record.groups.size();
     for (const auto& [group, health] : s.plan.health_by_group())
-        told.complete_groups += health.complete || health.switched ? 1 : 0;
+        current.complete_groups += health.complete || health.switched ? 1 : 0;
     for (const auto& [vm, view] : s.vms.all())
-        told.spares += s.vms.assignable(view, now) ? 1 : 0;
-    told.record_writes = s.writes;
-    told.orders = s.orders.sent();
-    return told;
+        current.spares += s.vms.assignable(view, now) ? 1 : 0;
+    current.record_writes = s.writes;
+    current.orders = s.orders.sent();
+    return current;
 }
 
 } // namespace jaynotch::groups
--- a/groups/manager.h
+++ b/groups/manager.h
@@ -76,7 +76,7 @@
     domain_manager& operator=(const domain_manager&) = delete;
 
     /// Takes one event at `now` and says what is to be done, in order.
-    std::vector<manager_command> handle(const manager_event& happened, time_point now);
+    std::vector<manager_command> handle(const manager_event& event, time_point now);
 
     /// The record as last known.
     [[nodiscard]] const domain_record& record() const noexcept;
--- a/groups/manager_bench.cc
+++ b/groups/manager_bench.cc
@@ -32,8 +32,8 @@
             engines.emplace(listed.vm, listed).first->second.load_seconds = 1.0;
             list.rows.push_back(listed);
         }
-        tell(tables_installed{tables});
-        tell(list);
+        deliver(tables_installed{tables});
+        deliver(list);
         while (manager.status(now).complete_groups < row.replicas)
             step();
     }
@@ -48,15 +48,15 @@
         return settings;
     }
 
-    void tell(const manager_event& event)
+    void deliver(const manager_event& event)
     {
         for (const manager_command& command : manager.handle(event, now)) {
             if (const auto* call = std::get_if<kv_call>(&command))
-                tell(kv_result{call->token, store.apply(call->transaction, now)});
+                deliver(kv_result{call->token, store.apply(call->transaction, now)});
             else if (const auto* grant = std::get_if<lease_grant>(&command))
-                tell(lease_result{grant->token, store.grant(grant->ttl, now)});
+                deliver(lease_result{grant->token, store.grant(grant->ttl, now)});
             else if (const auto* renew = std::get_if<lease_renew>(&command))
-                tell(lease_result{renew->token, store.renew(renew->lease, now)});
+                deliver(lease_result{renew->token, store.renew(renew->lease, now)});
             else if (const auto* assign = std::get_if<order_assign>(&command))
                 engines.at(assign->vm).assign(*assign);
         }
@@ -67,9 +67,9 @@
         now += std::chrono::seconds{1};
         for (auto& [vm, engine] : engines) {
             engine.advance(std::chrono::seconds{1}, 1.0);
-            tell(report_seen{vm, engine.current_report, now});
+            deliver(report_seen{vm, engine.current_report, now});
         }
-        tell(tick{});
+        deliver(tick{});
     }
 
     time_point now{std::chrono::hours{1}};
@@ -83,7 +83,7 @@
     settled_domain domain{static_cast<std::size_t>(state.range(0))};
     for (auto _ : state) {
         domain.now += std::chrono::milliseconds{1};
-        domain.tell(tick{});
+        domain.deliver(tick{});
     }
 }
 BENCHMARK(tick_of_a_manager)->Arg(64)->Arg(1600)->Unit(benchmark::kMicrosecond);
--- a/groups/record.cc
+++ b/groups/record.cc
@@ -12,7 +12,7 @@
 namespace {
 
 constexpr std::string_view record_suffix = "/record";
-constexpr std::size_t most_record_bytes = 1U << 20U; ///< the platform's largest value
+constexpr std::size_t max_record_bytes = 1U << 20U; ///< the platform's largest value
 
 json::array format_members(const std::vector<member>& members)
 {
@@ -76,15 +76,15 @@
     return group;
 }
 
-bool names_something_twice(const domain_record& record)
+bool has_duplicates(const domain_record& record)
 {
     std::set<vm_id> vms;
     std::set<group_id> groups;
-    const auto taken = [&](const member& one) { return !vms.insert(one.vm).second; };
+    const auto already_named = [&](const member& one) { return !vms.insert(one.vm).second; };
     return std::any_of(record.groups.begin(), record.groups.end(), [&](const auto& group) {
         return !groups.insert(group.group).second ||
-               std::any_of(group.members.begin(), group.members.end(), taken) ||
-               std::any_of(group.standbys.begin(), group.standbys.end(), taken);
+               std::any_of(group.members.begin(), group.members.end(), already_named) ||
+               std::any_of(group.standbys.begin(), group.standbys.end(), already_named);
     });
 }
 
@@ -127,7 +127,7 @@
 
 result<domain_record> parse_record(const kv_entry& entry)
 {
-    if (entry.value.size() > most_record_bytes)
+    if (entry.value.size() > max_record_bytes)
         return bad_record(entry, "larger than a record can be");
     domain_record record;
     try {
@@ -141,7 +141,7 @@
     catch (const std::exception&) {
         return bad_record(entry, "is not an assignment record");
     }
-    if (names_something_twice(record))
+    if (has_duplicates(record))
         return bad_record(entry, "names a VM or a group twice");
     record.revision = fencing_number{entry.mod_revision};
     return record;
--- a/groups/repair.cc
+++ b/groups/repair.cc
@@ -80,20 +80,20 @@
 {
     if (auto spare = take_spare())
         return spare;
-    group_assignment* richest = nullptr;
+    group_assignment* donor = nullptr;
     for (group_assignment& group : next.groups) {
         const bool has = std::any_of(group.standbys.begin(), group.standbys.end(),
                                      [&](const member& one) { return unneeded(group, one); });
         if (has && group.group != for_group &&
-            (richest == nullptr || group.standbys.size() > richest->standbys.size()))
-            richest = &group;
+            (donor == nullptr || group.standbys.size() > donor->standbys.size()))
+            donor = &group;
     }
-    if (richest == nullptr)
+    if (donor == nullptr)
         return std::nullopt;
-    const auto at = std::find_if(richest->standbys.begin(), richest->standbys.end(),
-                                 [&](const member& one) { return unneeded(*richest, one); });
+    const auto at = std::find_if(donor->standbys.begin(), donor->standbys.end(),
+                                 [&](const member& one) { return unneeded(*donor, one); });
     member taken = *at;
-    richest->standbys.erase(at);
+    donor->standbys.erase(at);
     return taken;
 }
 
@@ -146,30 +146,34 @@
     });
     if (broken.size() < 2)
         return;
-    const group_assignment& gets = *broken.front();
-    const group_assignment& gives = *broken.back();
-    const pool* gets_row = pool_of(gets);
-    const pool* gives_row = pool_of(gives);
-    if (gets_row == nullptr || gives_row == nullptr || gives_row->rank > gets_row->rank)
+    const group_assignment& recipient = *broken.front();
+    const group_assignment& donor = *broken.back();
+    const pool* recipient_pool = pool_of(recipient);
+    const pool* donor_pool = pool_of(donor);
+    if (recipient_pool == nullptr || donor_pool == nullptr ||
+        donor_pool->rank > recipient_pool->rank)
         return;
-    const std::size_t lacking = health(gets).uncovered;
-    const std::size_t at_hand = gives.members.size() - health(gives).lost;
-    if (at_hand < lacking)
+    const std::size_t missing = health(recipient).uncovered;
+    const std::size_t available = donor.members.size() - health(donor).lost;
+    if (available < missing)
         return;
     const double load = seconds(in.settings.expected_load_time + in.settings.order_horizon);
-    const double wait_gets = seconds(expected_wait(health(gets), in.settings, in.now));
-    const double wait_gives = seconds(expected_wait(health(gives), in.settings, in.now));
-    const double wait_both = std::max(wait_gets, wait_gives);
-    const double idle_gets = gets_row->weight_idle * accelerators_of(gets, in.vms);
-    const double idle_gives = gives_row->weight_idle * accelerators_of(gives, in.vms);
-    const double share_left = static_cast<double>(at_hand - lacking) /
-                              static_cast<double>(std::max<std::size_t>(1, at_hand));
-    const double keep = (gets_row->weight_down + idle_gets) * wait_gets +
-                        (gives_row->weight_down + idle_gives) * wait_gives;
-    const double merge = (gets_row->weight_down + idle_gets) * load +
-                         (gives_row->weight_down + idle_gives * share_left) * (wait_both + load);
-    if (merge < keep)
-        erase(gives.group, "its VMs complete another broken group");
+    const double recipient_wait = seconds(expected_wait(health(recipient), in.settings, in.now));
+    const double donor_wait = seconds(expected_wait(health(donor), in.settings, in.now));
+    const double longer_wait = std::max(recipient_wait, donor_wait);
+    const double recipient_idle_rate =
+        recipient_pool->weight_idle * accelerators_of(recipient, in.vms);
+    const double donor_idle_rate = donor_pool->weight_idle * accelerators_of(donor, in.vms);
+    const double donor_share_left = static_cast<double>(available - missing) /
+                                    static_cast<double>(std::max<std::size_t>(1, available));
+    const double cost_of_waiting =
+        (recipient_pool->weight_down + recipient_idle_rate) * recipient_wait +
+        (donor_pool->weight_down + donor_idle_rate) * donor_wait;
+    const double cost_of_merging =
+        (recipient_pool->weight_down + recipient_idle_rate) * load +
+        (donor_pool->weight_down + donor_idle_rate * donor_share_left) * (longer_wait + load);
+    if (cost_of_merging < cost_of_waiting)
+        erase(donor.group, "its VMs complete another broken group");
 }
 
 void planner::pass::add_group(const pool& row, const group_id& replaces)
@@ -217,24 +221,24 @@
     // A spare idles bound or unbound, and a bound one can be used while the platform is dark; so
     // all are bound, first to the groups whose downtime weighs most.
     while (!spares().empty()) {
-        group_assignment* poorest = nullptr;
-        double poorest_weight = 0.0;
+        group_assignment* target = nullptr;
+        double target_weight = 0.0;
         for (group_assignment& group : next.groups) {
             const pool* row = pool_of(group);
             if (row == nullptr || group.retiring)
                 continue;
             const double weight = row->weight_down * static_cast<double>(group.members.size());
             const auto bound = [](const group_assignment& one) { return one.standbys.size(); };
-            if (poorest == nullptr || bound(group) < bound(*poorest) ||
-                (bound(group) == bound(*poorest) && weight > poorest_weight))
+            if (target == nullptr || bound(group) < bound(*target) ||
+                (bound(group) == bound(*target) && weight > target_weight))
             {
-                poorest = &group;
-                poorest_weight = weight;
+                target = &group;
+                target_weight = weight;
             }
         }
-        if (poorest == nullptr)
+        if (target == nullptr)
             return;
-        poorest->standbys.push_back(*take_spare());
+        target->standbys.push_back(*take_spare());
     }
 }
 
--- a/groups/repair_baselines.cc
+++ b/groups/repair_baselines.cc
@@ -11,7 +11,7 @@
 constexpr std::chrono::seconds load_time{60};
 constexpr std::chrono::seconds detection{3};
 const time_point begin{std::chrono::hours{1} + std::chrono::seconds{900}}; ///< first counted moment
-constexpr std::size_t nobody = static_cast<std::size_t>(-1);
+constexpr std::size_t no_group = static_cast<std::size_t>(-1);
 
 /// First fit: which group each VM is in, and from when each place is loaded.
 class first_fit {
@@ -20,7 +20,7 @@
     {
         const std::size_t fleet = options.domains * options.vms_per_domain;
         m_alive.assign(fleet, true);
-        m_group.assign(fleet, nobody);
+        m_group.assign(fleet, no_group);
         m_ready.assign(fleet, begin);
         const std::size_t each = options.vms_per_domain / options.replica_vms;
         for (std::size_t d = 0; d < options.domains; ++d) {
@@ -64,28 +64,28 @@
             m_lost.push_back(fault.vm);
         if (fault.change == vm_change::resume)
             std::erase(m_lost, fault.vm); // in its place again, still loaded
-        else if (fault.change == vm_change::arrive && m_group[fault.vm] != nobody) {
+        else if (fault.change == vm_change::arrive && m_group[fault.vm] != no_group) {
             std::erase(m_lost, fault.vm);
             m_ready[fault.vm] = now + load_time;
         }
-        std::vector<std::size_t> still;
+        std::vector<std::size_t> unplaced;
         for (const std::size_t lost : m_lost) {
-            if (m_group[lost] == nobody)
+            if (m_group[lost] == no_group)
                 continue;
             const std::size_t d = lost / m_options.vms_per_domain;
-            std::size_t spare = nobody;
+            std::size_t spare = no_group;
             for (std::size_t v = d * m_options.vms_per_domain;
-                 v < (d + 1) * m_options.vms_per_domain && spare == nobody; ++v)
-                spare = m_alive[v] && m_group[v] == nobody ? v : nobody;
-            if (spare == nobody) {
-                still.push_back(lost);
+                 v < (d + 1) * m_options.vms_per_domain && spare == no_group; ++v)
+                spare = m_alive[v] && m_group[v] == no_group ? v : no_group;
+            if (spare == no_group) {
+                unplaced.push_back(lost);
                 continue;
             }
             m_group[spare] = m_group[lost];
-            m_group[lost] = nobody;
+            m_group[lost] = no_group;
             m_ready[spare] = now + detection + load_time;
         }
-        m_lost = std::move(still);
+        m_lost = std::move(unplaced);
     }
 
     void add(repair_cost& cost, time_point from, time_point until) const
@@ -95,14 +95,14 @@
         std::size_t alive = 0;
         for (std::size_t v = 0; v < m_alive.size(); ++v) {
             alive += m_alive[v] ? 1 : 0;
-            if (m_alive[v] && m_group[v] != nobody && m_ready[v] <= from)
+            if (m_alive[v] && m_group[v] != no_group && m_ready[v] <= from)
                 ++ready[m_group[v]];
         }
-        const auto whole =
+        const auto complete =
             static_cast<std::size_t>(std::count(ready.begin(), ready.end(), m_options.replica_vms));
-        cost.group_seconds_down += span * double(m_options.replicas - whole);
+        cost.group_seconds_down += span * double(m_options.replicas - complete);
         cost.accelerator_seconds_idle +=
-            span * double(alive - whole * m_options.replica_vms) * m_options.accelerators;
+            span * double(alive - complete * m_options.replica_vms) * m_options.accelerators;
     }
 
     repair_options m_options;
@@ -129,16 +129,16 @@
     time_point now = begin;
     const auto add = [&](time_point until) {
         const double span = std::chrono::duration<double>(until - now).count();
-        std::size_t whole = 0;
+        std::size_t complete = 0;
         std::size_t live = 0;
         for (const std::size_t count : alive) {
-            whole += count / options.replica_vms;
+            complete += count / options.replica_vms;
             live += count;
         }
-        whole = std::min<std::size_t>(whole, options.replicas);
-        cost.group_seconds_down += span * double(options.replicas - whole);
+        complete = std::min<std::size_t>(complete, options.replicas);
+        cost.group_seconds_down += span * double(options.replicas - complete);
         cost.accelerator_seconds_idle +=
-            span * double(live - whole * options.replica_vms) * options.accelerators;
+            span * double(live - complete * options.replica_vms) * options.accelerators;
         now = until;
     };
     for (const scheduled_fault& fault : schedule) {
--- a/groups/repair_main.cc
+++ b/groups/repair_main.cc
@@ -24,25 +24,26 @@
 {
     const auto schedule = make_schedule(options);
     const auto started = std::chrono::steady_clock::now();
-    const repair_cost ours = run_manager(options, schedule);
-    const std::chrono::duration<double> took = std::chrono::steady_clock::now() - started;
-    const repair_cost fit = run_first_fit(options, schedule);
-    const repair_cost bound = run_lower_bound(options, schedule);
+    const repair_cost manager_cost = run_manager(options, schedule);
+    const std::chrono::duration<double> elapsed = std::chrono::steady_clock::now() - started;
+    const repair_cost first_fit_cost = run_first_fit(options, schedule);
+    const repair_cost lower_bound = run_lower_bound(options, schedule);
     const auto line = [&](const char* policy, const repair_cost& cost) {
         std::printf("| %s | %s | %.0f | %.0f | %.0f | %.2f |\n", name, policy,
                     cost.group_seconds_down, cost.accelerator_seconds_idle, cost.weighted(options),
-                    cost.weighted(options) / bound.weighted(options));
+                    cost.weighted(options) / lower_bound.weighted(options));
     };
-    line("jaynotch", ours);
-    line("first fit", fit);
-    line("bound", bound);
+    line("jaynotch", manager_cost);
+    line("first fit", first_fit_cost);
+    line("bound", lower_bound);
     std::fprintf(stderr,
                  "%s: %zu changes, %llu writes, most a second %llu, ran %.1f s; first fit / ours: "
                  "down %.2f, idle %.2f\n",
-                 name, schedule.size(), static_cast<unsigned long long>(ours.record_writes),
-                 static_cast<unsigned long long>(ours.max_writes_per_second), took.count(),
-                 fit.group_seconds_down / ours.group_seconds_down,
-                 fit.accelerator_seconds_idle / ours.accelerator_seconds_idle);
+                 name, schedule.size(), static_cast<unsigned long long>(manager_cost.record_writes),
+                 static_cast<unsigned long long>(manager_cost.max_writes_per_second),
+                 elapsed.count(),
+                 first_fit_cost.group_seconds_down / manager_cost.group_seconds_down,
+                 first_fit_cost.accelerator_seconds_idle / manager_cost.accelerator_seconds_idle);
 }
 
 /// A failure domain of five fabric domains goes dark at once and comes back an hour later.
@@ -81,13 +82,13 @@
         "| fleet | policy | group-s down | accelerator-s idle | weighted cost | of bound |\n"
         "| --- | --- | --- | --- | --- | --- |\n");
     for (const bool apred : {false, true}) {
-        repair_options today;
-        today.seed = absl::GetFlag(FLAGS_seed);
-        today.span = std::chrono::hours{24 * absl::GetFlag(FLAGS_days)};
-        today.weight_down = apred ? 20.0 : 2.0;
-        today.weight_idle = apred ? 1.0 : 5.0;
-        report(apred ? "APRED, 50" : "Fjordgrøde, 50", today);
-        repair_options large = today;
+        repair_options small;
+        small.seed = absl::GetFlag(FLAGS_seed);
+        small.span = std::chrono::hours{24 * absl::GetFlag(FLAGS_days)};
+        small.weight_down = apred ? 20.0 : 2.0;
+        small.weight_idle = apred ? 1.0 : 5.0;
+        report(apred ? "APRED, 50" : "Fjordgrøde, 50", small);
+        repair_options large = small;
         large.domains = 25;
         large.vms_per_domain = 64;
         large.replica_vms = 8;
--- a/groups/repair_world.cc
+++ b/groups/repair_world.cc
@@ -11,21 +11,21 @@
 
 constexpr auto deployment = "bench";
 constexpr std::chrono::seconds step_length{2};
-constexpr std::chrono::seconds before_fault{16}; ///< reports are fresh and VMs quiet by then
-constexpr std::chrono::seconds calm_after{90};   ///< without change, the domain rests
+constexpr std::chrono::seconds fault_lead_time{16}; ///< reports are fresh and VMs quiet by then
+constexpr std::chrono::seconds idle_timeout{90};    ///< without change, the domain rests
 constexpr std::chrono::seconds stream_length{20};
 constexpr std::chrono::seconds leave_notice{150}; ///< of a planned replacement
 constexpr double load_seconds = 60.0;
 constexpr double loads_at_full_rate = 8.0; ///< of one domain, from the weight store
 constexpr std::size_t rack_vms = 8;
 // Of one VM, from the target fleet of 1,600: 15 failures and 430 replacements a day.
-constexpr double failures_a_day = 15.0 / 1600.0;
-constexpr double replacements_a_day = 430.0 / 1600.0;
-constexpr double pauses_a_day = 15.0 / 1600.0;
-constexpr double rack_losses_a_day = 1.0 / 45.0;    ///< of the whole fleet
-constexpr double domain_losses_a_day = 1.5 / 365.0; ///< likewise
-constexpr double day_seconds = 86'400.0;
-const time_point begin{std::chrono::hours{1}};
+constexpr double failures_per_day = 15.0 / 1600.0;
+constexpr double replacements_per_day = 430.0 / 1600.0;
+constexpr double pauses_per_day = 15.0 / 1600.0;
+constexpr double rack_losses_per_day = 1.0 / 45.0;    ///< of the whole fleet
+constexpr double domain_losses_per_day = 1.5 / 365.0; ///< likewise
+constexpr double seconds_per_day = 86'400.0;
+const time_point start_time{std::chrono::hours{1}};
 
 duration seconds_of(double count)
 {
@@ -34,14 +34,14 @@
 
 /// Times and costs of one domain between two moments.
 struct running_cost {
-    time_point since = begin;
+    time_point since = start_time;
     double down = 0.0; ///< groups wanted but not whole; over all domains
     double idle = 0.0; ///< live accelerators outside of whole groups
 
-    void move(time_point now, repair_cost& total)
+    void accrue(time_point now, repair_cost& total)
     {
         // The first forming isn't counted: the other policies start whole.
-        const time_point from = std::max(since, begin + std::chrono::seconds{900});
+        const time_point from = std::max(since, start_time + std::chrono::seconds{900});
         const double span = std::max(0.0, std::chrono::duration<double>(now - from).count());
         total.group_seconds_down += down * span;
         total.accelerator_seconds_idle += idle * span;
@@ -57,12 +57,12 @@
     std::vector<scheduled_fault> schedule;
     const std::size_t fleet = options.domains * options.vms_per_domain;
     const double span = std::chrono::duration<double>(options.span).count();
-    std::vector<time_point> busy_until(fleet, begin);
-    const auto add = [&](std::size_t vm, time_point at, duration gone, vm_change first) {
-        if (busy_until[vm] > at)
+    std::vector<time_point> unavailable_until(fleet, start_time);
+    const auto add = [&](std::size_t vm, time_point at, duration outage, vm_change first) {
+        if (unavailable_until[vm] > at)
             return;
-        const time_point back = at + gone;
-        busy_until[vm] = back + std::chrono::seconds{600};
+        const time_point back = at + outage;
+        unavailable_until[vm] = back + std::chrono::seconds{600};
         if (first == vm_change::notice_leaving) {
             schedule.push_back({at - leave_notice, first, vm});
             first = vm_change::leave;
@@ -71,25 +71,25 @@
         schedule.push_back(
             {back, first == vm_change::pause ? vm_change::resume : vm_change::arrive, vm});
     };
-    struct moment {
+    struct fault_event {
         double at;
         std::size_t what;
     };
-    std::vector<moment> moments;
+    std::vector<fault_event> events;
     const double vms = static_cast<double>(fleet);
-    const std::array<double, 5> rates{failures_a_day * vms, replacements_a_day * vms,
-                                      pauses_a_day * vms, rack_losses_a_day * vms / 1600.0,
-                                      domain_losses_a_day * vms / 1600.0};
+    const std::array<double, 5> rates{failures_per_day * vms, replacements_per_day * vms,
+                                      pauses_per_day * vms, rack_losses_per_day * vms / 1600.0,
+                                      domain_losses_per_day * vms / 1600.0};
     for (std::size_t what = 0; what < rates.size(); ++what) {
-        for (double at = 900.0 + random.exponential(day_seconds / rates[what]); at < span - 900.0;
-             at += random.exponential(day_seconds / rates[what]))
-            moments.push_back({at, what});
+        for (double at = 900.0 + random.exponential(seconds_per_day / rates[what]);
+             at < span - 900.0; at += random.exponential(seconds_per_day / rates[what]))
+            events.push_back({at, what});
     }
-    std::sort(moments.begin(), moments.end(),
-              [](const moment& a, const moment& b) { return a.at < b.at; });
-    for (const moment& one : moments) {
+    std::sort(events.begin(), events.end(),
+              [](const fault_event& a, const fault_event& b) { return a.at < b.at; });
+    for (const fault_event& one : events) {
         const std::size_t vm = random.index(fleet);
-        const time_point at = begin + seconds_of(one.at);
+        const time_point at = start_time + seconds_of(one.at);
         const std::size_t domain = vm / options.vms_per_domain * options.vms_per_domain;
         if (one.what == 0)
             add(vm, at, seconds_of(120.0 + random.exponential(480.0)), vm_change::fail);
@@ -97,9 +97,9 @@
             add(vm, at, seconds_of(30.0 + random.exponential(60.0)), vm_change::notice_leaving);
         if (one.what == 2)
             add(vm, at, seconds_of(2.0 + random.exponential(20.0)), vm_change::pause);
-        const std::size_t many = one.what == 3 ? rack_vms : options.vms_per_domain;
+        const std::size_t affected = one.what == 3 ? rack_vms : options.vms_per_domain;
         const std::size_t first = one.what == 3 ? vm : domain;
-        for (std::size_t i = 0; one.what >= 3 && i < many; ++i) {
+        for (std::size_t i = 0; one.what >= 3 && i < affected; ++i) {
             const std::size_t hit = domain + (first - domain + i) % options.vms_per_domain;
             add(hit, at, seconds_of(3600.0 + double(i)), vm_change::fail);
         }
@@ -118,15 +118,15 @@
     domain_manager manager;
     std::map<std::size_t, fake_engine> engines; ///< by index in the fleet; absent while lost
     std::map<vm_id, std::size_t> index;
-    time_point awake_until = begin + std::chrono::hours{1};
-    time_point next_wake = begin;
+    time_point active_until = start_time + std::chrono::hours{1};
+    time_point next_wake = start_time;
     std::map<group_id, time_point> draining_since;
     std::set<std::size_t> paused;
     std::map<std::size_t, time_point> leaving;
     bool list_changed = true;
-    std::set<std::string> records_due;
+    std::set<std::string> pending_records;
     running_cost cost;
-    double whole = 0.0;
+    double complete = 0.0;
 };
 
 class managed_fleet {
@@ -137,10 +137,10 @@
 private:
     void apply(const scheduled_fault& fault);
     void step(managed_domain& domain, time_point now);
-    void tell(managed_domain& domain, const manager_event& event);
-    void carry_out(managed_domain& domain, const manager_command& command);
-    void account(managed_domain& domain);
-    fake_engine fresh_engine(std::size_t vm);
+    void deliver(managed_domain& domain, const manager_event& event);
+    void execute(managed_domain& domain, const manager_command& command);
+    void update_cost(managed_domain& domain);
+    fake_engine make_engine(std::size_t vm);
 
     repair_options m_options;
     const std::vector<scheduled_fault>& m_schedule;
@@ -149,8 +149,8 @@
     std::vector<std::unique_ptr<managed_domain>> m_domains;
     std::map<std::string, kv_entry> m_records;
     std::size_t m_generation = 0;
-    time_point m_now = begin;
-    time_point m_second = begin;
+    time_point m_now = start_time;
+    time_point m_second = start_time;
     std::uint64_t m_writes_this_second = 0;
     repair_cost m_cost;
 };
@@ -178,13 +178,13 @@
         m_domains.push_back(std::make_unique<managed_domain>(settings));
         for (std::size_t v = 0; v < options.vms_per_domain; ++v) {
             const std::size_t vm = d * options.vms_per_domain + v;
-            m_domains[d]->engines.emplace(vm, fresh_engine(vm));
+            m_domains[d]->engines.emplace(vm, make_engine(vm));
         }
-        tell(*m_domains[d], tables_installed{m_tables});
+        deliver(*m_domains[d], tables_installed{m_tables});
     }
 }
 
-fake_engine managed_fleet::fresh_engine(std::size_t vm)
+fake_engine managed_fleet::make_engine(std::size_t vm)
 {
     const std::size_t d = vm / m_options.vms_per_domain;
     const std::string name = "vm-" + std::to_string(vm) + "-" + std::to_string(++m_generation);
@@ -203,16 +203,16 @@
 void managed_fleet::apply(const scheduled_fault& fault)
 {
     managed_domain& domain = *m_domains[fault.vm / m_options.vms_per_domain];
-    domain.awake_until = m_now + calm_after;
+    domain.active_until = m_now + idle_timeout;
     domain.list_changed = true;
     const auto engine = domain.engines.find(fault.vm);
     if (fault.change == vm_change::arrive)
-        domain.engines.emplace(fault.vm, fresh_engine(fault.vm));
+        domain.engines.emplace(fault.vm, make_engine(fault.vm));
     else if (engine == domain.engines.end())
         return;
     else if (fault.change == vm_change::notice_leaving) {
         engine->second.row.leaving = true;
-        domain.awake_until = fault.at + leave_notice + calm_after;
+        domain.active_until = fault.at + leave_notice + idle_timeout;
         domain.leaving[fault.vm] = fault.at + leave_notice;
     }
     else if (fault.change == vm_change::pause)
@@ -226,13 +226,13 @@
     }
 }
 
-void managed_fleet::tell(managed_domain& domain, const manager_event& event)
+void managed_fleet::deliver(managed_domain& domain, const manager_event& event)
 {
     for (const manager_command& command : domain.manager.handle(event, m_now))
-        carry_out(domain, command);
+        execute(domain, command);
 }
 
-void managed_fleet::carry_out(managed_domain& domain, const manager_command& command)
+void managed_fleet::execute(managed_domain& domain, const manager_command& command)
 {
     const auto engine_of = [&](const vm_id& vm) -> fake_engine* {
         const auto at = domain.index.find(vm);
@@ -252,22 +252,22 @@
                     continue;
                 m_records[key] = entry;
                 for (auto& other : m_domains)
-                    other->records_due.insert(key);
+                    other->pending_records.insert(key);
             }
         }
-        tell(domain, kv_result{call->token, outcome});
+        deliver(domain, kv_result{call->token, outcome});
     }
     else if (const auto* grant = std::get_if<lease_grant>(&command))
-        tell(domain, lease_result{grant->token, m_store.grant(grant->ttl, m_now)});
+        deliver(domain, lease_result{grant->token, m_store.grant(grant->ttl, m_now)});
     else if (const auto* renew = std::get_if<lease_renew>(&command))
-        tell(domain, lease_result{renew->token, m_store.renew(renew->lease, m_now)});
+        deliver(domain, lease_result{renew->token, m_store.renew(renew->lease, m_now)});
     else if (const auto* assign = std::get_if<order_assign>(&command)) {
-        domain.awake_until = m_now + calm_after;
+        domain.active_until = m_now + idle_timeout;
         if (fake_engine* engine = engine_of(assign->vm); engine != nullptr)
             engine->assign(*assign);
     }
     else if (const auto* release = std::get_if<order_release>(&command)) {
-        domain.awake_until = m_now + calm_after;
+        domain.active_until = m_now + idle_timeout;
         if (fake_engine* engine = engine_of(release->vm); engine != nullptr)
             engine->release(*release);
     }
@@ -287,10 +287,10 @@
                 list.rows.push_back(std::move(row));
             }
         }
-        tell(domain, list);
+        deliver(domain, list);
     }
-    for (const std::string& key : std::exchange(domain.records_due, {}))
-        tell(domain, record_seen{m_records.at(key)});
+    for (const std::string& key : std::exchange(domain.pending_records, {}))
+        deliver(domain, record_seen{m_records.at(key)});
     for (const group_assignment& group : domain.manager.record().groups) {
         if (!group.draining)
             domain.draining_since.erase(group.group);
@@ -309,16 +309,16 @@
             drains != domain.draining_since.end() && now - drains->second >= stream_length;
         engine.current_report.running =
             engine.current_report.state == member_state::ready && !done ? 1 : 0;
-        tell(domain, report_seen{engine.row.vm, engine.current_report, now});
+        deliver(domain, report_seen{engine.row.vm, engine.current_report, now});
     }
-    tell(domain, tick{});
-    account(domain);
+    deliver(domain, tick{});
+    update_cost(domain);
 }
 
-void managed_fleet::account(managed_domain& domain)
+void managed_fleet::update_cost(managed_domain& domain)
 {
-    domain.cost.move(m_now, m_cost);
-    domain.whole = 0.0;
+    domain.cost.accrue(m_now, m_cost);
+    domain.complete = 0.0;
     double alive = 0.0;
     std::map<std::string, const fake_engine*> by_address;
     for (const auto& [vm, engine] : domain.engines) {
@@ -331,7 +331,7 @@
         const member_report& current_report = engine->current_report;
         if (current_report.rank != 0 || current_report.state != member_state::ready)
             continue;
-        const bool whole =
+        const bool complete =
             !domain.draining_since.contains(current_report.group) &&
             std::all_of(current_report.members.begin(), current_report.members.end(),
                         [&](const std::string& one) {
@@ -341,14 +341,14 @@
                                    at->second->current_report.members == current_report.members &&
                                    at->second->current_report.state == member_state::ready;
                         });
-        domain.whole += whole ? 1.0 : 0.0;
+        domain.complete += complete ? 1.0 : 0.0;
     }
-    domain.cost.idle = (alive - domain.whole * m_options.replica_vms) * m_options.accelerators;
+    domain.cost.idle = (alive - domain.complete * m_options.replica_vms) * m_options.accelerators;
 }
 
 repair_cost managed_fleet::run()
 {
-    const time_point end = begin + m_options.span;
+    const time_point end = start_time + m_options.span;
     std::size_t next = 0;
     running_cost down;
     while (m_now < end) {
@@ -356,36 +356,36 @@
             apply(m_schedule[next++]);
         // Domains with a fault ahead wake before it, so that their reports are fresh by then.
         for (std::size_t i = next; i < m_schedule.size(); ++i) {
-            if (m_schedule[i].at > m_now + before_fault)
+            if (m_schedule[i].at > m_now + fault_lead_time)
                 break;
             managed_domain& domain = *m_domains[m_schedule[i].vm / m_options.vms_per_domain];
-            domain.awake_until = std::max(domain.awake_until, m_now + before_fault);
+            domain.active_until = std::max(domain.active_until, m_now + fault_lead_time);
         }
-        bool any_awake = false;
-        double whole = 0.0;
+        bool any_active = false;
+        double complete = 0.0;
         for (auto& domain : m_domains) {
-            if (m_now <= domain->awake_until) {
-                any_awake = true;
+            if (m_now <= domain->active_until) {
+                any_active = true;
                 step(*domain, m_now);
             }
-            whole += domain->whole;
+            complete += domain->complete;
         }
-        down.move(m_now, m_cost);
-        down.down = std::max(0.0, double(m_options.replicas) - whole);
+        down.accrue(m_now, m_cost);
+        down.down = std::max(0.0, double(m_options.replicas) - complete);
         m_cost.max_writes_per_second =
             std::max(m_cost.max_writes_per_second,
                      m_writes_this_second / static_cast<std::uint64_t>(step_length.count()));
         m_writes_this_second = 0;
         m_now += step_length;
-        if (!any_awake && next < m_schedule.size())
-            m_now = std::max(m_now, m_schedule[next].at - before_fault);
-        else if (!any_awake)
+        if (!any_active && next < m_schedule.size())
+            m_now = std::max(m_now, m_schedule[next].at - fault_lead_time);
+        else if (!any_active)
             m_now = end;
     }
     m_now = end;
     for (auto& domain : m_domains)
-        domain->cost.move(end, m_cost);
-    down.move(end, m_cost);
+        domain->cost.accrue(end, m_cost);
+    down.accrue(end, m_cost);
     return m_cost;
 }
 
--- a/groups/rollout.cc
+++ b/groups/rollout.cc
@@ -24,7 +24,8 @@
 }
 
 /// Whether a domain that goes before this one still has groups to change.
-bool others_first(const record_map& records, const fabric_domain_id& self, const pool& row)
+bool earlier_domain_outdated(const record_map& records, const fabric_domain_id& self,
+                             const pool& row)
 {
     return std::any_of(records.begin(), records.end(), [&](const auto& entry) {
         return entry.first < self &&
@@ -105,7 +106,8 @@
             old.begin(), old.end(), [&](const group_id& id) { return !complete(*find(id)); });
         const bool one_draining = std::any_of(
             old.begin(), old.end(), [&](const group_id& id) { return find(id)->draining; });
-        if (old.empty() || changing || one_draining || others_first(in.records, next.domain, *row))
+        if (old.empty() || changing || one_draining ||
+            earlier_domain_outdated(in.records, next.domain, *row))
             continue;
         if (first == old.begin() && spares().size() + unneeded_standbys() >= row->replica_vms) {
             add_group(*row, old.front());
--- a/groups/ticket_board.cc
+++ b/groups/ticket_board.cc
@@ -31,7 +31,7 @@
     time_point same_group_since;
     time_point same_place_since; ///< receipt of the first report of its present place, ready
     time_point last_probe;
-    group_id named_by; ///< the group whose record names it
+    group_id named_in; ///< the group whose record names it
 };
 
 /// What is known of a group.
@@ -69,17 +69,17 @@
     std::vector<std::string> peers;
     std::vector<board_command> out;
 
-    void take(const report_seen& seen, time_point now);
-    void take(const report_failed&, time_point) {}
-    void take(const record_seen& seen, time_point now);
-    void take(const tables_installed&, time_point) {}
-    void take(const peers_seen& seen, time_point now);
-    void take(const ticket_seen& seen, time_point now);
-    void take(const tick&, time_point now);
+    void on_event(const report_seen& seen, time_point now);
+    void on_event(const report_failed&, time_point) {}
+    void on_event(const record_seen& seen, time_point now);
+    void on_event(const tables_installed&, time_point) {}
+    void on_event(const peers_seen& seen, time_point now);
+    void on_event(const ticket_seen& seen, time_point now);
+    void on_event(const tick&, time_point now);
 
     void choose_watchers();
-    void forget_unnamed();
-    void judge(watched_group& group, time_point now);
+    void drop_unnamed_vms();
+    void evaluate(watched_group& group, time_point now);
     void withdraw(watched_group& group);
     void send_probes(const watched_group& group, time_point now);
     [[nodiscard]] bool contradicted(const complete_group& ticket) const;
@@ -91,32 +91,32 @@
                                             const std::vector<member>& members) const;
 };
 
-void ticket_board::state::take(const report_seen& seen, time_point now)
+void ticket_board::state::on_event(const report_seen& seen, time_point now)
 {
     const auto at = vms.find(seen.vm);
     if (at == vms.end() || seen.report.vm != seen.vm)
         return;
-    watched_vm& known = at->second;
-    if (known.report && seen.sent_at < known.sent_at)
+    watched_vm& observed = at->second;
+    if (observed.report && seen.sent_at < observed.sent_at)
         return;
-    const bool moved = !known.report || known.report->group != seen.report.group ||
-                       known.report->boot != seen.report.boot ||
-                       now - known.sent_at >= settings.settling_time;
+    const bool continuity_lost = !observed.report || observed.report->group != seen.report.group ||
+                                 observed.report->boot != seen.report.boot ||
+                                 now - observed.sent_at >= settings.settling_time;
     // A gap as long as `settled` could hide a stay in another group that was long enough for a
     // ticket. From the answer, not from the sending: the VM may have moved just before it answered
     // (models/claim_fence.pml, -DSETTLED_FROM_SENDING).
-    if (moved)
-        known.same_group_since = now;
-    if (moved || !same_place(*known.report, seen.report))
-        known.same_place_since = now;
-    known.report = seen.report;
-    known.sent_at = seen.sent_at;
+    if (continuity_lost)
+        observed.same_group_since = now;
+    if (continuity_lost || !same_place(*observed.report, seen.report))
+        observed.same_place_since = now;
+    observed.report = seen.report;
+    observed.sent_at = seen.sent_at;
     // A report that contradicts a ticket ends it now, not at the next tick.
-    if (const auto group = groups.find(known.named_by); group != groups.end())
-        judge(group->second, now);
+    if (const auto group = groups.find(observed.named_in); group != groups.end())
+        evaluate(group->second, now);
 }
 
-void ticket_board::state::take(const record_seen& seen, time_point now)
+void ticket_board::state::on_event(const record_seen& seen, time_point now)
 {
     if (!is_record_key(settings.deployment, seen.entry.key))
         return;
@@ -153,20 +153,20 @@
             group.ticket->draining = assigned.draining;
         for (const member& one : candidates_of(assigned)) {
             vms[one.vm].address = one.address;
-            vms[one.vm].named_by = assigned.group;
+            vms[one.vm].named_in = assigned.group;
         }
     }
     for (auto& [id, group] : kept)
         withdraw(group); // not in the record any more
-    forget_unnamed();
+    drop_unnamed_vms();
     choose_watchers();
     for (auto& [id, group] : groups) {
         if (group.domain == record.domain)
-            judge(group, now);
+            evaluate(group, now);
     }
 }
 
-void ticket_board::state::forget_unnamed()
+void ticket_board::state::drop_unnamed_vms()
 {
     std::set<vm_id> named;
     for (const auto& [id, group] : groups) {
@@ -176,7 +176,7 @@
     std::erase_if(vms, [&](const auto& entry) { return !named.contains(entry.first); });
 }
 
-void ticket_board::state::take(const peers_seen& seen, time_point)
+void ticket_board::state::on_event(const peers_seen& seen, time_point)
 {
     peers.clear();
     for (const peer_row& row : seen.peers)
@@ -198,7 +198,7 @@
     }
 }
 
-void ticket_board::state::take(const ticket_seen& seen, time_point now)
+void ticket_board::state::on_event(const ticket_seen& seen, time_point now)
 {
     const auto at = groups.find(seen.group.group);
     if (at == groups.end())
@@ -217,8 +217,8 @@
             return std::any_of(allowed.begin(), allowed.end(),
                                [&](const member& one) { return one.vm == vm; });
         });
-    const duration most = std::min(seen.remaining, settings.ticket_horizon);
-    const time_point until = std::min(seen.sent_at, now) + most;
+    const duration max_validity = std::min(seen.remaining, settings.ticket_horizon);
+    const time_point until = std::min(seen.sent_at, now) + max_validity;
     if (!drawn_from_record || seen.group.version != group.assigned.version || until <= now)
         return;
     if (group.ticket && group.ticket->valid_until >= until)
@@ -228,26 +228,26 @@
     group.ticket->draining = group.assigned.draining;
 }
 
-void ticket_board::state::take(const tick&, time_point now)
+void ticket_board::state::on_event(const tick&, time_point now)
 {
     for (auto& [id, group] : groups) {
         if (group.watching)
             send_probes(group, now);
-        judge(group, now);
+        evaluate(group, now);
     }
 }
 
 void ticket_board::state::send_probes(const watched_group& group, time_point now)
 {
-    const bool whole = group.ticket.has_value();
-    const std::vector<member> asked =
-        whole ? group.assigned.members : candidates_of(group.assigned);
-    for (const member& one : asked) {
-        watched_vm& known = vms[one.vm];
-        const time_point last = std::max(known.last_probe, known.sent_at);
+    const bool has_ticket = group.ticket.has_value();
+    const std::vector<member> targets =
+        has_ticket ? group.assigned.members : candidates_of(group.assigned);
+    for (const member& one : targets) {
+        watched_vm& observed = vms[one.vm];
+        const time_point last = std::max(observed.last_probe, observed.sent_at);
         if (now - last < settings.probe_period)
             continue;
-        known.last_probe = now;
+        observed.last_probe = now;
         out.emplace_back(probe{one.vm, one.address});
     }
 }
@@ -260,7 +260,7 @@
     group.ticket.reset();
 }
 
-void ticket_board::state::judge(watched_group& group, time_point now)
+void ticket_board::state::evaluate(watched_group& group, time_point now)
 {
     if (group.ticket && group.ticket->valid_until <= now) {
         // Not pushed: another watcher may still see the group whole.
@@ -269,13 +269,13 @@
         group.ticket.reset();
     }
     // A node that has no reports of its own goes by what the watchers push.
-    const bool own_eyes = std::any_of(
+    const bool has_own_reports = std::any_of(
         group.assigned.members.begin(), group.assigned.members.end(), [&](const member& one) {
             const auto at = vms.find(one.vm);
             return at != vms.end() && at->second.report &&
                    now - at->second.sent_at <= settings.ticket_horizon;
         });
-    if (!group.watching && !own_eyes)
+    if (!group.watching && !has_own_reports)
         return;
     const auto members = composition(group.assigned, now);
     if (!members) {
@@ -296,10 +296,10 @@
 
 bool ticket_board::state::contradicted(const complete_group& ticket) const
 {
-    const time_point rests_on = ticket.valid_until - settings.ticket_horizon;
+    const time_point oldest_report_at = ticket.valid_until - settings.ticket_horizon;
     return std::any_of(ticket.members.begin(), ticket.members.end(), [&](const vm_id& vm) {
         const auto at = vms.find(vm);
-        if (at == vms.end() || !at->second.report || at->second.sent_at < rests_on)
+        if (at == vms.end() || !at->second.report || at->second.sent_at < oldest_report_at)
             return false;
         const member_report& report = *at->second.report;
         return report.group != ticket.group || report.state != member_state::ready ||
@@ -350,12 +350,13 @@
         const auto at = vms.find(members[rank].vm);
         if (at == vms.end() || !at->second.report)
             return false;
-        const watched_vm& known = at->second;
-        all_since = std::max(all_since, known.same_place_since);
-        all_until = std::min(all_until, known.sent_at);
-        const bool fresh = now - known.sent_at < settings.ticket_horizon;
-        const bool settling_time = known.sent_at - known.same_group_since >= settings.settling_time;
-        if (!fresh || !settling_time || !ready_in_place(*known.report, group, rank, members))
+        const watched_vm& observed = at->second;
+        all_since = std::max(all_since, observed.same_place_since);
+        all_until = std::min(all_until, observed.sent_at);
+        const bool fresh = now - observed.sent_at < settings.ticket_horizon;
+        const bool has_settled =
+            observed.sent_at - observed.same_group_since >= settings.settling_time;
+        if (!fresh || !has_settled || !ready_in_place(*observed.report, group, rank, members))
             return false;
     }
     return !members.empty() && all_since <= all_until;
@@ -375,10 +376,11 @@
     ticket.draining = group.assigned.draining;
     ticket.valid_until = time_point::max();
     for (const member& one : members) {
-        const watched_vm& known = vms.at(one.vm);
-        const member_report& report = *known.report;
+        const watched_vm& observed = vms.at(one.vm);
+        const member_report& report = *observed.report;
         ticket.members.push_back(one.vm);
-        ticket.valid_until = std::min(ticket.valid_until, known.sent_at + settings.ticket_horizon);
+        ticket.valid_until =
+            std::min(ticket.valid_until, observed.sent_at + settings.ticket_horizon);
         ticket.load.kv_used = std::max(ticket.load.kv_used, report.kv_used);
         ticket.load.step_ms = std::max(ticket.load.step_ms, report.step_ms);
     }
@@ -396,21 +398,21 @@
 ticket_board::ticket_board(ticket_board&&) noexcept = default;
 ticket_board& ticket_board::operator=(ticket_board&&) noexcept = default;
 
-std::vector<board_command> ticket_board::handle(const board_event& happened, time_point now)
+std::vector<board_command> ticket_board::handle(const board_event& event, time_point now)
 {
     m_state->out.clear();
-    std::visit([&](const auto& event) { m_state->take(event, now); }, happened);
+    std::visit([&](const auto& alternative) { m_state->on_event(alternative, now); }, event);
     return std::move(m_state->out);
 }
 
 std::vector<complete_group> ticket_board::complete(time_point now) const
 {
-    std::vector<complete_group> whole;
+    std::vector<complete_group> in_force;
     for (const auto& [id, group] : m_state->groups) {
         if (group.ticket && now < group.ticket->valid_until)
-            whole.push_back(*group.ticket);
+            in_force.push_back(*group.ticket);
     }
-    return whole;
+    return in_force;
 }
 
 bool ticket_board::watches(const group_id& group) const
--- a/groups/ticket_board.h
+++ b/groups/ticket_board.h
@@ -56,7 +56,7 @@
     ticket_board(const ticket_board&) = delete;
     ticket_board& operator=(const ticket_board&) = delete;
 
-    std::vector<board_command> handle(const board_event& happened, time_point now);
+    std::vector<board_command> handle(const board_event& event, time_point now);
 
     /// The groups that hold a ticket at `now`, those draining included.
     [[nodiscard]] std::vector<complete_group> complete(time_point now) const;
--- a/groups/vm_table.cc
+++ b/groups/vm_table.cc
@@ -13,8 +13,8 @@
 
 namespace {
 
-constexpr std::size_t most_members = 1024; ///< more in a report is no report
-constexpr std::size_t most_vms = 16384;    ///< rows of one domain that are kept
+constexpr std::size_t max_members = 1024; ///< more in a report is no report
+constexpr std::size_t max_vms = 16384;    ///< rows of one domain that are kept
 
 bool same_members(const std::vector<std::string>& addresses, const std::vector<member>& members)
 {
@@ -43,7 +43,7 @@
             m_listed[row->fabric_domain].insert(vm);
         if (row->fabric_domain != m_settings->domain)
             continue;
-        if (m_vms.size() >= most_vms && !m_vms.contains(vm))
+        if (m_vms.size() >= max_vms && !m_vms.contains(vm))
             continue;
         const auto [at, fresh_row] = m_vms.try_emplace(vm);
         vm_view& view = at->second;
@@ -71,20 +71,21 @@
     vm_view* view = find(seen.vm);
     if (view == nullptr)
         return true; // not ours
-    if (seen.report.vm != seen.vm || seen.report.members.size() > most_members) {
+    if (seen.report.vm != seen.vm || seen.report.members.size() > max_members) {
         quarantine(seen.vm, now);
         return false;
     }
     if (view->report && seen.sent_at < view->reported_at)
         return true; // overtaken by a later one
     // After a silence nobody knows what the VM did in between: it has to be seen anew.
-    const bool moved = !view->report || view->report->group != seen.report.group ||
-                       view->report->boot != seen.report.boot ||
-                       now - view->reported_at > m_settings->report_horizon;
-    if (moved)
+    const bool continuity_lost = !view->report || view->report->group != seen.report.group ||
+                                 view->report->boot != seen.report.boot ||
+                                 now - view->reported_at > m_settings->report_horizon;
+    if (continuity_lost)
         view->same_group_since = now;
-    if (moved || seen.report.progress != view->progress ||
-        seen.report.state != member_state::loading) {
+    if (continuity_lost || seen.report.progress != view->progress ||
+        seen.report.state != member_state::loading)
+    {
         view->progress = seen.report.progress;
         view->progress_at = now;
     }
