--- a/groups/group_health.cc
+++ b/groups/group_health.cc
@@ -1,7 +1,7 @@
-// A lost member's place is given to a bound standby at once, but only as a load on the side: the
-// group's other members aren't touched until the standby is ready. If the lost member comes back
-// first (a pause), the group is whole again at that moment and the standby is let go; if not, the
-// switch costs the others no load. So there is nothing to gain from waiting before the load starts.
+// A bound standby starts to load for a lost member at once, while the group's other members keep
+// their composition until the standby is ready. If the lost member returns first (after a pause),
+// the group is complete again at that moment and the standby is released; otherwise the switch
+// needs no further load. Hence nothing is gained by delaying the start of the load.
 #include "groups/group_health.h"
 
 #include <algorithm>
@@ -26,7 +26,7 @@
     return place;
 }
 
-/// A standby that already loads for this place, as another manager may have ordered.
+/// A standby that already loads for this place, possibly ordered by an earlier manager.
 const member* already_loading(const group_assignment& group, std::size_t rank, const vm_table& vms,
                               time_point now)
 {
@@ -44,8 +44,9 @@
     return view.report && view.report->group == group.group;
 }
 
-/// Whether a member of the record already counts the VM at `address` in, as after a switch made
-/// while the platform was dark: the way back would be a second break.
+/// Whether a member of the record already reports a composition with the VM at `address`, as after
+/// a switch made while the platform was unreachable. Switching back would interrupt the group
+/// again.
 bool listed_by_members(const group_assignment& group, const std::string& address,
                        const vm_table& vms, time_point now)
 {
@@ -108,7 +109,7 @@
                          time_point now)
 {
     by_rank& chosen = m_chosen[group.group];
-    // First keep what is under way, so that no standby is chosen for two places.
+    // Keep the loads in progress first, so that no standby is chosen for two places.
     for (std::size_t rank = 0; rank < health.places.size(); ++rank) {
         const place_health& place = health.places[rank];
         if (const member* loading = already_loading(group, rank, vms, now);
--- a/groups/group_health.h
+++ b/groups/group_health.h
@@ -1,6 +1,9 @@
-// How each group of the record stands: which members are lost, which bound standby takes each
-// place, and whether the replacements are loaded. Computed anew at each tick from the record and
-// the reports, so a manager that takes over sees the same as the one before.
+// The health of each group of the record: which members are lost, which bound standby replaces each
+// of them, and whether the replacements are loaded. It is recomputed at each tick from the record
+// and the reports, so a manager that takes over reaches the same result as its predecessor.
+//
+//   substitutes chosen;
+//   const group_health health = chosen.assess(group, vms, now);
 #pragma once
 
 #include "groups/vm_table.h"
@@ -11,34 +14,35 @@
 
 namespace jaynotch::groups {
 
-/// The place of one rank.
+/// The place of one rank in a group.
 struct place_health {
-    bool ready = false;    ///< the member of the record is fresh and ready in its place
-    bool lost = false;     ///< the member of the record has to be replaced
-    time_point lost_since; ///< when it was last heard, if lost by silence
+    bool ready = false;    ///< the record's member has a fresh report and is ready in this place
+    bool lost = false;     ///< the record's member has to be replaced
+    time_point lost_since; ///< when its last good report was requested
     std::optional<member> substitute;
     bool substitute_ready = false;
 };
 
 struct group_health {
     std::vector<place_health> places;
-    std::vector<member> target; ///< the members with every substitute in its place
-    bool complete = false;      ///< every member of the record is ready in place
-    bool switched = false;      ///< every VM of `target` already agrees on it and is ready
+    std::vector<member> target; ///< the record's members with the substitutes put in
+    bool complete = false;      ///< every member of the record is ready in its place
+    bool switched = false; ///< substitutes serve already: all of `target` report it and are ready
     std::size_t lost = 0;
     std::size_t uncovered = 0; ///< lost places without a substitute
-    bool can_switch = false;   ///< all lost places have a substitute that is loaded
-    bool idle = false;         ///< fresh word of the leader that nothing runs or waits
+    bool can_switch = false;   ///< every lost or substituted place has a loaded substitute
+    bool idle = false;         ///< the leader's fresh report shows no running or waiting requests
 };
 
-/// Which standby takes which place; kept between ticks so that a load under way isn't given up.
+/// The standbys chosen to replace members. Kept between ticks so that a load in progress is not
+/// abandoned.
 class substitutes {
 public:
-    /// Looks at `group` and picks, keeps or gives up substitutes among its bound standbys.
+    /// Assesses `group`, and chooses, keeps or drops substitutes among its bound standbys.
     group_health assess(const group_assignment& group, const vm_table& vms, time_point now);
     /// Forgets groups that are no longer in `record`.
     void prune(const domain_record& record);
-    /// Whether `vm` is being loaded, or chosen, to take a place.
+    /// Whether `vm` is chosen as a substitute in `group`.
     [[nodiscard]] bool chosen(const group_id& group, const vm_id& vm) const;
 
 private:
--- a/groups/groups.h
+++ b/groups/groups.h
@@ -1,12 +1,14 @@
-// Public header of the groups library: forming, guarding and repairing replicas of several VMs.
+// Public header of the groups library, which forms, monitors and repairs replicas that span several
+// VMs.
 //
 // - domain_manager (groups/manager.h) assigns the VMs of one fabric domain to groups;
-// - ticket_board (groups/ticket_board.h) tells which groups are complete and may be given requests.
+// - ticket_board (groups/ticket_board.h) tracks which groups are complete and may receive requests.
 //
-// Both are decision cores: events in, commands out. The shell hands each report to both.
+// Both are decision cores without I/O: events in, commands out. The daemon's driver delivers each
+// report to both.
 //
-// Where runners register themselves and check fencing numbers, `formation` (groups/formation.h)
-// does the work of both without records, probes or tickets.
+// Where runners register themselves and check fencing numbers, groups/formation.h replaces both and
+// needs no records, probes or tickets.
 #pragma once
 
 #include "groups/formation.h"
--- a/groups/manager.cc
+++ b/groups/manager.cc
@@ -1,10 +1,11 @@
-// The manager ties four parts together: leadership (may I), vm_table (what is), planner (what
-// should be) and order_book (what to say to whom).
+// The manager combines four parts: leadership (whether this node may act), vm_table (the observed
+// state), planner (the desired state) and order_book (the orders that lead from one to the other).
 //
-// One write of the record is under way at a time, as a compare-and-swap on the record's and the
-// manager key's mod_revision. A lost reply is settled by reading the record back: if it carries the
-// change's name, the write took effect; if it still has the old revision, it has not, and if it
-// does so later the next compare fails and the record is read again. Nothing is ever assumed.
+// At most one write of the record is in flight, as a compare-and-swap on the mod_revisions of the
+// record and of the manager's key. After a lost reply the record is read back. If the write took
+// effect, the read shows it and its revision. If the read still shows the old revision and the
+// write takes effect later, the next compare fails and the record is read again. The outcome of a
+// write is thus never assumed.
 #include "groups/manager.h"
 
 #include "groups/leadership.h"
@@ -17,9 +18,9 @@
 
 namespace {
 
-constexpr std::size_t max_deputies = 1; ///< nodes that act for a domain while the platform is dark
+constexpr std::size_t max_deputies = 1;    ///< nodes that act while the platform is unreachable
 constexpr std::size_t max_candidates = 2;  ///< nodes that campaign for the manager's key
-constexpr duration min_read_interval = 2s; ///< between two reads of the record for cause
+constexpr duration min_read_interval = 2s; ///< between two rereads of the record
 constexpr std::size_t max_records = 4096;
 
 bool same_assignment(const domain_record& left, const domain_record& right)
@@ -56,10 +57,9 @@
     domain_record record; ///< as last read or written
     bool record_read = false;
     bool list_read = false;
-    bool reread_record = false; ///< the record may have changed under us
+    bool reread_record = false; ///< the record may have been changed by another writer
     time_point last_read;
-    fencing_number highest_reported_fencing; ///< highest fencing number that an engine of the
-                                             ///< record has reported
+    fencing_number highest_reported_fencing; ///< by any engine that the record names
     domain_record pending_record;
     pending_call record_call;
     time_point last_write;
@@ -85,7 +85,7 @@
     void write_record(domain_record next, time_point now);
     void read_record(time_point now);
     void send_probes(time_point now);
-    void set_aside_stalled(time_point now);
+    void quarantine_stalled(time_point now);
     void send_orders(time_point now, bool without_platform);
     [[nodiscard]] bool is_among_first(std::size_t count) const;
     [[nodiscard]] bool platform_unreachable(time_point now) const;
@@ -101,10 +101,11 @@
 void domain_manager::state::on_event(const report_seen& seen, time_point now)
 {
     if (!vms.apply_report(seen, now))
-        out.emplace_back(notice{log_level::warning, "report_refused", seen.vm.value(),
-                                "the engine reports as another VM; it is set aside"});
-    // A fencing number from the future: the record has moved on without us, or another domain's
-    // manager ordered this VM while the list named it in both.
+        out.emplace_back(
+            notice{log_level::warning, "report_refused", seen.vm.value(),
+                   "the report names another VM or too many members; the VM is quarantined"});
+    // A fencing number above the known revision: the record has been changed by another writer, or
+    // another domain's manager sent this VM an order while the list named it in both domains.
     if (seen.report.fencing > record.revision && names(record, seen.vm)) {
         reread_record = true;
         highest_reported_fencing = std::max(highest_reported_fencing, seen.report.fencing);
@@ -117,7 +118,7 @@
         return;
     vms.quarantine(found.vm, now);
     out.emplace_back(notice{log_level::warning, "straggler_replaced", found.vm.value(),
-                            "it slows its group down"});
+                            "the VM slows its group down; it is quarantined"});
 }
 
 void domain_manager::state::on_event(const order_result& answer, time_point)
@@ -131,7 +132,7 @@
     if (!is_record_key(settings.deployment, entry.key))
         return;
     if (entry.mod_revision == 0) {
-        // Never written. Only the answer to a read of our own key says so.
+        // Never written. Only a read of this domain's own key can return such an entry.
         record_read = record_read || entry.key == record_key(settings.deployment, settings.domain);
         return;
     }
@@ -165,7 +166,7 @@
     std::vector<kv_entry> entries;
     if (!lead.take(answer, now, out, entries) || !answer.outcome)
         return;
-    record_read = true; // the record came along, or there is none
+    record_read = true; // the answer includes the record, if there is one
     for (const kv_entry& entry : entries)
         apply_entry(entry, now);
 }
@@ -231,7 +232,7 @@
     const auto self = std::find_if(peers.begin(), peers.end(),
                                    [&](const peer_row& row) { return row.node == settings.self; });
     if (self == peers.end())
-        return true; // knows of no peers: nobody else may be there
+        return true; // no peers are known, so this node may be the only one
     for (const peer_row& row : peers) {
         if (row.failure_domain == self->failure_domain)
             names.push_back(row.node.value());
@@ -262,7 +263,7 @@
     }
 }
 
-void domain_manager::state::set_aside_stalled(time_point now)
+void domain_manager::state::quarantine_stalled(time_point now)
 {
     for (auto& [vm, view] : vms.all()) {
         const bool stalled = vms.fresh(view, now) && view.report->state == member_state::loading &&
@@ -270,8 +271,8 @@
         if (!stalled || now < view.quarantined_until)
             continue;
         vms.quarantine(vm, now);
-        out.emplace_back(
-            notice{log_level::warning, "load_stalled", vm.value(), "no progress; it is set aside"});
+        out.emplace_back(notice{log_level::warning, "load_stalled", vm.value(),
+                                "the load makes no progress; the VM is quarantined"});
     }
 }
 
@@ -306,7 +307,7 @@
     if (!leading && !deputy)
         return;
     send_probes(now);
-    set_aside_stalled(now);
+    quarantine_stalled(now);
     if (deputy) {
         plan.assess(make_plan_input(now));
         send_orders(now, true);
@@ -319,8 +320,9 @@
     domain_record next = plan.next(make_plan_input(now), notices);
     const bool may_write =
         record_call.kind == call_kind::none && now - last_write >= settings.min_write_interval;
-    // Engines that check would refuse every order until the record's revision has passed the number
-    // they took elsewhere: writing it again raises it, since all keys share one revision.
+    // An engine that checks fencing numbers refuses every order until the record's revision reaches
+    // the highest number that it has accepted. Writing the record, even unchanged, raises its
+    // revision, since all keys of the store share one revision counter.
     const bool raise_revision =
         highest_reported_fencing > record.revision && now - last_read >= min_read_interval;
     if (may_write && (raise_revision || !same_assignment(next, record))) {
--- a/groups/manager.h
+++ b/groups/manager.h
@@ -1,11 +1,11 @@
-// The manager of one fabric domain: decides which VMs form which groups, writes that to the
-// domain's record, and orders the engines to follow it.
+// The manager of one fabric domain: decides which VMs form which groups, writes the decision to the
+// domain's record, and sends the engines the orders that carry it out.
 //
 //   domain_manager manager{{.deployment = "apred", .self = node, .domain = domain}};
 //   auto commands = manager.handle(groups::tick{}, runtime_clock::now());
 //
-// Every daemon runs one for each fabric domain of its own failure domain. Only the one that holds
-// the domain's lease writes and orders; the others follow the record and are ready to take over.
+// Every daemon runs one for each fabric domain of its own failure domain. Only the manager that
+// holds the domain's lease writes and sends orders; the others follow the record as backups.
 #pragma once
 
 #include "groups/record.h"
@@ -24,48 +24,69 @@
 using manager_command =
     std::variant<kv_call, lease_grant, lease_renew, probe, order_assign, order_release, notice>;
 
-/// Times and bounds of a manager. The defaults suit one millisecond between VMs.
+/// Times and limits of a manager. The defaults suit a latency of 1 ms between VMs.
 struct manager_settings {
     std::string deployment;
     node_id self;
     fabric_domain_id domain;
-    std::chrono::seconds lease{10};    ///< of the manager's key
-    duration lease_margin = 2s;        ///< the manager stops itself this much before the lease
-    duration campaign_period = 2s;     ///< between two looks at who manages the domain
-    duration call_timeout = 2s;        ///< a call unanswered for this long counts as lost
-    duration probe_period = 1s;        ///< between two probes of one VM
-    duration report_horizon = 3s;      ///< an older report says nothing
-    duration order_horizon = 8s;       ///< no order takes effect later than this after its sending
-    duration order_timeout = 2s;       ///< an order not sent by then is dropped
-    duration order_retry = 4s;         ///< before an order without effect is sent again
-    std::uint32_t order_attempts = 5;  ///< orders without effect before the VM is set aside
-    duration quarantine = 300s;        ///< how long a VM that failed at its task isn't used
-    duration load_stall_timeout = 60s; ///< loading without progress for this long has failed
-    duration leave_notice = 120s;      ///< a member leaving within this is replaced now
-    duration hold_down = 15s; ///< a silent member is waited for this long before others pay for it
-    duration drain_timeout = 600s; ///< a retiring group is released after this at the latest
-    duration platform_timeout =
-        12s;                       ///< platform silent this long: bound standbys swap in without it
-    duration reassign_delay = 30s; ///< a shift of groups between domains has to last this long
-    duration min_write_interval = 500ms; ///< between two writes of the record
-    std::uint32_t loads_at_once = 8;     ///< VMs loading at a time; one whole group always may
-    duration expected_load_time = 90s;   ///< one member's load, for weighing repairs
-    duration expected_replacement_time = 600s; ///< until the platform replaces a lost VM, likewise
+    /// Of the manager's key.
+    std::chrono::seconds lease{10};
+    /// The manager stops leading this long before its lease expires.
+    duration lease_margin = 2s;
+    /// Between two reads of the manager's key by a candidate.
+    duration campaign_period = 2s;
+    /// A call without an answer after this time counts as lost.
+    duration call_timeout = 2s;
+    /// Between two probes of one VM.
+    duration probe_period = 1s;
+    /// Maximum age of a report; an older one is not used.
+    duration report_horizon = 3s;
+    /// An order takes effect within this time of its sending, or never.
+    duration order_horizon = 8s;
+    /// An order not sent within this time is dropped.
+    duration order_timeout = 2s;
+    /// Before an order without effect is sent again.
+    duration order_retry = 4s;
+    /// Orders without effect after which the VM is quarantined.
+    std::uint32_t order_attempts = 5;
+    /// How long a VM is not used after a failure.
+    duration quarantine = 300s;
+    /// A load without progress for this long has failed.
+    duration load_stall_timeout = 60s;
+    /// A member that leaves within this time is replaced now.
+    duration leave_notice = 120s;
+    /// How long to wait for an unresponsive VM before other groups give up VMs for its replacement.
+    duration hold_down = 15s;
+    /// A draining group counts as drained after this time at the latest.
+    duration drain_timeout = 600s;
+    /// The platform counts as unreachable after this time without an answer. Groups then switch to
+    /// their bound standbys without a new record.
+    duration platform_timeout = 12s;
+    /// How long a reason to move groups between domains must persist.
+    duration reassign_delay = 30s;
+    /// Between two writes of the record.
+    duration min_write_interval = 500ms;
+    /// VMs that load at a time; a single group may always load all its members.
+    std::uint32_t loads_at_once = 8;
+    /// Of one member, to compare the costs of repairs.
+    duration expected_load_time = 90s;
+    /// Of a lost VM by the platform, to compare the costs of repairs.
+    duration expected_replacement_time = 600s;
 };
 
-/// What a manager is about, for status pages and metrics.
+/// A manager's state, for status pages and metrics.
 struct manager_status {
     bool leading = false;
-    bool platform_unreachable = false; ///< the platform does not answer
+    bool platform_unreachable = false; ///< no answer for `platform_timeout`
     fencing_number record_revision;
     std::size_t groups = 0;
     std::size_t complete_groups = 0;
-    std::size_t spares = 0;
+    std::size_t spares = 0; ///< VMs that may join a group
     std::uint64_t record_writes = 0;
     std::uint64_t orders = 0;
 };
 
-/// Decides for one fabric domain. Pure: no clock, no sockets, no threads.
+/// Makes the decisions for one fabric domain. It has no clock, sockets or threads of its own.
 class domain_manager {
 public:
     explicit domain_manager(manager_settings settings);
@@ -75,10 +96,10 @@
     domain_manager(const domain_manager&) = delete;
     domain_manager& operator=(const domain_manager&) = delete;
 
-    /// Takes one event at `now` and says what is to be done, in order.
+    /// Handles one event at `now`. Returns the commands to execute, in order.
     std::vector<manager_command> handle(const manager_event& event, time_point now);
 
-    /// The record as last known.
+    /// The record as last read or written.
     [[nodiscard]] const domain_record& record() const noexcept;
     [[nodiscard]] manager_status status(time_point now) const;
 
--- a/groups/record.cc
+++ b/groups/record.cc
@@ -1,5 +1,5 @@
-// The record's JSON form. Reading is strict: a value that names a VM twice, or a group twice, was
-// not written by a manager and is refused whole, so the last good record stays in force.
+// The record's JSON form. Parsing is strict: a value that names a VM or a group twice was not
+// written by a manager and is rejected, so the last valid record stays in force.
 #include "groups/record.h"
 
 #include <algorithm>
@@ -12,7 +12,7 @@
 namespace {
 
 constexpr std::string_view record_suffix = "/record";
-constexpr std::size_t max_record_bytes = 1U << 20U; ///< the platform's largest value
+constexpr std::size_t max_record_bytes = 1U << 20U; ///< the largest value of the platform's store
 
 json::array format_members(const std::vector<member>& members)
 {
--- a/groups/repair.cc
+++ b/groups/repair.cc
@@ -1,17 +1,18 @@
-// Where VMs go that are free, and which group is given up for which.
+// Assigns free VMs to groups, and decides when one group is dissolved to repair another.
 //
-// The choice is by cost = w_down x group-seconds down + w_idle x accelerator-seconds idle, with the
-// weights of the pool's row. A lost VM is replaced by the platform after about
-// `expected_replacement_time`, whatever we do; a VM at hand loads in about `expected_load_time`.
-// Hence in this order:
+// Alternatives are compared by cost = w_down x group-seconds down + w_idle x accelerator-seconds
+// idle, with the weights of the pool's row. The platform replaces a lost VM after about
+// `expected_replacement_time` in any case; an available VM loads in about `expected_load_time`.
+// This gives the following order of sources for a replacement:
 //
-// - a bound standby or a spare: its accelerators idle anyway, so using one costs nothing;
-// - a standby bound elsewhere and not needed there: likewise;
-// - a member of another broken group: both groups lack VMs that come in about the same time, so
-//   together they can have one whole group now and the other when the last VM comes;
-// - a group of a pool of lower rank gives way (allotment.cc): by rank, not by cost, since ranks are
-//   what operators write to say so;
-// - wait: what remains, and what is done for the first `hold_down` of a silence.
+// - a bound standby or a spare: its accelerators are idle anyway, so using it costs nothing;
+// - a standby bound to another group that does not need it: likewise;
+// - a member of another broken group: the VMs that both groups lack are replaced at about the same
+//   time, so one group can be complete now and the other once the last VM has arrived;
+// - a group of a pool of lower rank, which the domain's pool shares select: by rank and not by
+//   cost, since operators set ranks to express this preference;
+// - otherwise wait for the platform; this is also done during the first `hold_down` after a VM
+//   becomes unresponsive.
 #include "groups/plan_pass.h"
 
 namespace jaynotch::groups {
@@ -23,14 +24,15 @@
     return std::chrono::duration<double>(span).count();
 }
 
-/// How long until the platform has replaced the lost members of `sight`, by experience.
+/// Estimates the time until the platform has replaced the group's lost members.
 duration expected_wait(const group_health& health, const manager_settings& settings, time_point now)
 {
     duration longest{0};
     for (const place_health& place : health.places) {
         if (!place.lost || place.substitute)
             continue;
-        // One that is overdue isn't expected at once: the longer it took, the less is known.
+        // An overdue replacement is not expected at once: at least a quarter of the usual time is
+        // assumed to remain.
         const duration left = settings.expected_replacement_time - (now - place.lost_since);
         longest = std::max(longest, std::max(left, settings.expected_replacement_time / 4));
     }
@@ -104,7 +106,7 @@
         if (!group.retiring && health(group).uncovered > 0)
             broken.push_back(&group);
     }
-    // The one soonest whole goes first: only whole groups count.
+    // Within a rank, the group that lacks the fewest VMs comes first: only complete groups serve.
     std::stable_sort(broken.begin(), broken.end(),
                      [&](const group_assignment* left, const group_assignment* right) {
                          const pool* a = pool_of(*left);
@@ -121,7 +123,8 @@
             bound += self.m_substitutes.chosen(group->group, standby.vm) ? 0 : 1;
         const std::size_t uncovered = health(*group).uncovered;
         const std::size_t need = uncovered - std::min(uncovered, bound);
-        // Half a repair repairs nothing, and would hold VMs that complete another group.
+        // A partial repair does not complete the group, and would occupy VMs that could complete
+        // another one.
         if (spares().size() + unneeded_standbys() < need)
             continue;
         for (std::size_t i = 0; i < need; ++i) {
@@ -179,7 +182,8 @@
 void planner::pass::add_group(const pool& row, const group_id& replaces)
 {
     group_assignment group;
-    // The revision that this plan starts from is overwritten once only, so the id is new.
+    // At most one write can succeed on the revision that this plan starts from, so the id is
+    // unique.
     group.group =
         group_id{row.name.value() + "-" + next.domain.value() + "-" +
                  std::to_string(in.record.revision.value()) + "-" + std::to_string(m_added++)};
@@ -218,8 +222,9 @@
 
 void planner::pass::bind_spares()
 {
-    // A spare idles bound or unbound, and a bound one can be used while the platform is dark; so
-    // all are bound, first to the groups whose downtime weighs most.
+    // A spare is idle whether it is bound or not, and a bound one can be used while the platform is
+    // unreachable. So all spares are bound: each to the group with the fewest standbys and, among
+    // equals, with the costliest downtime.
     while (!spares().empty()) {
         group_assignment* target = nullptr;
         double target_weight = 0.0;
--- a/groups/rollout.cc
+++ b/groups/rollout.cc
@@ -1,15 +1,16 @@
-// New versions, adapters and sizes. A group never mixes two of them: its record
-// names one, and a ticket needs every member to report that one.
+// Rollout of new models, versions, adapters and group sizes. A group never mixes
+// two of them: its record names one, and a ticket requires that every member
+// reports that one.
 //
-// The same way serves a group that a member is about to leave: with enough free
-// VMs a whole group is built beside it, so that no request has to wait for a
-// switch; a standby is loaded for the place as well, in case the VM goes before
-// the new group is whole.
+// With enough free VMs a new group is built while the old one serves, and
+// replaces it once it is complete. Otherwise one group at a time is drained and
+// loads the new version on its own VMs, while the pool's other groups serve the
+// old one; domains do so one after another, in the order of their names.
 //
-// With enough free VMs a new group is built beside the old one, which serves
-// until the new one is whole. Without, one group at a time is drained and loads
-// the new version on its own VMs, while the pool's other groups serve the old
-// one; domains take turns in the order of their names.
+// A group with a member that is about to leave is replaced in the same way: with
+// enough free VMs a complete new group is built first, so that no request has to
+// wait for a switch. A standby is loaded for the member's place as well, in case
+// the VM leaves before the new group is complete.
 #include "groups/plan_pass.h"
 
 namespace jaynotch::groups {
@@ -23,7 +24,7 @@
             group.adapters != row.adapters || group.members.size() != row.replica_vms);
 }
 
-/// Whether a domain that goes before this one still has groups to change.
+/// Whether a domain before this one, in the order of names, still has outdated groups.
 bool earlier_domain_outdated(const record_map& records, const fabric_domain_id& self,
                              const pool& row)
 {
@@ -64,12 +65,12 @@
     for (group_assignment& group : next.groups) {
         const group_assignment* old = find(group.replaces);
         const bool ready = old != nullptr && complete(group);
-        // Whole in the manager's sight is not yet a ticket: the watchers need
-        // another probe.
+        // A group that is complete by the manager's reports may not have a ticket
+        // yet: the watchers need another probe.
         if (lasting("ready", group.group, ready) < in.settings.report_horizon || !ready)
             continue;
-        // Whole: it takes over, and the old one finishes what it has in flight.
-        start_drain(*find(group.replaces), true, "replaced by a group built beside it");
+        // The new group takes over, and the old one finishes its requests in flight.
+        start_drain(*find(group.replaces), true, "replaced by a new group");
         group.replaces = group_id{};
     }
     for (const pool* row : pools_by_rank(in.tables)) {
@@ -90,7 +91,7 @@
             if (!group.draining || !drained(group))
                 continue;
             if (group.members.size() != row->replica_vms) {
-                erase(id, "of another size");
+                erase(id, "its size differs from the pool's");
                 continue;
             }
             group.model = row->model;
@@ -101,7 +102,8 @@
         }
         std::erase_if(
             old, [&](const group_id& id) { return find(id) == nullptr || !outdated(*find(id)); });
-        // A broken one serves nobody: it changes first, and costs nothing.
+        // An incomplete group serves no requests, so its change costs nothing and
+        // comes first.
         const auto first = std::stable_partition(
             old.begin(), old.end(), [&](const group_id& id) { return !complete(*find(id)); });
         const bool one_draining = std::any_of(
@@ -113,7 +115,7 @@
             add_group(*row, old.front());
             continue;
         }
-        start_drain(*find(old.front()), false, "changes version in place");
+        start_drain(*find(old.front()), false, "loads the new version in place");
     }
 }
 
--- a/groups/ticket_board.cc
+++ b/groups/ticket_board.cc
@@ -1,15 +1,15 @@
-// A ticket rests on three things that agree: the domain's record (which VMs may form the group),
-// every member's own report (group, rank, the same list of members, version, loaded), and the age
-// of the oldest of these reports, from which the ticket's end is counted.
+// A ticket requires that the domain's record (which VMs may form the group) and every member's own
+// report (group, rank, the same list of members, version, loaded) agree. It expires a fixed time
+// after the oldest of these reports.
 //
-// A composition may take bound standbys in the place of members: the record binds them to this
-// group alone, so a switch made while the platform is dark needs no new record.
+// A composition may have bound standbys in place of members: the record binds them to this group
+// only, so a switch made while the platform is unreachable needs no new record.
 //
-// Why two tickets never share a VM, on any two nodes, even where engines ignore fencing numbers: a
-// ticket ends at most `ticket_horizon` after the reports it rests on, and a VM counts towards its
-// new group only after it has been seen there for `settled`, which is longer. A manager that wakes
-// from a pause can thus pull a VM out of a whole group, which costs availability, but the group it
-// pulls the VM into gets no ticket before the other's is gone.
+// No two tickets share a VM, on any two nodes, even if engines ignore fencing numbers: a ticket
+// expires at most `ticket_horizon` after the reports behind it, and a VM counts towards a new group
+// only once its reports have shown that group for `settling_time`, which is longer. A manager that
+// resumes after a pause can thus take a VM out of a complete group, which costs availability, but
+// the VM's new group gets no ticket before the old group's ticket has expired.
 #include "groups/ticket_board.h"
 
 #include "groups/vm_table.h"
@@ -23,23 +23,23 @@
 
 namespace {
 
-/// What is known of a VM from this node's own probes.
+/// What this node's own probes show of a VM.
 struct watched_vm {
     std::string address;
     std::optional<member_report> report;
     time_point sent_at;
-    time_point same_group_since;
-    time_point same_place_since; ///< receipt of the first report of its present place, ready
+    time_point same_group_since; ///< receipt of the first report that showed its present group
+    time_point same_place_since; ///< receipt of the first report that showed its present place
     time_point last_probe;
-    group_id named_in; ///< the group whose record names it
+    group_id named_in; ///< the group to which the record assigns it
 };
 
-/// What is known of a group.
+/// What this node knows about a group.
 struct watched_group {
     group_assignment assigned;
     fabric_domain_id domain;
     bool watching = false;
-    std::optional<complete_group> ticket; ///< the one in force here
+    std::optional<complete_group> ticket; ///< valid on this node
 };
 
 std::vector<member> candidates_of(const group_assignment& group)
@@ -49,7 +49,7 @@
     return all;
 }
 
-/// Whether two reports show the same loaded place.
+/// Whether two reports show the same place in the same state.
 bool same_place(const member_report& left, const member_report& right)
 {
     return left.group == right.group && left.rank == right.rank && left.members == right.members &&
@@ -102,16 +102,17 @@
     const bool continuity_lost = !observed.report || observed.report->group != seen.report.group ||
                                  observed.report->boot != seen.report.boot ||
                                  now - observed.sent_at >= settings.settling_time;
-    // A gap as long as `settled` could hide a stay in another group that was long enough for a
-    // ticket. From the answer, not from the sending: the VM may have moved just before it answered
-    // (models/claim_fence.pml, -DSETTLED_FROM_SENDING).
+    // A gap of `settling_time` could hide membership of another group for long enough to get a
+    // ticket. The time counts from the receipt of the answer, not from the sending of the request,
+    // since the VM may have moved just before it answered (models/claim_fence.pml,
+    // -DSETTLED_FROM_SENDING).
     if (continuity_lost)
         observed.same_group_since = now;
     if (continuity_lost || !same_place(*observed.report, seen.report))
         observed.same_place_since = now;
     observed.report = seen.report;
     observed.sent_at = seen.sent_at;
-    // A report that contradicts a ticket ends it now, not at the next tick.
+    // A report that contradicts a ticket ends it at once, not at the next tick.
     if (const auto group = groups.find(observed.named_in); group != groups.end())
         evaluate(group->second, now);
 }
@@ -157,7 +158,7 @@
         }
     }
     for (auto& [id, group] : kept)
-        withdraw(group); // not in the record any more
+        withdraw(group); // no longer in the record
     drop_unnamed_vms();
     choose_watchers();
     for (auto& [id, group] : groups) {
@@ -188,7 +189,7 @@
 {
     for (auto& [id, group] : groups) {
         if (peers.empty()) {
-            group.watching = true; // nobody else is known
+            group.watching = true; // no peers are known
             continue;
         }
         const auto first = rendezvous(id.value(), peers, settings.watchers);
@@ -202,10 +203,10 @@
 {
     const auto at = groups.find(seen.group.group);
     if (at == groups.end())
-        return; // its record is not known here yet, or no more
+        return; // not in any record known to this node
     watched_group& group = at->second;
     if (!seen.complete) {
-        // A watcher's own eyes go before hearsay; the others believe the withdrawal at once.
+        // A watcher relies on its own probes; the other nodes apply the withdrawal at once.
         if (!group.watching)
             withdraw(group);
         return;
@@ -263,12 +264,12 @@
 void ticket_board::state::evaluate(watched_group& group, time_point now)
 {
     if (group.ticket && group.ticket->valid_until <= now) {
-        // Not pushed: another watcher may still see the group whole.
+        // Not pushed: another watcher may still find the group complete.
         out.emplace_back(notice{log_level::warning, "ticket_expired", group.assigned.group.value(),
-                                "no fresh word of every member"});
+                                "not every member has a fresh report"});
         group.ticket.reset();
     }
-    // A node that has no reports of its own goes by what the watchers push.
+    // A node without reports of its own relies on the tickets that the watchers push.
     const bool has_own_reports = std::any_of(
         group.assigned.members.begin(), group.assigned.members.end(), [&](const member& one) {
             const auto at = vms.find(one.vm);
@@ -279,8 +280,8 @@
         return;
     const auto members = composition(group.assigned, now);
     if (!members) {
-        // Silence of one member may be this node's own line: the ticket runs out by itself. A
-        // report that contradicts it ends it at once.
+        // A missing report may be due to this node's own network, so the ticket is left to expire.
+        // A report that contradicts the ticket ends it at once.
         if (group.ticket && contradicted(*group.ticket))
             withdraw(group);
         return;
@@ -313,7 +314,8 @@
 {
     if (composition_holds(group, group.members, now))
         return group.members;
-    // The leader of a switched composition names it; the others must name the same.
+    // After a switch, the leader's report lists the new composition; the other members' reports
+    // must list the same.
     const std::vector<member> allowed = candidates_of(group);
     for (const member& leader : allowed) {
         const auto at = vms.find(leader.vm);
@@ -341,9 +343,9 @@
                                             const std::vector<member>& members,
                                             time_point now) const
 {
-    // Two fresh reports may still be of different moments: one member ready and then gone, the
-    // other ready only after that. So there has to be an instant at which all are known to be
-    // ready.
+    // Two fresh reports may describe different moments: one member was ready and then left its
+    // place, and the other became ready only after that. So there must be an instant at which all
+    // members are known to have been ready.
     time_point all_since = time_point::min();
     time_point all_until = time_point::max();
     for (std::size_t rank = 0; rank < members.size(); ++rank) {
--- a/groups/types.h
+++ b/groups/types.h
@@ -1,12 +1,12 @@
-// What the decision cores of `groups` are told and what they ask for. All of it is plain data in
-// the core's own terms; the daemon's shell translates it to and from the platform's adapters.
+// Events and commands of the decision cores in `groups`. All of them are plain data; the daemon's
+// driver translates them to and from the platform's adapters.
 //
 //   domain_manager manager{settings};
 //   for (auto& wanted : manager.handle(groups::vms_seen{rows, age}, now))
 //       std::visit(carry_out, wanted);
 //
-// Every `request sent at` is a reading of this node's own clock from before the request left. All
-// ages are counted from it, so that a slow or late answer only looks older than it is.
+// Every `sent_at` is a reading of this node's own clock taken before the request was sent. All ages
+// are counted from it, so a slow answer can only look older than it is, never fresher.
 #pragma once
 
 #include "base/base.h"
@@ -31,20 +31,20 @@
     failure_domain_id failure_domain;
     std::uint32_t accelerators = 0;
     bool leaving = false;
-    std::chrono::milliseconds leaves_in{0}; ///< from now, if leaving; 0 if not told
+    std::chrono::milliseconds leaves_in{0}; ///< from now, if leaving; 0 if unknown
 
     friend bool operator==(const vm_row&, const vm_row&) = default;
 };
 
-/// What an engine says that it is doing.
+/// The state that an engine reports for itself.
 enum class member_state { idle, loading, ready, releasing, failed };
 
-/// An engine's own word, GET /control/report. Nothing in it is trusted alone.
+/// An engine's report about itself, GET /control/report. No decision rests on one report alone.
 struct member_report {
     vm_id vm;
     std::string boot;       ///< changes when the engine restarts
     group_id group;         ///< empty if none
-    fencing_number fencing; ///< of the last order that it took
+    fencing_number fencing; ///< of the last order that it accepted
     std::uint32_t rank = 0;
     std::vector<std::string> members; ///< addresses by rank
     std::string model;
@@ -61,7 +61,7 @@
     friend bool operator==(const member_report&, const member_report&) = default;
 };
 
-/// A VM of a group, as the record names it.
+/// A VM of a group, as named in the record.
 struct member {
     vm_id vm;
     std::string address;
@@ -69,22 +69,22 @@
     friend bool operator==(const member&, const member&) = default;
 };
 
-/// Identifies a call, so that its answer finds its way back.
+/// Identifies a call, to match its answer to it.
 using call_token = strong_id<struct call_tag, std::uint64_t>;
 
 // Events.
 
-/// The platform's list as last read. `age` is how old the platform says that it is.
+/// The platform's VM list as last read. `age` is its age as stated by the platform.
 struct vms_seen {
     std::vector<vm_row> rows;
     duration age{0};
 };
 struct report_seen {
-    vm_id vm; ///< the VM that was asked; an answer naming another is a lie
+    vm_id vm; ///< the VM that was asked; an answer that names another one is refused
     member_report report;
     time_point sent_at; ///< this node's clock before the request left
 };
-/// No answer, or one that could not be read.
+/// No answer, or one that could not be parsed.
 struct report_failed {
     vm_id vm;
 };
@@ -97,12 +97,12 @@
     call_token token;
     result<lease_id> lease = error{};
 };
-/// A fabric domain's record as the watch on `record_prefix()` or a peer shows it; also of other
-/// domains. Older ones than known are ignored.
+/// A fabric domain's record, from the watch on `record_prefix()` or from a peer; records of other
+/// domains are delivered too. A revision older than the known one is ignored.
 struct record_seen {
     kv_entry entry;
 };
-/// The tables in force have changed.
+/// The active configuration tables have changed.
 struct tables_installed {
     std::shared_ptr<const configuration> tables;
 };
@@ -113,7 +113,7 @@
     vm_id vm;
     order_answer answer = order_answer::failed;
 };
-/// A daemon that is alive, this one included.
+/// A live daemon; the list includes this one.
 struct peer_row {
     node_id node;
     failure_domain_id failure_domain;
@@ -123,11 +123,11 @@
 struct peers_seen {
     std::vector<peer_row> peers;
 };
-/// A member slows its group down (groups/straggler.h): it is replaced without a break.
+/// The VM slows its group down; it is to be replaced without interrupting the group.
 struct straggler_found {
     vm_id vm;
 };
-/// Time has passed; send one every 100 ms to 1 s.
+/// Periodic timer event; send one every 100 ms to 1 s.
 struct tick {};
 
 // Commands.
@@ -144,15 +144,15 @@
     call_token token;
     lease_id lease;
 };
-/// Ask the engine for its report. The shell may drop it while an earlier one to the same VM is
-/// under way, and hands the answer to the manager and to the ticket board alike.
+/// Request the engine's report. The driver may drop the probe while an earlier one to the same VM
+/// is in flight, and delivers the answer to both the manager and the ticket board.
 struct probe {
     vm_id vm;
     std::string address;
 };
-/// POST /control/assign. `order` names it; send it once, never repeat it blindly, and drop it
-/// unsent if it can't be sent before `not_after`: an order from the past is what the fencing number
-/// and the order horizon guard against.
+/// POST /control/assign. `order` is the order's unique name. Send it at most once, and drop it if
+/// it can't be sent before `not_after`: the fencing number and the order horizon guard against
+/// stale orders, and a resend would be one.
 struct order_assign {
     call_token token;
     std::string order;
@@ -177,7 +177,7 @@
     fencing_number fencing;
     group_id group;
 };
-/// Something for the log; `kind` is a fixed word listed in docs/operations-groups.md.
+/// A log event; `kind` is one of the fixed names listed in docs/operations-groups.md.
 struct notice {
     log_level level = log_level::info;
     std::string kind;
@@ -185,7 +185,7 @@
     std::string detail;
 };
 
-/// A load report of a whole group, as old as the ticket.
+/// The load of a complete group, from the same reports as its ticket.
 struct group_load {
     std::uint32_t running = 0;
     std::uint32_t waiting = 0;
@@ -195,27 +195,27 @@
     friend bool operator==(const group_load&, const group_load&) = default;
 };
 
-/// A group that may be given requests.
+/// A group to which requests may be sent.
 struct complete_group {
     group_id group;
     pool_id pool;
     fabric_domain_id fabric_domain;
     std::string leader;         ///< address of the member of rank 0
     std::vector<vm_id> members; ///< by rank
-    fencing_number fencing;     ///< as the leader reports it
+    fencing_number fencing;     ///< as reported by the leader
     std::string model;
     std::string version;
     std::vector<std::string> adapters;
-    bool draining = false; ///< gets no new requests; those in flight finish
+    bool draining = false; ///< receives no new requests; those in flight finish
     group_load load;
-    time_point valid_until; ///< after it the group must not be given a request
+    time_point valid_until; ///< no request may be sent to the group from this time on
 
     friend bool operator==(const complete_group&, const complete_group&) = default;
 };
 
-/// A ticket was issued, changed or renewed; or withdrawn (`complete` false) because a member's word
-/// or the record contradicts it: that goes to the peers at once and ends it whatever its time says.
-/// A ticket that merely runs out is not announced.
+/// A ticket was issued, changed or renewed; or, with `complete` false, withdrawn because a member's
+/// report or the record contradicts it. A withdrawal is pushed to the peers at once and ends the
+/// ticket before `valid_until`. A ticket that merely expires is not announced.
 struct ticket_changed {
     complete_group group;
     bool complete = false;
--- a/groups/vm_table.cc
+++ b/groups/vm_table.cc
@@ -1,10 +1,10 @@
-// Two rules keep a VM out of two groups even where engines ignore fencing numbers:
+// Two rules keep a VM from being in two groups even if engines ignore fencing numbers:
 //
-// - `same_group_since` counts from the first answer that showed the group (a VM may move just
-// before
-//   it answers), so a VM is "quiet" only if it has truly been in no group for a whole order
-//   horizon, longer than any order or ticket of its former group can live;
-// - a VM that the list names in two domains is never newly assigned, by neither of the managers.
+// - `same_group_since` is the receipt of the first answer that showed the group, since a VM may
+// move
+//   just before it answers. A VM is therefore assignable only if it has been in no group for a full
+//   `order_horizon`, which is longer than any order or ticket of its former group stays valid.
+// - A VM that the list names in two domains is not newly assigned by either domain's manager.
 #include "groups/vm_table.h"
 
 #include <algorithm>
@@ -13,8 +13,8 @@
 
 namespace {
 
-constexpr std::size_t max_members = 1024; ///< more in a report is no report
-constexpr std::size_t max_vms = 16384;    ///< rows of one domain that are kept
+constexpr std::size_t max_members = 1024; ///< a report with more is refused
+constexpr std::size_t max_vms = 16384;    ///< of one domain; further rows are ignored
 
 bool same_members(const std::vector<std::string>& addresses, const std::vector<member>& members)
 {
@@ -50,7 +50,7 @@
         if (fresh_row)
             view.unresponsive_since = now;
         if (view.id.address != row->address)
-            view.report.reset(); // another machine under the old name
+            view.report.reset(); // another machine under the same id
         view.id = {vm, row->address};
         view.accelerators = row->accelerators;
         view.listed = true;
@@ -59,8 +59,8 @@
             view.leaves_at = now + row->leaves_in;
         view.leaving = row->leaving;
     }
-    // A VM that vanished from the list is kept as long as its engine answers: the list lags. One
-    // that the list now names in another domain only is that domain's.
+    // The list may lag, so a VM that is missing from it is kept as long as its engine answers. A VM
+    // listed only in another domain belongs to that domain and is removed.
     std::erase_if(m_vms, [&](const auto& entry) {
         return !entry.second.listed && (!fresh(entry.second, now) || first.contains(entry.first));
     });
@@ -70,14 +70,15 @@
 {
     vm_view* view = find(seen.vm);
     if (view == nullptr)
-        return true; // not ours
+        return true; // of another domain
     if (seen.report.vm != seen.vm || seen.report.members.size() > max_members) {
         quarantine(seen.vm, now);
         return false;
     }
     if (view->report && seen.sent_at < view->reported_at)
-        return true; // overtaken by a later one
-    // After a silence nobody knows what the VM did in between: it has to be seen anew.
+        return true; // older than the known report
+    // After a gap in the reports the VM may have been in another group meanwhile, so its time in
+    // the group is counted anew.
     const bool continuity_lost = !view->report || view->report->group != seen.report.group ||
                                  view->report->boot != seen.report.boot ||
                                  now - view->reported_at > m_settings->report_horizon;
