--- a/groups/fake_check.cc
+++ b/groups/fake_check.cc
@@ -1,9 +1,9 @@
-// What is checked after every step, from the world's own all-knowing view:
+// The invariants checked after every step, from the simulation's complete state:
 //
-// - the records name no VM twice, across all domains;
-// - the tickets in force, on all nodes together, name no VM twice for different groups;
-// - a ticket in force names a group whose engines all believed in it, loaded, at most one ticket
-//   horizon ago.
+// - the records of all domains together name no VM twice;
+// - the valid tickets of all nodes together name no VM for two different groups;
+// - every valid ticket names a composition that all its engines reported as ready at the same
+//   moment, at most one ticket horizon (and one step) ago.
 #include "groups/fake_world.h"
 
 #include <algorithm>
@@ -43,7 +43,7 @@
             }
         }
     }
-    // Which compositions all their engines believe in, at this moment.
+    // The compositions that all their engines report as ready at this moment.
     std::map<std::string, vm_id> by_address;
     for (const auto& [vm, engine] : m_engines)
         by_address[engine->row.address] = vm;
@@ -77,7 +77,7 @@
             const auto last = m_last_complete.find(composition_name(group.group, group.members));
             const duration horizon = board_settings{}.ticket_horizon + m_options.step;
             if (last == m_last_complete.end())
-                add_violation("ticket for a group that was never whole: " + group.group.value());
+                add_violation("ticket for a group that was never complete: " + group.group.value());
             else if (m_now - last->second > horizon)
                 add_violation("ticket outlived its horizon: " + group.group.value());
             for (const vm_id& vm : group.members) {
--- a/groups/fake_fleet.cc
+++ b/groups/fake_fleet.cc
@@ -1,5 +1,5 @@
-// The store follows etcd v3: one revision for all keys, a put's mod_revision is the store's new
-// one, and a key goes when its lease does.
+// The store behaves like etcd v3: all keys share one revision counter, a put's mod_revision is the
+// store's new revision, and a key is deleted when its lease expires.
 #include "groups/fake_fleet.h"
 
 namespace jaynotch::groups {
@@ -37,7 +37,7 @@
     for (const kv_operation& operation : operations) {
         if (const auto* put = std::get_if<kv_put>(&operation)) {
             if (put->lease.value() != 0 && !m_leases.contains(put->lease)) {
-                outcome.succeeded = false; // the lease lapsed before the claim
+                outcome.succeeded = false; // the lease expired before the put
                 break;
             }
             m_revision += wrote ? 0 : 1;
--- a/groups/fake_registry.cc
+++ b/groups/fake_registry.cc
@@ -1,19 +1,18 @@
+// Time advances in steps of 10 ms. An order is executed and answered in the step after it was sent;
+// a lost one is executed 2 to 12 s later, regardless of other orders in between. If there is no
+// answer, the manager is told that the order is lost after the time for which its node waits.
 #include "groups/fake_registry.h"
 
 #include <algorithm>
 
-// Time goes in steps of 10 ms. An order is carried out in the step after it was sent, its answer
-// comes with it; a lost one is carried out 2 to 12 s later, whatever came between. Where no answer
-// comes, the manager is told so after as long as its node waits for one.
-
 namespace jaynotch::groups {
 
 namespace {
 
 constexpr duration step_time = 10ms;
 constexpr duration three_heartbeats = 3'600ms;
-constexpr duration answer_wait = 300ms;   ///< for a runner's answer to an order
-constexpr duration report_retention = 1s; ///< longer than reports may be late
+constexpr duration answer_wait = 300ms;   ///< a node's time-out for a runner's answer to an order
+constexpr duration report_retention = 1s; ///< more than any delay of reports
 
 bool has(const std::vector<std::string>& list, const std::string& wanted)
 {
@@ -108,16 +107,16 @@
 
 void fake_registry::kill(const std::string& id)
 {
-    fake_runner& gone = *find(id);
-    gone.alive = false;
-    gone.unlist_at = m_now + three_heartbeats;
+    fake_runner& stopped = *find(id);
+    stopped.alive = false;
+    stopped.unlist_at = m_now + three_heartbeats;
 }
 
 void fake_registry::disconnect(const std::string& id)
 {
-    fake_runner& gone = *find(id);
-    gone.reachable = false;
-    gone.unlist_at = m_now + three_heartbeats;
+    fake_runner& isolated = *find(id);
+    isolated.reachable = false;
+    isolated.unlist_at = m_now + three_heartbeats;
 }
 
 void fake_registry::expire_entry(const std::string& id, duration away)
@@ -153,7 +152,7 @@
 void fake_registry::store_up(duration entries_late)
 {
     m_store_down = false;
-    // A watch that was cut begins anew, and what it missed takes its time like any entry.
+    // The watch is re-established, and the entries that it missed are delayed like any other.
     for (auto& [at, row] : m_delayed_entries)
         at = std::max(at, m_now + m_entry_delay);
     for (auto& [id, at] : m_runners) {
@@ -162,7 +161,7 @@
             continue;
         }
         at.list_at = m_now + entries_late;
-        // The call that it had under way is done first, whatever has changed since.
+        // A write in flight at the outage takes effect first, even if it is outdated by now.
         if (const auto first = std::exchange(at.pending_entry, std::nullopt))
             publish_entry(*first);
     }
@@ -241,8 +240,8 @@
     runner_registry& known = *m_managers[manager].known;
     if (const auto* seen = std::get_if<runner_seen>(&event))
         known.take(seen->row, m_now);
-    else if (const auto* gone = std::get_if<runner_gone>(&event))
-        known.drop(gone->vm, m_now);
+    else if (const auto* absent = std::get_if<runner_gone>(&event))
+        known.drop(absent->vm, m_now);
     for (const formation_command& command : m_managers[manager].core.handle(event, m_now))
         carry_out(manager, command);
 }
@@ -263,9 +262,9 @@
         if (at != nullptr && at->alive && at->reachable)
             deliver(manager, runner_reported{report_of(*at)});
     }
-    else if (const auto* told = std::get_if<share_runner>(&command)) {
+    else if (const auto* shared = std::get_if<share_runner>(&command)) {
         for (const fake_manager& other : m_managers)
-            other.known->tell(told->word, m_now);
+            other.known->tell(shared->word, m_now);
     }
     else if (std::holds_alternative<ask_about_outage>(command)) {
         if (!m_store_down || peers_reach_store)
@@ -286,10 +285,10 @@
     }
     else if (const auto* renewed = std::get_if<lease_renew>(&command)) {
         const bool kept = m_store.keep_alive(renewed->lease, m_now).has_value();
-        const result<lease_id> told =
+        const result<lease_id> renewal_result =
             kept ? result<lease_id>{renewed->lease}
                  : result<lease_id>{error{error_kind::not_found, "the lease has ended", ""}};
-        deliver(manager, lease_result{renewed->token, told});
+        deliver(manager, lease_result{renewed->token, renewal_result});
     }
     else if (const auto* order = std::get_if<send_order>(&command)) {
         send(manager, *order);
@@ -316,15 +315,15 @@
 
 runner_report fake_registry::report_of(const fake_runner& at) const
 {
-    runner_report told{{at.row.id, at.row.born_ms, std::nullopt, {}}, 0};
+    runner_report current{{at.row.id, at.row.born_ms, std::nullopt, {}}, 0};
     for (const auto& [since, report] : at.reports) {
         if (since <= m_now - m_report_delay)
-            told = report;
+            current = report;
     }
-    return told;
+    return current;
 }
 
-/// From now on its reports tell what holds now.
+/// Records the runner's present state as the one that its reports show from `now` on.
 void fake_registry::note_report(fake_runner& at, time_point now)
 {
     at.reports.emplace_back(
@@ -339,7 +338,7 @@
     note_report(changed, m_now);
     if (m_store_down && changed.alive && changed.reachable && !changed.pending_entry)
         changed.pending_entry = changed.row;
-    // Until a runner writes its entry after an outage, the registry shows what it was before.
+    // After an outage the registry shows the old entry until the runner writes it again.
     const bool written = changed.listed && changed.alive && changed.reachable && !m_store_down &&
                          changed.list_at == time_point::max();
     if (!written)
@@ -356,11 +355,11 @@
         broadcast(runner_seen{row});
 }
 
-void fake_registry::unlist(fake_runner& gone)
+void fake_registry::unlist(fake_runner& unlisted)
 {
-    gone.listed = false;
-    m_published.erase(gone.row.id.value());
-    broadcast(runner_gone{gone.row.id});
+    unlisted.listed = false;
+    m_published.erase(unlisted.row.id.value());
+    broadcast(runner_gone{unlisted.row.id});
 }
 
 void fake_registry::publish_key()
--- a/groups/fake_registry.h
+++ b/groups/fake_registry.h
@@ -1,17 +1,19 @@
-// For tests: runners that register themselves, the platform's store as far as managers use it, and
-// the managers of one failure domain, all on a clock that the test moves.
+// A simulation for tests: runners that register themselves, the part of the platform's store that
+// managers use, and the managers of one failure domain, on a clock controlled by the test.
 //
 //   fake_registry world{{.managers = 2, .domains = 2, .runners = 9}};
 //   world.run(5s);
 //   world.kill("r-a-0");
 //   world.run(2s);
 //   cr_assert_eq(world.open_groups("big"), 2);
-//   cr_assert(world.broken().empty(), "%s", world.broken().c_str());
+//   cr_assert(world.violation().empty(), "%s", world.violation().c_str());
 //
-// Whatever the orders, three things must hold, and broken() says which did not: no runner joins
-// another group while the head of its own serves and it has not left; a head
-// opens only when all members were ready in it; no runner obeys an older fencing number than it has
-// seen.
+// Runners refuse an order whose fencing number is lower than one that they have accepted. Two
+// invariants of the orders are checked, and violation() describes the first violation:
+//
+// - a runner is not ordered to join another group while the head of its present group is open;
+// - a head is ordered to open only with the number of members that the model needs, after every
+//   live member has been ready in the group.
 #pragma once
 
 #include "groups/formation.h"
@@ -32,49 +34,52 @@
     std::size_t domains = 1; ///< fabric domains of the one failure domain
     std::size_t runners = 9; ///< in each of them
     std::uint64_t seed = 1;
-    bool traffic = false; ///< from the start: loads are slow
+    bool traffic = false; ///< whether there is traffic from the start, which slows loads
 };
 
 class fake_registry {
 public:
     explicit fake_registry(fake_registry_settings settings);
 
+    /// Advances the clock by `time`.
     void run(duration time);
     /// Runs until `done` holds; false if it doesn't within `longest`.
     bool run_until(const std::function<bool()>& done, duration longest);
-    /// The runner falls silent; its entry goes after the time of three heartbeats.
+    /// The runner stops; its entry expires after three heartbeat intervals.
     void kill(const std::string& id);
-    /// It starts again under its id; what was staged on its host is still there.
+    /// Starts the runner again under the same id; models staged on its host are kept.
     void restart_runner(const std::string& id);
-    /// The managers don't reach it and its entry goes, though it works on.
+    /// Cuts the runner off from the managers and the store; it continues to work, but its entry
+    /// expires.
     void disconnect(const std::string& id);
-    /// The entry of a runner that works on runs out and is written anew after `away`.
+    /// Removes the entry of a running runner; the runner writes it again after `away`.
     void expire_entry(const std::string& id, duration away);
+    /// Announces in the runner's entry that it is about to leave.
     void drain(const std::string& id);
     void add(const std::string& id, std::size_t domain);
     void begin_traffic();
-    /// The manager's process is gone at once; its lease runs out.
+    /// Stops the manager's process at once; its lease expires.
     void kill_manager(std::size_t index);
-    /// A fresh process in its place: it knows what the registry shows and nothing else.
+    /// Starts a new manager process in its place, which knows only what the registry shows.
     void start_manager(std::size_t index);
-    /// From now on, orders get no answer with this chance and are carried out up to 12 s later.
+    /// From now on, orders are with this probability unanswered and executed 2 to 12 s later.
     void lose_orders(double chance) { m_lost_orders = chance; }
-    /// From now on, orders are carried out at once but get no answer with this chance.
+    /// From now on, orders are with this probability unanswered, but executed at once.
     void lose_answers(double chance) { m_lost_answers = chance; }
-    /// From now on, runners tell in their reports what held this long ago.
+    /// From now on, reports show the runners' state of `late` ago.
     void delay_reports(duration late) { m_report_delay = late; }
-    /// From now on the managers hear of each entry this much later than it was written.
+    /// From now on, managers receive each entry `late` after it was written.
     void delay_entries(duration late) { m_entry_delay = late; }
-    /// Requests at the group of this head get nothing: every manager's node says so.
+    /// Reports to every manager that requests to this head's group get no answer.
     void report_unresponsive_group(const std::string& head);
-    /// The store answers nobody and shows nothing from now on; leases run out meanwhile.
+    /// Begins an outage of the store: no answers and no updates, while leases expire.
     void store_down();
-    /// Runners write their entries anew after `entries_late`; until then the registry shows what
-    /// they were before the outage.
+    /// Ends the outage. Runners write their entries again after `entries_late`; until then the
+    /// registry shows the entries from before the outage.
     void store_up(duration entries_late = duration{0});
-    /// Leases don't run out while the store is down, so a manager comes back with its old term.
+    /// Whether leases survive an outage of the store, so that a manager resumes its old term.
     bool leases_outlast_outages = false;
-    /// What other nodes say when they are asked about a silent runner.
+    /// Whether other nodes reach a runner that a manager does not reach.
     bool peers_reach_runner = false;
     /// Whether another node reaches the store while these managers don't.
     bool peers_reach_store = false;
@@ -82,13 +87,17 @@
     [[nodiscard]] std::size_t open_groups(const std::string& model) const;
     [[nodiscard]] std::string head_of(const std::string& model, std::size_t index) const;
     [[nodiscard]] std::vector<std::string> members_of(const std::string& head) const;
-    /// Runners that are in no open group.
+    /// Live runners that are in no open group.
     [[nodiscard]] std::vector<std::string> spare() const;
+    /// Number of live runners on whose hosts `model` is staged.
     [[nodiscard]] std::size_t staged(const std::string& model) const;
+    /// Number of managers that lead.
     [[nodiscard]] std::size_t leaders() const;
-    /// Index of a manager that leads; the number of managers if none does.
+    /// Index of the first manager that leads, or the number of managers if none does.
     [[nodiscard]] std::size_t leader() const;
+    /// The first violation of an invariant; empty if there is none.
     [[nodiscard]] const std::string& violation() const { return m_violation; }
+    /// Number of orders sent.
     [[nodiscard]] std::size_t orders() const { return m_orders; }
 
     static std::vector<pool> pools();
@@ -104,17 +113,18 @@
         std::int64_t fence = 0;
         std::int64_t epoch = 0;
         std::string loaded_model;
-        std::vector<vm_id> members;                            ///< members of its group
-        std::set<std::pair<group_id, std::int64_t>> was_ready; ///< compositions of this life
+        std::vector<vm_id> members; ///< of its group, by rank
+        /// The groups and epochs in which it has been ready since its start.
+        std::set<std::pair<group_id, std::int64_t>> was_ready;
         std::string joining_model;
         time_point joined_at = time_point::max();
         time_point opens_at = time_point::max();
-        std::optional<runner> pending_entry; ///< its first entry that the store did not take
+        std::optional<runner> pending_entry; ///< first entry written during an outage
         std::int64_t begun_orders = 0;
         std::string staging;
         time_point staged_at = time_point::max();
-        std::deque<std::pair<time_point, runner_report>>
-            reports; ///< by the time from which they held
+        /// Its reports, each with the time from which it applies.
+        std::deque<std::pair<time_point, runner_report>> reports;
     };
     struct fake_manager {
         std::unique_ptr<runner_registry> known;
@@ -131,7 +141,7 @@
 
     fake_manager make_manager(std::size_t manager) const;
     void deliver_initial_state(std::size_t manager);
-    void unlist(fake_runner& gone);
+    void unlist(fake_runner& unlisted);
     void step();
     void broadcast(const formation_event& event);
     void deliver(std::size_t manager, const formation_event& event);
@@ -157,11 +167,11 @@
     std::int64_t m_key_revision = 0;
     std::vector<peer_row> m_peers;
     std::map<std::string, fake_runner> m_runners;
-    std::map<std::string, runner> m_published; ///< what the registry shows
+    std::map<std::string, runner> m_published; ///< entries in the registry
     std::vector<fake_manager> m_managers;
     std::deque<due_order> m_due;
     std::int64_t m_last_born_ms = 0;
-    std::deque<std::pair<time_point, runner>> m_delayed_entries; ///< written, not heard of yet
+    std::deque<std::pair<time_point, runner>> m_delayed_entries; ///< written, not yet delivered
     duration m_entry_delay{0};
     duration m_report_delay{0};
     double m_lost_orders = 0.0;
--- a/groups/fake_runner.cc
+++ b/groups/fake_runner.cc
@@ -1,15 +1,15 @@
+// The runners of fake_registry: how they execute orders and advance with time. The duration of a
+// join depends on where the weights are: in memory, staged on the host, or remote. An order that
+// would violate an invariant is reported by record_violation.
 #include "groups/fake_registry.h"
 
 #include <algorithm>
 
-// What runners do with orders and with time. A join takes as long as the weights are far away; what
-// a runner must never be ordered to do is told to the registry's account (fail).
-
 namespace jaynotch::groups {
 
 namespace {
 
-constexpr std::int64_t pre_traffic_load_speedup = 10; ///< times faster, before the first request
+constexpr std::int64_t pre_traffic_load_speedup = 10; ///< of loads before the first request
 
 duration load_time(const std::string& model, bool traffic)
 {
@@ -82,17 +82,17 @@
         at.joined_at = time_point::max();
         at.opens_at = time_point::max();
         count_order(at);
-        return order_reply::holds; // it is done already, though it counts
+        return order_reply::holds; // nothing remains to be done, but the order counts
     }
     const auto& closed = std::get<close_group>(order.order);
     if (!named(closed.group, closed.epoch))
         return order_reply::misfit;
-    at.row.group->phase = member_phase::ready; // it has nothing to finish here
+    at.row.group->phase = member_phase::ready; // there are no requests in flight
     count_order(at);
     return order_reply::begun;
 }
 
-/// Counts an order that changes something, and tells of the change.
+/// Counts an order that changes the runner's state, and publishes the new state.
 void fake_registry::count_order(fake_runner& at)
 {
     ++at.begun_orders;
@@ -154,7 +154,7 @@
                          " members");
     for (const vm_id& member : at.members) {
         const fake_runner* other = find(member.value());
-        // One that was ready and is lost since excuses the opening.
+        // Only live members are checked, as a member may be lost after it has been ready.
         const bool was_ready =
             other == nullptr || other->was_ready.contains({order.group, order.epoch});
         if (!was_ready && other->alive)
--- a/groups/fake_world.cc
+++ b/groups/fake_world.cc
@@ -1,4 +1,4 @@
-// The queue of messages, the faults, and how commands are carried out over the fakes.
+// The message queue, fault injection, and the execution of commands on the fakes.
 #include "groups/fake_world.h"
 
 #include <algorithm>
@@ -7,7 +7,7 @@
 
 namespace {
 
-constexpr double full_rate_loads = 4.0; ///< engines that load at the full rate together
+constexpr double full_rate_loads = 4.0; ///< concurrent loads up to which each runs at the full rate
 
 } // namespace
 
@@ -132,8 +132,8 @@
         probe_vm(at, asked->vm);
     }
     else if (!std::holds_alternative<notice>(command)) {
-        // A pause between the decision and the sending: the shell sees `not_after` when it wakes,
-        // unless the pause hit behind that check too.
+        // A pause may begin between the decision and the sending. The node then checks `not_after`
+        // when it resumes; m_send_late_orders simulates a pause that begins after that check.
         schedule(std::chrono::milliseconds{1},
                  [this, at, domain, command] { dispatch_order(at, domain, command); });
     }
@@ -173,17 +173,17 @@
     if (const auto* asked = std::get_if<probe>(&command))
         probe_vm(at, asked->vm);
     if (const auto* change = std::get_if<ticket_changed>(&command); change != nullptr)
-        push(at, *change);
+        push_ticket(at, *change);
 }
 
-void fake_world::push(std::size_t at, const ticket_changed& change)
+void fake_world::push_ticket(std::size_t at, const ticket_changed& change)
 {
     if (!m_nodes[at]->board->watches(change.group.group))
         return;
     for (std::size_t n = 0; n < m_nodes.size(); ++n) {
         if (n == at)
             continue;
-        // The receiver's last message left up to a second before.
+        // The receiver sent its latest message to this node up to a second ago.
         const time_point sent_at = m_now - std::chrono::milliseconds{m_random.between(0, 1000)};
         const ticket_seen seen{m_nodes[at]->name, change.group, change.complete,
                                change.group.valid_until - m_now, sent_at};
@@ -274,7 +274,7 @@
     fake_engine& engine = *any->second;
     switch (m_random.index(10)) {
     case 0: {
-        // Lost for good; a new VM comes under a new name.
+        // Lost permanently; a new VM with a new id replaces it later.
         vm_row row = engine.row;
         row.vm = vm_id{"new-" + std::to_string(++m_replacements)};
         row.address = row.vm.value() + ":1";
@@ -312,7 +312,7 @@
         engine.row.leaves_in = std::chrono::seconds{60};
         break;
     case 8:
-        // Listed in a second domain as well.
+        // Listed with another fabric domain as well.
         m_extra_rows = {engine.row};
         m_extra_rows.front().fabric_domain = m_domains[m_random.index(m_domains.size())];
         break;
@@ -358,7 +358,7 @@
     advance_loads();
     for (std::size_t n = 0; n < m_nodes.size(); ++n) {
         if (m_now < m_nodes[n]->paused_until)
-            continue; // ticks aren't queued
+            continue; // a paused node misses its ticks
         for (std::size_t d = 0; d < m_domains.size(); ++d)
             deliver(n, tick{}, d);
         deliver_to_board(n, tick{});
--- a/groups/fake_world.h
+++ b/groups/fake_world.h
@@ -1,9 +1,10 @@
-// Some daemons' cores over the fakes, with delays, losses, pauses and outages drawn from a seed.
-// Messages are kept in a queue by time; nothing else of a network is modelled.
+// A simulation of several daemons' managers and ticket boards over the fakes, with delays, losses,
+// pauses and outages drawn from a seed. Messages are delivered from a queue in the order of their
+// times; nothing else of a network is modelled.
 //
 //   fake_world world{options, seed};
-//   world.step();                       // 250 ms
-//   world.violations();                 // empty as long as every invariant holds
+//   world.step();                       // advances by options.step
+//   world.violations();                 // empty if every invariant has held so far
 #pragma once
 
 #include "groups/fake_fleet.h"
@@ -24,7 +25,7 @@
     std::size_t domains = 2;
     std::size_t vms_per_domain = 7;
     bool engines_check_fencing = true;
-    double faults_per_step = 0.0; ///< probability of one more fault at each step
+    double faults_per_step = 0.0; ///< probability of a new fault in each step
     duration step = 250ms;
 };
 
@@ -34,20 +35,20 @@
 
     void step();
     void run(duration span);
-    /// Ends every pause, outage and loss, and replaces what is dead.
+    /// Ends all faults and outages of the platform and the engines, and revives dead engines.
     void heal();
     void install(std::shared_ptr<const configuration> tables);
 
     [[nodiscard]] time_point now() const { return m_now; }
     [[nodiscard]] const std::vector<std::string>& violations() const { return m_violations; }
-    /// Records and engines as text, to find out why a history went wrong.
+    /// Records and engines as text, for the diagnosis of a failed run.
     [[nodiscard]] std::string describe() const;
-    /// Groups with a ticket on every node that runs.
+    /// Groups with a valid ticket on every node that is not paused.
     [[nodiscard]] std::vector<complete_group> complete_everywhere() const;
     [[nodiscard]] std::vector<complete_group> complete_on(std::size_t node) const;
     [[nodiscard]] domain_record record(std::size_t domain) const;
 
-    // Levers, for tests that tell one story.
+    // Faults and state, controlled directly by tests of a single scenario.
     fake_engine& engine(const vm_id& vm) { return *m_engines.at(vm); }
     std::map<vm_id, std::shared_ptr<fake_engine>>& engines() { return m_engines; }
     void kill(const vm_id& vm) { engine(vm).alive = false; }
@@ -57,7 +58,7 @@
     void set_extra_rows(std::vector<vm_row> extra) { m_extra_rows = std::move(extra); }
     /// The manager that leads `domain`, or -1.
     [[nodiscard]] int leader(std::size_t domain) const;
-    /// Orders of the paused manager, sent whatever their `not_after` says when it wakes.
+    /// Whether a node that resumes after a pause sends its deferred orders even past `not_after`.
     void send_late_orders(bool late) { m_send_late_orders = late; }
     fake_store& store() { return m_store; }
 
@@ -67,7 +68,7 @@
         std::vector<domain_manager> managers;
         std::unique_ptr<ticket_board> board;
         time_point paused_until;
-        /// What arrived, or was about to be sent, in a pause.
+        /// Messages received, and orders about to be sent, during a pause.
         std::vector<std::function<void()>> deferred;
     };
 
@@ -78,7 +79,7 @@
     void execute(std::size_t node, std::size_t domain, const manager_command& command);
     void execute(std::size_t node, const board_command& command);
     void probe_vm(std::size_t node, const vm_id& vm);
-    void push(std::size_t node, const ticket_changed& change);
+    void push_ticket(std::size_t node, const ticket_changed& change);
     void dispatch_order(std::size_t node, std::size_t domain, const manager_command& command);
     void maybe_inject_fault();
     void deliver_updates();
@@ -96,7 +97,7 @@
     std::vector<fabric_domain_id> m_domains;
     std::multimap<time_point, std::function<void()>> m_queue;
     std::vector<vm_row> m_extra_rows;
-    std::set<vm_id> m_hidden; ///< vanished from the list
+    std::set<vm_id> m_hidden; ///< live VMs that the list omits
     bool m_platform_down = false;
     bool m_send_late_orders = false;
     double m_reply_loss = 0.0;
--- a/groups/group_health.cc
+++ b/groups/group_health.cc
@@ -131,10 +131,10 @@
             continue;
         for (const member& standby : group.standbys) {
             const vm_view* view = vms.find(standby.vm);
-            const bool taken = std::any_of(chosen.begin(), chosen.end(), [&](const auto& entry) {
-                return entry.second == standby.vm;
-            });
-            if (taken || view == nullptr || !vms.assignable(*view, now))
+            const bool already_chosen =
+                std::any_of(chosen.begin(), chosen.end(),
+                            [&](const auto& entry) { return entry.second == standby.vm; });
+            if (already_chosen || view == nullptr || !vms.assignable(*view, now))
                 continue;
             chosen[rank] = standby.vm;
             break;
--- a/groups/group_health.h
+++ b/groups/group_health.h
@@ -27,7 +27,7 @@
     std::vector<place_health> places;
     std::vector<member> target; ///< the record's members with the substitutes put in
     bool complete = false;      ///< every member of the record is ready in its place
-    bool switched = false; ///< substitutes serve already: all of `target` report it and are ready
+    bool switched = false;      ///< after a switch: all of `target` report it and are ready
     std::size_t lost = 0;
     std::size_t uncovered = 0; ///< lost places without a substitute
     bool can_switch = false;   ///< every lost or substituted place has a loaded substitute
--- a/groups/groups_test.cc
+++ b/groups/groups_test.cc
@@ -49,7 +49,7 @@
     const domain_record record = world.record(0);
     cr_assert_eq(record.groups.size(), 2);
     const auto standbys = record.groups[0].standbys.size() + record.groups[1].standbys.size();
-    cr_assert_eq(standbys, 1, "the fifth VM is bound ahead of need");
+    cr_assert_eq(standbys, 1, "the fifth VM is bound as a standby");
 }
 
 namespace {
@@ -64,11 +64,10 @@
 
 } // namespace
 
-// Callers of one replica wait for good although a VM stands idle: the platform
-// goes down, then a member dies, and nobody may write the record that would
-// replace it. The standby was bound before, so the group is completed without a
-// new record.
-Test(group_repair, a_bound_standby_is_swapped_in_while_the_platform_is_dark)
+// Guards against a replica that stays down although a VM is idle: a member dies
+// while the platform is unreachable, so no record can be written to replace it.
+// The group must switch to the standby that was bound before.
+Test(group_repair, a_bound_standby_replaces_a_member_while_the_platform_is_unreachable)
 {
     fake_world world{{.nodes = 2, .domains = 1, .vms_per_domain = 3}, 3};
     world.install(shared(one_pool(1, 2)));
@@ -77,7 +76,7 @@
     const domain_record before = world.record(0);
     world.platform_down(true);
     world.run(30s);
-    cr_assert_eq(complete_in(world), 1, "tickets go on without the platform");
+    cr_assert_eq(complete_in(world), 1, "tickets are renewed without the platform");
     const vm_id lost = before.groups[0].members[1].vm;
     world.kill(lost);
     world.run(180s);
@@ -93,9 +92,9 @@
     expect_no_violations(world);
 }
 
-// A member answers nothing for ten seconds and then goes on as before. The
-// group is whole again at that moment, and the standby that had begun to load
-// is let go: no second break.
+// A member does not respond for ten seconds and then continues. The group must be
+// complete again at once and the loading standby be released, without a second
+// interruption by a switch.
 Test(group_repair, a_member_back_from_a_pause_keeps_its_place)
 {
     fake_world world{{.nodes = 2, .domains = 1, .vms_per_domain = 3}, 4};
@@ -115,9 +114,9 @@
     expect_no_violations(world);
 }
 
-// A new version is put in the tables. Callers must find a whole group at every
-// moment: the old one serves until the new one has loaded beside it.
-Test(group_repair, the_old_version_serves_until_the_new_one_is_whole)
+// A new version is rolled out. There must be a complete group at every step: the
+// old one serves until the new one has loaded.
+Test(group_repair, the_old_version_serves_until_the_new_one_is_complete)
 {
     fake_world world{{.nodes = 1, .domains = 1, .vms_per_domain = 4}, 5};
     world.install(shared(one_pool(1, 2)));
@@ -136,9 +135,9 @@
     expect_no_violations(world);
 }
 
-// A VM is announced to leave. Its group must not break: a whole one is built
-// beside it first.
-Test(group_repair, a_leaving_vm_is_replaced_before_it_goes)
+// A VM is announced to leave. There must be a complete group at every step: a new
+// one is built before the VM leaves.
+Test(group_repair, a_leaving_vm_is_replaced_before_it_leaves)
 {
     fake_world world{{.nodes = 1, .domains = 1, .vms_per_domain = 5}, 6};
     world.install(shared(one_pool(1, 2)));
@@ -155,10 +154,10 @@
     expect_no_violations(world);
 }
 
-// An engine accepts every order and does nothing. Its group would wait for
-// good; the VM is set aside after some orders without effect and another takes
-// its place.
-Test(group_repair, an_engine_that_accepts_and_does_nothing_is_replaced)
+// An engine accepts every order and executes none. Its group must not wait
+// forever: the VM is quarantined after several orders without effect, and another
+// VM replaces it.
+Test(group_repair, an_engine_that_ignores_accepted_orders_is_replaced)
 {
     fake_world world{{.nodes = 1, .domains = 1, .vms_per_domain = 3}, 7};
     const vm_id idle{"vm-0-2"};
--- a/groups/manager.cc
+++ b/groups/manager.cc
@@ -244,8 +244,8 @@
 
 bool domain_manager::state::platform_unreachable(time_point now) const
 {
-    const time_point heard = std::max(lead.platform_heard(), started);
-    return now - heard >= settings.platform_timeout;
+    const time_point last_answer = std::max(lead.platform_heard(), started);
+    return now - last_answer >= settings.platform_timeout;
 }
 
 plan_input domain_manager::state::make_plan_input(time_point now) const
--- a/groups/manager_bench.cc
+++ b/groups/manager_bench.cc
@@ -1,5 +1,5 @@
-// Time of one tick of a manager with the reports that come with it, by VMs of its domain; all
-// groups whole, which is how nearly every tick finds them.
+// Time of one tick of a manager, and of one second of reports, by the number of VMs of its domain.
+// All groups are complete, as at nearly every tick in production.
 #include "groups/fake_fleet.h"
 
 #include <benchmark/benchmark.h>
@@ -13,7 +13,7 @@
 
 constexpr std::uint32_t group_vms = 8;
 
-/// A domain whose groups have all formed and loaded.
+/// A domain whose groups are all complete.
 struct settled_domain {
     explicit settled_domain(std::size_t vms) : manager{make_settings()}
     {
--- a/groups/repair_baselines.cc
+++ b/groups/repair_baselines.cc
@@ -1,4 +1,5 @@
-// The two policies that the decision core is measured against, on the same schedule of faults.
+// The two baselines of the repair benchmark, on the same schedule of faults as the decision core:
+// the first-fit policy and a lower bound.
 #include "groups/repair_world.h"
 
 #include <algorithm>
@@ -10,10 +11,11 @@
 
 constexpr std::chrono::seconds load_time{60};
 constexpr std::chrono::seconds detection{3};
-const time_point begin{std::chrono::hours{1} + std::chrono::seconds{900}}; ///< first counted moment
+const time_point count_start{std::chrono::hours{1} +
+                             std::chrono::seconds{900}}; ///< costs are counted from here
 constexpr std::size_t no_group = static_cast<std::size_t>(-1);
 
-/// First fit: which group each VM is in, and from when each place is loaded.
+/// The first-fit policy: tracks each VM's group and the time from which its weights are loaded.
 class first_fit {
 public:
     first_fit(const repair_options& options) : m_options{options}
@@ -21,7 +23,7 @@
         const std::size_t fleet = options.domains * options.vms_per_domain;
         m_alive.assign(fleet, true);
         m_group.assign(fleet, no_group);
-        m_ready.assign(fleet, begin);
+        m_ready.assign(fleet, count_start);
         const std::size_t each = options.vms_per_domain / options.replica_vms;
         for (std::size_t d = 0; d < options.domains; ++d) {
             for (std::size_t g = 0; g < each && m_homes.size() < options.replicas; ++g) {
@@ -35,9 +37,9 @@
 
     repair_cost run(const std::vector<scheduled_fault>& schedule)
     {
-        const time_point end = begin + m_options.span - std::chrono::seconds{900};
+        const time_point end = count_start + m_options.span - std::chrono::seconds{900};
         std::size_t next = 0;
-        time_point now = begin;
+        time_point now = count_start;
         repair_cost cost;
         while (now < end) {
             time_point until = next < schedule.size() ? std::min(end, schedule[next].at) : end;
@@ -63,7 +65,7 @@
         if (!back)
             m_lost.push_back(fault.vm);
         if (fault.change == vm_change::resume)
-            std::erase(m_lost, fault.vm); // in its place again, still loaded
+            std::erase(m_lost, fault.vm); // back in its place, with its weights still loaded
         else if (fault.change == vm_change::arrive && m_group[fault.vm] != no_group) {
             std::erase(m_lost, fault.vm);
             m_ready[fault.vm] = now + load_time;
@@ -126,7 +128,7 @@
 {
     repair_cost cost;
     std::vector<std::size_t> alive(options.domains, options.vms_per_domain);
-    time_point now = begin;
+    time_point now = count_start;
     const auto add = [&](time_point until) {
         const double span = std::chrono::duration<double>(until - now).count();
         std::size_t complete = 0;
@@ -149,7 +151,7 @@
         std::size_t& count = alive[fault.vm / options.vms_per_domain];
         count = back ? count + 1 : count - 1;
     }
-    add(begin + options.span - std::chrono::seconds{900});
+    add(count_start + options.span - std::chrono::seconds{900});
     return cost;
 }
 
--- a/groups/repair_main.cc
+++ b/groups/repair_main.cc
@@ -1,5 +1,5 @@
-// jaynotch-repair: what repair costs on seeded weeks of faults, against first fit and a bound that
-// knows the future. Prints a Markdown table.
+// jaynotch-repair: compares the costs of repair on a seeded schedule of faults with a first-fit
+// policy and a lower bound. Prints a Markdown table.
 //
 //   jaynotch-repair --days=14 --seed=1
 #include "groups/repair_world.h"
@@ -11,10 +11,11 @@
 #include <cstdio>
 #include <string>
 
-ABSL_FLAG(int, days, 14, "length of the schedule at today's size");
-ABSL_FLAG(int, large_days, 2, "length of the schedule at 1,600 runners; 0 leaves it out");
-ABSL_FLAG(bool, domain_loss, false, "only the platform writes when a failure domain goes dark");
-ABSL_FLAG(std::uint64_t, seed, 1, "of the schedule");
+ABSL_FLAG(int, days, 14, "length of the schedule in days for 50 VMs");
+ABSL_FLAG(int, large_days, 2, "length of the schedule in days for 1,600 VMs; 0 skips it");
+ABSL_FLAG(bool, domain_loss, false,
+          "only report the record writes after the loss of a failure domain");
+ABSL_FLAG(std::uint64_t, seed, 1, "seed of the schedule");
 
 namespace {
 
@@ -46,7 +47,7 @@
                  first_fit_cost.accelerator_seconds_idle / manager_cost.accelerator_seconds_idle);
 }
 
-/// A failure domain of five fabric domains goes dark at once and comes back an hour later.
+/// All VMs of a failure domain of five fabric domains fail at once and are replaced an hour later.
 void report_domain_loss()
 {
     repair_options options;
--- a/groups/repair_world.cc
+++ b/groups/repair_world.cc
@@ -1,5 +1,5 @@
-// A domain is stepped only around its faults, from a little before one until its manager has
-// nothing more to do; in between nothing can change, so the costs go on at their last rate.
+// A domain is simulated only around its faults, from shortly before a fault until its manager has
+// no more to do. Nothing changes in between, so the costs continue at their last rate.
 #include "groups/repair_world.h"
 
 #include <algorithm>
@@ -11,19 +11,20 @@
 
 constexpr auto deployment = "bench";
 constexpr std::chrono::seconds step_length{2};
-constexpr std::chrono::seconds fault_lead_time{16}; ///< reports are fresh and VMs quiet by then
-constexpr std::chrono::seconds idle_timeout{90};    ///< without change, the domain rests
+constexpr std::chrono::seconds fault_lead_time{16}; ///< makes reports fresh and VMs assignable
+constexpr std::chrono::seconds idle_timeout{90}; ///< without a change, before a domain is suspended
 constexpr std::chrono::seconds stream_length{20};
-constexpr std::chrono::seconds leave_notice{150}; ///< of a planned replacement
+constexpr std::chrono::seconds leave_notice{150}; ///< before a planned replacement
 constexpr double load_seconds = 60.0;
-constexpr double loads_at_full_rate = 8.0; ///< of one domain, from the weight store
+constexpr double loads_at_full_rate = 8.0; ///< concurrent loads of a domain that get the full rate
 constexpr std::size_t rack_vms = 8;
-// Of one VM, from the target fleet of 1,600: 15 failures and 430 replacements a day.
+// Rates of one VM, from the target fleet of 1,600 VMs with 15 failures and 430 planned replacements
+// a day.
 constexpr double failures_per_day = 15.0 / 1600.0;
 constexpr double replacements_per_day = 430.0 / 1600.0;
 constexpr double pauses_per_day = 15.0 / 1600.0;
-constexpr double rack_losses_per_day = 1.0 / 45.0;    ///< of the whole fleet
-constexpr double domain_losses_per_day = 1.5 / 365.0; ///< likewise
+constexpr double rack_losses_per_day = 1.0 / 45.0;    ///< of a fleet of 1,600 VMs
+constexpr double domain_losses_per_day = 1.5 / 365.0; ///< of a fleet of 1,600 VMs
 constexpr double seconds_per_day = 86'400.0;
 const time_point start_time{std::chrono::hours{1}};
 
@@ -32,15 +33,16 @@
     return std::chrono::duration_cast<duration>(std::chrono::duration<double>{count});
 }
 
-/// Times and costs of one domain between two moments.
+/// Accumulates the costs of a domain, or of the fleet, at rates that are constant between two
+/// events.
 struct running_cost {
     time_point since = start_time;
-    double down = 0.0; ///< groups wanted but not whole; over all domains
-    double idle = 0.0; ///< live accelerators outside of whole groups
+    double down = 0.0; ///< wanted groups that are not complete, over all domains
+    double idle = 0.0; ///< accelerators of live VMs outside complete groups
 
     void accrue(time_point now, repair_cost& total)
     {
-        // The first forming isn't counted: the other policies start whole.
+        // The initial formation is not counted: the other policies start with complete groups.
         const time_point from = std::max(since, start_time + std::chrono::seconds{900});
         const double span = std::max(0.0, std::chrono::duration<double>(now - from).count());
         total.group_seconds_down += down * span;
@@ -73,17 +75,17 @@
     };
     struct fault_event {
         double at;
-        std::size_t what;
+        std::size_t kind;
     };
     std::vector<fault_event> events;
     const double vms = static_cast<double>(fleet);
     const std::array<double, 5> rates{failures_per_day * vms, replacements_per_day * vms,
                                       pauses_per_day * vms, rack_losses_per_day * vms / 1600.0,
                                       domain_losses_per_day * vms / 1600.0};
-    for (std::size_t what = 0; what < rates.size(); ++what) {
-        for (double at = 900.0 + random.exponential(seconds_per_day / rates[what]);
-             at < span - 900.0; at += random.exponential(seconds_per_day / rates[what]))
-            events.push_back({at, what});
+    for (std::size_t kind = 0; kind < rates.size(); ++kind) {
+        for (double at = 900.0 + random.exponential(seconds_per_day / rates[kind]);
+             at < span - 900.0; at += random.exponential(seconds_per_day / rates[kind]))
+            events.push_back({at, kind});
     }
     std::sort(events.begin(), events.end(),
               [](const fault_event& a, const fault_event& b) { return a.at < b.at; });
@@ -91,15 +93,15 @@
         const std::size_t vm = random.index(fleet);
         const time_point at = start_time + seconds_of(one.at);
         const std::size_t domain = vm / options.vms_per_domain * options.vms_per_domain;
-        if (one.what == 0)
+        if (one.kind == 0)
             add(vm, at, seconds_of(120.0 + random.exponential(480.0)), vm_change::fail);
-        if (one.what == 1)
+        if (one.kind == 1)
             add(vm, at, seconds_of(30.0 + random.exponential(60.0)), vm_change::notice_leaving);
-        if (one.what == 2)
+        if (one.kind == 2)
             add(vm, at, seconds_of(2.0 + random.exponential(20.0)), vm_change::pause);
-        const std::size_t affected = one.what == 3 ? rack_vms : options.vms_per_domain;
-        const std::size_t first = one.what == 3 ? vm : domain;
-        for (std::size_t i = 0; one.what >= 3 && i < affected; ++i) {
+        const std::size_t affected = one.kind == 3 ? rack_vms : options.vms_per_domain;
+        const std::size_t first = one.kind == 3 ? vm : domain;
+        for (std::size_t i = 0; one.kind >= 3 && i < affected; ++i) {
             const std::size_t hit = domain + (first - domain + i) % options.vms_per_domain;
             add(hit, at, seconds_of(3600.0 + double(i)), vm_change::fail);
         }
@@ -174,7 +176,7 @@
         settings.deployment = deployment;
         settings.self = node_id{"node-" + std::to_string(d)};
         settings.domain = fabric_domain_id{"fabric-" + std::to_string(d)};
-        settings.lease = std::chrono::hours{24 * 365}; // the domain rests between its faults
+        settings.lease = std::chrono::hours{24 * 365}; // suspended domains do not renew it
         m_domains.push_back(std::make_unique<managed_domain>(settings));
         for (std::size_t v = 0; v < options.vms_per_domain; ++v) {
             const std::size_t vm = d * options.vms_per_domain + v;
@@ -354,7 +356,7 @@
     while (m_now < end) {
         while (next < m_schedule.size() && m_schedule[next].at <= m_now)
             apply(m_schedule[next++]);
-        // Domains with a fault ahead wake before it, so that their reports are fresh by then.
+        // A domain is resumed before its next fault, so that its reports are fresh by then.
         for (std::size_t i = next; i < m_schedule.size(); ++i) {
             if (m_schedule[i].at > m_now + fault_lead_time)
                 break;
--- a/groups/repair_world.h
+++ b/groups/repair_world.h
@@ -1,5 +1,6 @@
-// The driver of the repair benchmark: one manager for each fabric domain over fake engines, fed a
-// seeded schedule of faults on a clock of its own. No network, no other daemons.
+// The simulation of the repair benchmark: one manager for each fabric domain over fake engines,
+// with a seeded schedule of faults on a simulated clock. Neither the network nor other daemons are
+// modelled.
 #pragma once
 
 #include "groups/fake_fleet.h"
@@ -11,14 +12,14 @@
 
 namespace jaynotch::groups {
 
-/// A fleet and how it fails, at the rates of the target fleet for each VM.
+/// A fleet. Its VMs fail at the rates of the target fleet.
 struct repair_options {
     std::uint64_t seed = 1;
     std::size_t domains = 2;
     std::size_t vms_per_domain = 25;
     std::uint32_t replica_vms = 4;
     std::uint32_t replicas = 11;
-    std::uint32_t accelerators = 2; ///< of a VM
+    std::uint32_t accelerators = 2; ///< of each VM
     double weight_down = 1.0;
     double weight_idle = 1.0;
     std::chrono::hours span{24 * 14};
@@ -30,10 +31,10 @@
 struct scheduled_fault {
     time_point at;
     vm_change change = vm_change::fail;
-    std::size_t vm = 0; ///< index in the fleet; an arrival is a new VM in its place
+    std::size_t vm = 0; ///< index in the fleet; an arrival is a new VM with the same index
 };
 
-/// What a policy paid.
+/// The costs of a repair policy over a schedule.
 struct repair_cost {
     double group_seconds_down = 0.0;
     double accelerator_seconds_idle = 0.0;
@@ -47,17 +48,19 @@
     }
 };
 
-/// Random failures, planned replacements, pauses, lost racks and lost domains, in order of time.
+/// Generates failures, planned replacements, pauses, and losses of racks and of fabric domains,
+/// sorted by time.
 std::vector<scheduled_fault> make_schedule(const repair_options& options);
 
-/// The decision core on the schedule.
+/// Costs of the decision core on the schedule.
 repair_cost run_manager(const repair_options& options,
                         const std::vector<scheduled_fault>& schedule);
-/// First fit: a lost member's place goes to the first free VM once it is gone; nothing is prepared.
+/// Costs of the first-fit policy: the first free VM replaces a member after its loss; no standby is
+/// prepared in advance.
 repair_cost run_first_fit(const repair_options& options,
                           const std::vector<scheduled_fault>& schedule);
-/// A repair that knows every fault beforehand and loads in no time: as many whole groups as the
-/// live VMs of each domain allow, at every moment. No policy can cost less.
+/// A lower bound on the costs of any policy: at every moment as many complete groups as the live
+/// VMs of each domain allow, as if every fault were known in advance and loads took no time.
 repair_cost run_lower_bound(const repair_options& options,
                             const std::vector<scheduled_fault>& schedule);
 
--- a/groups/soak_main.cc
+++ b/groups/soak_main.cc
@@ -1,8 +1,9 @@
-// jaynotch-soak: random histories over the groups' decision cores until a number of steps is done.
+// jaynotch-soak: runs random histories on the decision cores of `groups` for a number of steps.
 //
 //   jaynotch-soak --steps=2000000 --seed=1
 //
-// Exit code 0 if every invariant held and every history healed; 1 otherwise, with the seeds.
+// Exits with 0 if every invariant held and every history recovered, else with 1 after printing the
+// failed seeds.
 #include "groups/history.h"
 
 #include <absl/flags/flag.h>
@@ -10,10 +11,10 @@
 
 #include <cstdio>
 
-ABSL_FLAG(std::uint64_t, steps, 2'000'000, "steps in all");
-ABSL_FLAG(std::uint64_t, seed, 1, "first seed; each history takes the next one");
-ABSL_FLAG(std::uint64_t, history, 2'000, "steps of one history with faults");
-ABSL_FLAG(bool, late_orders, false, "let paused managers send orders past their time");
+ABSL_FLAG(std::uint64_t, steps, 2'000'000, "total number of steps");
+ABSL_FLAG(std::uint64_t, seed, 1, "seed of the first history; each further one uses the next seed");
+ABSL_FLAG(std::uint64_t, history, 2'000, "steps with faults in each history");
+ABSL_FLAG(bool, late_orders, false, "let resumed managers send orders past their deadline");
 
 int main(int argc, char** argv)
 {
--- a/groups/ticket_board.cc
+++ b/groups/ticket_board.cc
@@ -326,12 +326,12 @@
             continue;
         std::vector<member> named;
         for (const std::string& address : addresses) {
-            const auto who = std::find_if(allowed.begin(), allowed.end(), [&](const member& one) {
+            const auto match = std::find_if(allowed.begin(), allowed.end(), [&](const member& one) {
                 return one.address == address;
             });
-            if (who == allowed.end())
+            if (match == allowed.end())
                 break;
-            named.push_back(*who);
+            named.push_back(*match);
         }
         if (named.size() == group.members.size() && composition_holds(group, named, now))
             return named;
