--- a/groups/fake_check.cc
+++ b/groups/fake_check.cc
@@ -1,9 +1,9 @@
-// What is checked after every step, from the world's own all-knowing view:
+// The invariants checked after every step, from the simulation's complete state:
 //
-// - the records name no VM twice, across all domains;
-// - the tickets in force, on all nodes together, name no VM twice for different groups;
-// - a ticket in force names a group whose engines all believed in it, loaded, at most one ticket
-//   horizon ago.
+// - the records of all domains together name no VM twice;
+// - the valid tickets of all nodes together name no VM for two different groups;
+// - every valid ticket names a composition that all its engines reported as ready at the same
+//   moment, at most one ticket horizon (and one step) ago.
 #include "groups/fake_world.h"
 
 #include <algorithm>
@@ -29,7 +29,7 @@
     for (const kv_entry& entry : m_store.records(fake_deployment)) {
         const auto record = parse_record(entry);
         if (!record) {
-            violate(to_string(record.error()));
+            add_violation(to_string(record.error()));
             continue;
         }
         for (const group_assignment& group : record.value().groups) {
@@ -37,51 +37,54 @@
                 for (const member& one : *list) {
                     const auto [at, added] = assigned.emplace(one.vm, group.group);
                     if (!added)
-                        violate(one.vm.value() + " is in two records: " + at->second.value() +
-                                " and " + group.group.value());
+                        add_violation(one.vm.value() + " is in two records: " + at->second.value() +
+                                      " and " + group.group.value());
                 }
             }
         }
     }
-    // Which compositions all their engines believe in, at this moment.
+    // The compositions that all their engines report as ready at this moment.
     std::map<std::string, vm_id> by_address;
     for (const auto& [vm, engine] : m_engines)
         by_address[engine->row.address] = vm;
     for (const auto& [vm, engine] : m_engines) {
-        const member_report& says = engine->says;
-        if (says.state != member_state::ready || says.rank != 0)
+        const member_report& current_report = engine->current_report;
+        if (current_report.state != member_state::ready || current_report.rank != 0)
             continue;
         std::vector<vm_id> members;
-        bool whole = true;
-        for (std::size_t rank = 0; rank < says.members.size() && whole; ++rank) {
-            const auto at = by_address.find(says.members[rank]);
+        bool all_ready = true;
+        for (std::size_t rank = 0; rank < current_report.members.size() && all_ready; ++rank) {
+            const auto at = by_address.find(current_report.members[rank]);
             if (at == by_address.end()) {
-                whole = false;
+                all_ready = false;
                 break;
             }
             const fake_engine& other = *m_engines.at(at->second);
-            whole = other.answers(m_now) && other.says.group == says.group &&
-                    other.says.rank == rank && other.says.members == says.members &&
-                    other.says.state == member_state::ready && other.says.version == says.version;
+            all_ready = other.answers(m_now) &&
+                        other.current_report.group == current_report.group &&
+                        other.current_report.rank == rank &&
+                        other.current_report.members == current_report.members &&
+                        other.current_report.state == member_state::ready &&
+                        other.current_report.version == current_report.version;
             members.push_back(at->second);
         }
-        if (whole)
-            m_last_whole[composition_name(says.group, members)] = m_now;
+        if (all_ready)
+            m_last_complete[composition_name(current_report.group, members)] = m_now;
     }
     std::map<vm_id, group_id> serving;
     for (const auto& one : m_nodes) {
         for (const complete_group& group : one->board->complete(m_now)) {
-            const auto last = m_last_whole.find(composition_name(group.group, group.members));
+            const auto last = m_last_complete.find(composition_name(group.group, group.members));
             const duration horizon = board_settings{}.ticket_horizon + m_options.step;
-            if (last == m_last_whole.end())
-                violate("ticket for a group that was never whole: " + group.group.value());
+            if (last == m_last_complete.end())
+                add_violation("ticket for a group that was never complete: " + group.group.value());
             else if (m_now - last->second > horizon)
-                violate("ticket outlived its horizon: " + group.group.value());
+                add_violation("ticket outlived its horizon: " + group.group.value());
             for (const vm_id& vm : group.members) {
                 const auto [at, added] = serving.emplace(vm, group.group);
                 if (!added && at->second != group.group)
-                    violate(vm.value() + " serves in two groups: " + at->second.value() + " and " +
-                            group.group.value());
+                    add_violation(vm.value() + " serves in two groups: " + at->second.value() +
+                                  " and " + group.group.value());
             }
         }
     }
@@ -140,10 +143,10 @@
     for (const kv_entry& entry : m_store.records(fake_deployment))
         out << entry.key << " @" << entry.mod_revision << ' ' << entry.value << '\n';
     for (const auto& [vm, engine] : m_engines) {
-        const member_report& says = engine->says;
-        out << vm << " in " << engine->row.fabric_domain << ": " << says.group << " rank "
-            << says.rank << " state " << static_cast<int>(says.state) << " fencing " << says.fencing
-            << '\n';
+        const member_report& current_report = engine->current_report;
+        out << vm << " in " << engine->row.fabric_domain << ": " << current_report.group << " rank "
+            << current_report.rank << " state " << static_cast<int>(current_report.state)
+            << " fencing " << current_report.fencing << '\n';
     }
     return out.str();
 }
--- a/groups/repair.cc
+++ b/groups/repair.cc
@@ -1,16 +1,18 @@
-// Where VMs go that are free, and which group is given up for which.
+// Assigns free VMs to groups, and decides when one group is dissolved to repair another.
 //
-// The choice is by cost = w_down x group-seconds down + w_idle x accelerator-seconds idle, with the
-// weights of the pool's row. A lost VM is replaced by the platform after about `expected_vm`,
-// whatever we do; a VM at hand loads in about `expected_load`. Hence in this order:
+// Alternatives are compared by cost = w_down x group-seconds down + w_idle x accelerator-seconds
+// idle, with the weights of the pool's row. The platform replaces a lost VM after about
+// `expected_replacement_time` in any case; an available VM loads in about `expected_load_time`.
+// This gives the following order of sources for a replacement:
 //
-// - a bound standby or a spare: its accelerators idle anyway, so using one costs nothing;
-// - a standby bound elsewhere and not needed there: likewise;
-// - a member of another broken group: both groups lack VMs that come in about the same time, so
-//   together they can have one whole group now and the other when the last VM comes;
-// - a group of a pool of lower rank gives way (allotment.cc): by rank, not by cost, since ranks are
-//   what operators write to say so;
-// - wait: what remains, and what is done for the first `hold_down` of a silence.
+// - a bound standby or a spare: its accelerators are idle anyway, so using it costs nothing;
+// - a standby bound to another group that does not need it: likewise;
+// - a member of another broken group: the VMs that both groups lack are replaced at about the same
+//   time, so one group can be complete now and the other once the last VM has arrived;
+// - a group of a pool of lower rank, which the domain's pool shares select: by rank and not by
+//   cost, since operators set ranks to express this preference;
+// - otherwise wait for the platform; this is also done during the first `hold_down` after a VM
+//   becomes unresponsive.
 #include "groups/plan_pass.h"
 
 namespace jaynotch::groups {
@@ -22,16 +24,17 @@
     return std::chrono::duration<double>(span).count();
 }
 
-/// How long until the platform has replaced the lost members of `sight`, by experience.
-duration expected_wait(const group_sight& sight, const manager_settings& settings, time_point now)
+/// Estimates the time until the platform has replaced the group's lost members.
+duration expected_wait(const group_health& health, const manager_settings& settings, time_point now)
 {
     duration longest{0};
-    for (const place_sight& place : sight.places) {
+    for (const place_health& place : health.places) {
         if (!place.lost || place.substitute)
             continue;
-        // One that is overdue isn't expected at once: the longer it took, the less is known.
-        const duration left = settings.expected_vm - (now - place.lost_since);
-        longest = std::max(longest, std::max(left, settings.expected_vm / 4));
+        // An overdue replacement is not expected at once: at least a quarter of the usual time is
+        // assumed to remain.
+        const duration left = settings.expected_replacement_time - (now - place.lost_since);
+        longest = std::max(longest, std::max(left, settings.expected_replacement_time / 4));
     }
     return longest;
 }
@@ -51,8 +54,8 @@
 bool planner::pass::unneeded(const group_assignment& group, const member& standby) const
 {
     const vm_view* view = in.vms.find(standby.vm);
-    return view != nullptr && in.vms.quiet(*view, in.now) &&
-           !self.m_substitutes.chosen(group.group, standby.vm) && sight(group).uncovered == 0;
+    return view != nullptr && in.vms.assignable(*view, in.now) &&
+           !self.m_substitutes.chosen(group.group, standby.vm) && health(group).uncovered == 0;
 }
 
 std::size_t planner::pass::unneeded_standbys() const
@@ -79,20 +82,20 @@
 {
     if (auto spare = take_spare())
         return spare;
-    group_assignment* richest = nullptr;
+    group_assignment* donor = nullptr;
     for (group_assignment& group : next.groups) {
         const bool has = std::any_of(group.standbys.begin(), group.standbys.end(),
                                      [&](const member& one) { return unneeded(group, one); });
         if (has && group.group != for_group &&
-            (richest == nullptr || group.standbys.size() > richest->standbys.size()))
-            richest = &group;
+            (donor == nullptr || group.standbys.size() > donor->standbys.size()))
+            donor = &group;
     }
-    if (richest == nullptr)
+    if (donor == nullptr)
         return std::nullopt;
-    const auto at = std::find_if(richest->standbys.begin(), richest->standbys.end(),
-                                 [&](const member& one) { return unneeded(*richest, one); });
+    const auto at = std::find_if(donor->standbys.begin(), donor->standbys.end(),
+                                 [&](const member& one) { return unneeded(*donor, one); });
     member taken = *at;
-    richest->standbys.erase(at);
+    donor->standbys.erase(at);
     return taken;
 }
 
@@ -100,10 +103,10 @@
 {
     std::vector<group_assignment*> broken;
     for (group_assignment& group : next.groups) {
-        if (!group.retiring && sight(group).uncovered > 0)
+        if (!group.retiring && health(group).uncovered > 0)
             broken.push_back(&group);
     }
-    // The one soonest whole goes first: only whole groups count.
+    // Within a rank, the group that lacks the fewest VMs comes first: only complete groups serve.
     std::stable_sort(broken.begin(), broken.end(),
                      [&](const group_assignment* left, const group_assignment* right) {
                          const pool* a = pool_of(*left);
@@ -112,15 +115,16 @@
                          const std::uint32_t right_rank = b == nullptr ? 0 : b->rank;
                          if (left_rank != right_rank)
                              return left_rank > right_rank;
-                         return sight(*left).uncovered < sight(*right).uncovered;
+                         return health(*left).uncovered < health(*right).uncovered;
                      });
     for (group_assignment* group : broken) {
         std::size_t bound = 0;
         for (const member& standby : group->standbys)
             bound += self.m_substitutes.chosen(group->group, standby.vm) ? 0 : 1;
-        const std::size_t uncovered = sight(*group).uncovered;
+        const std::size_t uncovered = health(*group).uncovered;
         const std::size_t need = uncovered - std::min(uncovered, bound);
-        // Half a repair repairs nothing, and would hold VMs that complete another group.
+        // A partial repair does not complete the group, and would occupy VMs that could complete
+        // another one.
         if (spares().size() + unneeded_standbys() < need)
             continue;
         for (std::size_t i = 0; i < need; ++i) {
@@ -134,46 +138,52 @@
 {
     std::vector<const group_assignment*> broken;
     for (const group_assignment& group : next.groups) {
-        const bool short_of_vms = !group.retiring && !whole(group) && sight(group).uncovered > 0 &&
-                                  group.standbys.size() < sight(group).uncovered;
+        const bool short_of_vms = !group.retiring && !complete(group) &&
+                                  health(group).uncovered > 0 &&
+                                  group.standbys.size() < health(group).uncovered;
         if (lasting("broken", group.group, short_of_vms) > in.settings.hold_down)
             broken.push_back(&group);
     }
     std::stable_sort(broken.begin(), broken.end(), [&](const auto* left, const auto* right) {
-        return sight(*left).uncovered < sight(*right).uncovered;
+        return health(*left).uncovered < health(*right).uncovered;
     });
     if (broken.size() < 2)
         return;
-    const group_assignment& gets = *broken.front();
-    const group_assignment& gives = *broken.back();
-    const pool* gets_row = pool_of(gets);
-    const pool* gives_row = pool_of(gives);
-    if (gets_row == nullptr || gives_row == nullptr || gives_row->rank > gets_row->rank)
+    const group_assignment& recipient = *broken.front();
+    const group_assignment& donor = *broken.back();
+    const pool* recipient_pool = pool_of(recipient);
+    const pool* donor_pool = pool_of(donor);
+    if (recipient_pool == nullptr || donor_pool == nullptr ||
+        donor_pool->rank > recipient_pool->rank)
         return;
-    const std::size_t lacking = sight(gets).uncovered;
-    const std::size_t at_hand = gives.members.size() - sight(gives).lost;
-    if (at_hand < lacking)
+    const std::size_t missing = health(recipient).uncovered;
+    const std::size_t available = donor.members.size() - health(donor).lost;
+    if (available < missing)
         return;
-    const double load = seconds(in.settings.expected_load + in.settings.order_horizon);
-    const double wait_gets = seconds(expected_wait(sight(gets), in.settings, in.now));
-    const double wait_gives = seconds(expected_wait(sight(gives), in.settings, in.now));
-    const double wait_both = std::max(wait_gets, wait_gives);
-    const double idle_gets = gets_row->weight_idle * accelerators_of(gets, in.vms);
-    const double idle_gives = gives_row->weight_idle * accelerators_of(gives, in.vms);
-    const double share_left = static_cast<double>(at_hand - lacking) /
-                              static_cast<double>(std::max<std::size_t>(1, at_hand));
-    const double keep = (gets_row->weight_down + idle_gets) * wait_gets +
-                        (gives_row->weight_down + idle_gives) * wait_gives;
-    const double merge = (gets_row->weight_down + idle_gets) * load +
-                         (gives_row->weight_down + idle_gives * share_left) * (wait_both + load);
-    if (merge < keep)
-        erase(gives.group, "its VMs complete another broken group");
+    const double load = seconds(in.settings.expected_load_time + in.settings.order_horizon);
+    const double recipient_wait = seconds(expected_wait(health(recipient), in.settings, in.now));
+    const double donor_wait = seconds(expected_wait(health(donor), in.settings, in.now));
+    const double longer_wait = std::max(recipient_wait, donor_wait);
+    const double recipient_idle_rate =
+        recipient_pool->weight_idle * accelerators_of(recipient, in.vms);
+    const double donor_idle_rate = donor_pool->weight_idle * accelerators_of(donor, in.vms);
+    const double donor_share_left = static_cast<double>(available - missing) /
+                                    static_cast<double>(std::max<std::size_t>(1, available));
+    const double cost_of_waiting =
+        (recipient_pool->weight_down + recipient_idle_rate) * recipient_wait +
+        (donor_pool->weight_down + donor_idle_rate) * donor_wait;
+    const double cost_of_merging =
+        (recipient_pool->weight_down + recipient_idle_rate) * load +
+        (donor_pool->weight_down + donor_idle_rate * donor_share_left) * (longer_wait + load);
+    if (cost_of_merging < cost_of_waiting)
+        erase(donor.group, "its VMs complete another broken group");
 }
 
 void planner::pass::add_group(const pool& row, const group_id& replaces)
 {
     group_assignment group;
-    // The revision that this plan starts from is overwritten once only, so the id is new.
+    // At most one write can succeed on the revision that this plan starts from, so the id is
+    // unique.
     group.group =
         group_id{row.name.value() + "-" + next.domain.value() + "-" +
                  std::to_string(in.record.revision.value()) + "-" + std::to_string(m_added++)};
@@ -212,27 +222,28 @@
 
 void planner::pass::bind_spares()
 {
-    // A spare idles bound or unbound, and a bound one can be used while the platform is dark; so
-    // all are bound, first to the groups whose downtime weighs most.
+    // A spare is idle whether it is bound or not, and a bound one can be used while the platform is
+    // unreachable. So all spares are bound: each to the group with the fewest standbys and, among
+    // equals, with the costliest downtime.
     while (!spares().empty()) {
-        group_assignment* poorest = nullptr;
-        double poorest_weight = 0.0;
+        group_assignment* target = nullptr;
+        double target_weight = 0.0;
         for (group_assignment& group : next.groups) {
             const pool* row = pool_of(group);
             if (row == nullptr || group.retiring)
                 continue;
             const double weight = row->weight_down * static_cast<double>(group.members.size());
             const auto bound = [](const group_assignment& one) { return one.standbys.size(); };
-            if (poorest == nullptr || bound(group) < bound(*poorest) ||
-                (bound(group) == bound(*poorest) && weight > poorest_weight))
+            if (target == nullptr || bound(group) < bound(*target) ||
+                (bound(group) == bound(*target) && weight > target_weight))
             {
-                poorest = &group;
-                poorest_weight = weight;
+                target = &group;
+                target_weight = weight;
             }
         }
-        if (poorest == nullptr)
+        if (target == nullptr)
             return;
-        poorest->standbys.push_back(*take_spare());
+        target->standbys.push_back(*take_spare());
     }
 }
 
--- a/groups/ticket_board.cc
+++ b/groups/ticket_board.cc
@@ -1,15 +1,15 @@
-// A ticket rests on three things that agree: the domain's record (which VMs may form the group),
-// every member's own report (group, rank, the same list of members, version, loaded), and the age
-// of the oldest of these reports, from which the ticket's end is counted.
+// A ticket requires that the domain's record (which VMs may form the group) and every member's own
+// report (group, rank, the same list of members, version, loaded) agree. It expires a fixed time
+// after the oldest of these reports.
 //
-// A composition may take bound standbys in the place of members: the record binds them to this
-// group alone, so a switch made while the platform is dark needs no new record.
+// A composition may have bound standbys in place of members: the record binds them to this group
+// only, so a switch made while the platform is unreachable needs no new record.
 //
-// Why two tickets never share a VM, on any two nodes, even where engines ignore fencing numbers: a
-// ticket ends at most `ticket_horizon` after the reports it rests on, and a VM counts towards its
-// new group only after it has been seen there for `settled`, which is longer. A manager that wakes
-// from a pause can thus pull a VM out of a whole group, which costs availability, but the group it
-// pulls the VM into gets no ticket before the other's is gone.
+// No two tickets share a VM, on any two nodes, even if engines ignore fencing numbers: a ticket
+// expires at most `ticket_horizon` after the reports behind it, and a VM counts towards a new group
+// only once its reports have shown that group for `settling_time`, which is longer. A manager that
+// resumes after a pause can thus take a VM out of a complete group, which costs availability, but
+// the VM's new group gets no ticket before the old group's ticket has expired.
 #include "groups/ticket_board.h"
 
 #include "groups/vm_table.h"
@@ -23,23 +23,23 @@
 
 namespace {
 
-/// What is known of a VM from this node's own probes.
+/// What this node's own probes show of a VM.
 struct watched_vm {
     std::string address;
     std::optional<member_report> report;
     time_point sent_at;
-    time_point same_group_since;
-    time_point same_place_since; ///< receipt of the first report of its present place, ready
+    time_point same_group_since; ///< receipt of the first report that showed its present group
+    time_point same_place_since; ///< receipt of the first report that showed its present place
     time_point last_probe;
-    group_id named_by; ///< the group whose record names it
+    group_id named_in; ///< the group to which the record assigns it
 };
 
-/// What is known of a group.
+/// What this node knows about a group.
 struct watched_group {
     group_assignment assigned;
     fabric_domain_id domain;
     bool watching = false;
-    std::optional<complete_group> ticket; ///< the one in force here
+    std::optional<complete_group> ticket; ///< valid on this node
 };
 
 std::vector<member> candidates_of(const group_assignment& group)
@@ -49,7 +49,7 @@
     return all;
 }
 
-/// Whether two reports show the same loaded place.
+/// Whether two reports show the same place in the same state.
 bool same_place(const member_report& left, const member_report& right)
 {
     return left.group == right.group && left.rank == right.rank && left.members == right.members &&
@@ -69,17 +69,17 @@
     std::vector<std::string> peers;
     std::vector<board_command> out;
 
-    void take(const report_seen& seen, time_point now);
-    void take(const report_failed&, time_point) {}
-    void take(const record_seen& seen, time_point now);
-    void take(const tables_installed&, time_point) {}
-    void take(const peers_seen& seen, time_point now);
-    void take(const ticket_seen& seen, time_point now);
-    void take(const tick&, time_point now);
+    void on_event(const report_seen& seen, time_point now);
+    void on_event(const report_failed&, time_point) {}
+    void on_event(const record_seen& seen, time_point now);
+    void on_event(const tables_installed&, time_point) {}
+    void on_event(const peers_seen& seen, time_point now);
+    void on_event(const ticket_seen& seen, time_point now);
+    void on_event(const tick&, time_point now);
 
     void choose_watchers();
-    void forget_unnamed();
-    void judge(watched_group& group, time_point now);
+    void drop_unnamed_vms();
+    void evaluate(watched_group& group, time_point now);
     void withdraw(watched_group& group);
     void send_probes(const watched_group& group, time_point now);
     [[nodiscard]] bool contradicted(const complete_group& ticket) const;
@@ -91,32 +91,33 @@
                                             const std::vector<member>& members) const;
 };
 
-void ticket_board::state::take(const report_seen& seen, time_point now)
+void ticket_board::state::on_event(const report_seen& seen, time_point now)
 {
     const auto at = vms.find(seen.vm);
     if (at == vms.end() || seen.report.vm != seen.vm)
         return;
-    watched_vm& known = at->second;
-    if (known.report && seen.sent_at < known.sent_at)
+    watched_vm& observed = at->second;
+    if (observed.report && seen.sent_at < observed.sent_at)
         return;
-    const bool moved = !known.report || known.report->group != seen.report.group ||
-                       known.report->boot != seen.report.boot ||
-                       now - known.sent_at >= settings.settled;
-    // A gap as long as `settled` could hide a stay in another group that was long enough for a
-    // ticket. From the answer, not from the sending: the VM may have moved just before it answered
-    // (models/claim_fence.pml, -DSETTLED_FROM_SENDING).
-    if (moved)
-        known.same_group_since = now;
-    if (moved || !same_place(*known.report, seen.report))
-        known.same_place_since = now;
-    known.report = seen.report;
-    known.sent_at = seen.sent_at;
-    // A report that contradicts a ticket ends it now, not at the next tick.
-    if (const auto group = groups.find(known.named_by); group != groups.end())
-        judge(group->second, now);
+    const bool continuity_lost = !observed.report || observed.report->group != seen.report.group ||
+                                 observed.report->boot != seen.report.boot ||
+                                 now - observed.sent_at >= settings.settling_time;
+    // A gap of `settling_time` could hide membership of another group for long enough to get a
+    // ticket. The time counts from the receipt of the answer, not from the sending of the request,
+    // since the VM may have moved just before it answered (models/claim_fence.pml,
+    // -DSETTLED_FROM_SENDING).
+    if (continuity_lost)
+        observed.same_group_since = now;
+    if (continuity_lost || !same_place(*observed.report, seen.report))
+        observed.same_place_since = now;
+    observed.report = seen.report;
+    observed.sent_at = seen.sent_at;
+    // A report that contradicts a ticket ends it at once, not at the next tick.
+    if (const auto group = groups.find(observed.named_in); group != groups.end())
+        evaluate(group->second, now);
 }
 
-void ticket_board::state::take(const record_seen& seen, time_point now)
+void ticket_board::state::on_event(const record_seen& seen, time_point now)
 {
     if (!is_record_key(settings.deployment, seen.entry.key))
         return;
@@ -140,7 +141,7 @@
     }
     std::erase_if(groups, [&](const auto& entry) { return entry.second.domain == record.domain; });
     for (const group_assignment& assigned : record.groups) {
-        if (groups.size() >= settings.most_groups)
+        if (groups.size() >= settings.max_groups)
             break;
         watched_group& group = groups[assigned.group];
         if (const auto old = kept.find(assigned.group); old != kept.end()) {
@@ -153,20 +154,20 @@
             group.ticket->draining = assigned.draining;
         for (const member& one : candidates_of(assigned)) {
             vms[one.vm].address = one.address;
-            vms[one.vm].named_by = assigned.group;
+            vms[one.vm].named_in = assigned.group;
         }
     }
     for (auto& [id, group] : kept)
-        withdraw(group); // not in the record any more
-    forget_unnamed();
+        withdraw(group); // no longer in the record
+    drop_unnamed_vms();
     choose_watchers();
     for (auto& [id, group] : groups) {
         if (group.domain == record.domain)
-            judge(group, now);
+            evaluate(group, now);
     }
 }
 
-void ticket_board::state::forget_unnamed()
+void ticket_board::state::drop_unnamed_vms()
 {
     std::set<vm_id> named;
     for (const auto& [id, group] : groups) {
@@ -176,7 +177,7 @@
     std::erase_if(vms, [&](const auto& entry) { return !named.contains(entry.first); });
 }
 
-void ticket_board::state::take(const peers_seen& seen, time_point)
+void ticket_board::state::on_event(const peers_seen& seen, time_point)
 {
     peers.clear();
     for (const peer_row& row : seen.peers)
@@ -188,7 +189,7 @@
 {
     for (auto& [id, group] : groups) {
         if (peers.empty()) {
-            group.watching = true; // nobody else is known
+            group.watching = true; // no peers are known
             continue;
         }
         const auto first = rendezvous(id.value(), peers, settings.watchers);
@@ -198,14 +199,14 @@
     }
 }
 
-void ticket_board::state::take(const ticket_seen& seen, time_point now)
+void ticket_board::state::on_event(const ticket_seen& seen, time_point now)
 {
     const auto at = groups.find(seen.group.group);
     if (at == groups.end())
-        return; // its record is not known here yet, or no more
+        return; // not in any record known to this node
     watched_group& group = at->second;
     if (!seen.complete) {
-        // A watcher's own eyes go before hearsay; the others believe the withdrawal at once.
+        // A watcher relies on its own probes; the other nodes apply the withdrawal at once.
         if (!group.watching)
             withdraw(group);
         return;
@@ -217,8 +218,8 @@
             return std::any_of(allowed.begin(), allowed.end(),
                                [&](const member& one) { return one.vm == vm; });
         });
-    const duration most = std::min(seen.remaining, settings.ticket_horizon);
-    const time_point until = std::min(seen.sent_at, now) + most;
+    const duration max_validity = std::min(seen.remaining, settings.ticket_horizon);
+    const time_point until = std::min(seen.sent_at, now) + max_validity;
     if (!drawn_from_record || seen.group.version != group.assigned.version || until <= now)
         return;
     if (group.ticket && group.ticket->valid_until >= until)
@@ -228,26 +229,26 @@
     group.ticket->draining = group.assigned.draining;
 }
 
-void ticket_board::state::take(const tick&, time_point now)
+void ticket_board::state::on_event(const tick&, time_point now)
 {
     for (auto& [id, group] : groups) {
         if (group.watching)
             send_probes(group, now);
-        judge(group, now);
+        evaluate(group, now);
     }
 }
 
 void ticket_board::state::send_probes(const watched_group& group, time_point now)
 {
-    const bool whole = group.ticket.has_value();
-    const std::vector<member> asked =
-        whole ? group.assigned.members : candidates_of(group.assigned);
-    for (const member& one : asked) {
-        watched_vm& known = vms[one.vm];
-        const time_point last = std::max(known.last_probe, known.sent_at);
+    const bool has_ticket = group.ticket.has_value();
+    const std::vector<member> targets =
+        has_ticket ? group.assigned.members : candidates_of(group.assigned);
+    for (const member& one : targets) {
+        watched_vm& observed = vms[one.vm];
+        const time_point last = std::max(observed.last_probe, observed.sent_at);
         if (now - last < settings.probe_period)
             continue;
-        known.last_probe = now;
+        observed.last_probe = now;
         out.emplace_back(probe{one.vm, one.address});
     }
 }
@@ -260,27 +261,27 @@
     group.ticket.reset();
 }
 
-void ticket_board::state::judge(watched_group& group, time_point now)
+void ticket_board::state::evaluate(watched_group& group, time_point now)
 {
     if (group.ticket && group.ticket->valid_until <= now) {
-        // Not pushed: another watcher may still see the group whole.
+        // Not pushed: another watcher may still find the group complete.
         out.emplace_back(notice{log_level::warning, "ticket_expired", group.assigned.group.value(),
-                                "no fresh word of every member"});
+                                "not every member has a fresh report"});
         group.ticket.reset();
     }
-    // A node that has no reports of its own goes by what the watchers push.
-    const bool own_eyes = std::any_of(
+    // A node without reports of its own relies on the tickets that the watchers push.
+    const bool has_own_reports = std::any_of(
         group.assigned.members.begin(), group.assigned.members.end(), [&](const member& one) {
             const auto at = vms.find(one.vm);
             return at != vms.end() && at->second.report &&
                    now - at->second.sent_at <= settings.ticket_horizon;
         });
-    if (!group.watching && !own_eyes)
+    if (!group.watching && !has_own_reports)
         return;
     const auto members = composition(group.assigned, now);
     if (!members) {
-        // Silence of one member may be this node's own line: the ticket runs out by itself. A
-        // report that contradicts it ends it at once.
+        // A missing report may be due to this node's own network, so the ticket is left to expire.
+        // A report that contradicts the ticket ends it at once.
         if (group.ticket && contradicted(*group.ticket))
             withdraw(group);
         return;
@@ -296,10 +297,10 @@
 
 bool ticket_board::state::contradicted(const complete_group& ticket) const
 {
-    const time_point rests_on = ticket.valid_until - settings.ticket_horizon;
+    const time_point oldest_report_at = ticket.valid_until - settings.ticket_horizon;
     return std::any_of(ticket.members.begin(), ticket.members.end(), [&](const vm_id& vm) {
         const auto at = vms.find(vm);
-        if (at == vms.end() || !at->second.report || at->second.sent_at < rests_on)
+        if (at == vms.end() || !at->second.report || at->second.sent_at < oldest_report_at)
             return false;
         const member_report& report = *at->second.report;
         return report.group != ticket.group || report.state != member_state::ready ||
@@ -313,7 +314,8 @@
 {
     if (composition_holds(group, group.members, now))
         return group.members;
-    // The leader of a switched composition names it; the others must name the same.
+    // After a switch, the leader's report lists the new composition; the other members' reports
+    // must list the same.
     const std::vector<member> allowed = candidates_of(group);
     for (const member& leader : allowed) {
         const auto at = vms.find(leader.vm);
@@ -324,12 +326,12 @@
             continue;
         std::vector<member> named;
         for (const std::string& address : addresses) {
-            const auto who = std::find_if(allowed.begin(), allowed.end(), [&](const member& one) {
+            const auto match = std::find_if(allowed.begin(), allowed.end(), [&](const member& one) {
                 return one.address == address;
             });
-            if (who == allowed.end())
+            if (match == allowed.end())
                 break;
-            named.push_back(*who);
+            named.push_back(*match);
         }
         if (named.size() == group.members.size() && composition_holds(group, named, now))
             return named;
@@ -341,21 +343,22 @@
                                             const std::vector<member>& members,
                                             time_point now) const
 {
-    // Two fresh reports may still be of different moments: one member ready and then gone, the
-    // other ready only after that. So there has to be an instant at which all are known to be
-    // ready.
+    // Two fresh reports may describe different moments: one member was ready and then left its
+    // place, and the other became ready only after that. So there must be an instant at which all
+    // members are known to have been ready.
     time_point all_since = time_point::min();
     time_point all_until = time_point::max();
     for (std::size_t rank = 0; rank < members.size(); ++rank) {
         const auto at = vms.find(members[rank].vm);
         if (at == vms.end() || !at->second.report)
             return false;
-        const watched_vm& known = at->second;
-        all_since = std::max(all_since, known.same_place_since);
-        all_until = std::min(all_until, known.sent_at);
-        const bool fresh = now - known.sent_at < settings.ticket_horizon;
-        const bool settled = known.sent_at - known.same_group_since >= settings.settled;
-        if (!fresh || !settled || !ready_in_place(*known.report, group, rank, members))
+        const watched_vm& observed = at->second;
+        all_since = std::max(all_since, observed.same_place_since);
+        all_until = std::min(all_until, observed.sent_at);
+        const bool fresh = now - observed.sent_at < settings.ticket_horizon;
+        const bool has_settled =
+            observed.sent_at - observed.same_group_since >= settings.settling_time;
+        if (!fresh || !has_settled || !ready_in_place(*observed.report, group, rank, members))
             return false;
     }
     return !members.empty() && all_since <= all_until;
@@ -375,10 +378,11 @@
     ticket.draining = group.assigned.draining;
     ticket.valid_until = time_point::max();
     for (const member& one : members) {
-        const watched_vm& known = vms.at(one.vm);
-        const member_report& report = *known.report;
+        const watched_vm& observed = vms.at(one.vm);
+        const member_report& report = *observed.report;
         ticket.members.push_back(one.vm);
-        ticket.valid_until = std::min(ticket.valid_until, known.sent_at + settings.ticket_horizon);
+        ticket.valid_until =
+            std::min(ticket.valid_until, observed.sent_at + settings.ticket_horizon);
         ticket.load.kv_used = std::max(ticket.load.kv_used, report.kv_used);
         ticket.load.step_ms = std::max(ticket.load.step_ms, report.step_ms);
     }
@@ -396,21 +400,21 @@
 ticket_board::ticket_board(ticket_board&&) noexcept = default;
 ticket_board& ticket_board::operator=(ticket_board&&) noexcept = default;
 
-std::vector<board_command> ticket_board::handle(const board_event& happened, time_point now)
+std::vector<board_command> ticket_board::handle(const board_event& event, time_point now)
 {
     m_state->out.clear();
-    std::visit([&](const auto& event) { m_state->take(event, now); }, happened);
+    std::visit([&](const auto& alternative) { m_state->on_event(alternative, now); }, event);
     return std::move(m_state->out);
 }
 
 std::vector<complete_group> ticket_board::complete(time_point now) const
 {
-    std::vector<complete_group> whole;
+    std::vector<complete_group> in_force;
     for (const auto& [id, group] : m_state->groups) {
         if (group.ticket && now < group.ticket->valid_until)
-            whole.push_back(*group.ticket);
+            in_force.push_back(*group.ticket);
     }
-    return whole;
+    return in_force;
 }
 
 bool ticket_board::watches(const group_id& group) const
--- a/groups/vm_table.cc
+++ b/groups/vm_table.cc
@@ -1,10 +1,10 @@
-// Two rules keep a VM out of two groups even where engines ignore fencing numbers:
+// Two rules keep a VM from being in two groups even if engines ignore fencing numbers:
 //
-// - `same_group_since` counts from the first answer that showed the group (a VM may move just
-// before
-//   it answers), so a VM is "quiet" only if it has truly been in no group for a whole order
-//   horizon, longer than any order or ticket of its former group can live;
-// - a VM that the list names in two domains is never newly assigned, by neither of the managers.
+// - `same_group_since` is the receipt of the first answer that showed the group, since a VM may
+// move
+//   just before it answers. A VM is therefore assignable only if it has been in no group for a full
+//   `order_horizon`, which is longer than any order or ticket of its former group stays valid.
+// - A VM that the list names in two domains is not newly assigned by either domain's manager.
 #include "groups/vm_table.h"
 
 #include <algorithm>
@@ -13,8 +13,8 @@
 
 namespace {
 
-constexpr std::size_t most_members = 1024; ///< more in a report is no report
-constexpr std::size_t most_vms = 16384;    ///< rows of one domain that are kept
+constexpr std::size_t max_members = 1024; ///< a report with more is refused
+constexpr std::size_t max_vms = 16384;    ///< of one domain; further rows are ignored
 
 bool same_members(const std::vector<std::string>& addresses, const std::vector<member>& members)
 {
@@ -25,7 +25,7 @@
 
 } // namespace
 
-void vm_table::take_list(const std::vector<vm_row>& rows, time_point now)
+void vm_table::apply_list(const std::vector<vm_row>& rows, time_point now)
 {
     std::map<vm_id, const vm_row*> first;
     std::set<vm_id> ambiguous;
@@ -43,14 +43,14 @@
             m_listed[row->fabric_domain].insert(vm);
         if (row->fabric_domain != m_settings->domain)
             continue;
-        if (m_vms.size() >= most_vms && !m_vms.contains(vm))
+        if (m_vms.size() >= max_vms && !m_vms.contains(vm))
             continue;
         const auto [at, fresh_row] = m_vms.try_emplace(vm);
         vm_view& view = at->second;
         if (fresh_row)
-            view.silent_since = now;
+            view.unresponsive_since = now;
         if (view.id.address != row->address)
-            view.report.reset(); // another machine under the old name
+            view.report.reset(); // another machine under the same id
         view.id = {vm, row->address};
         view.accelerators = row->accelerators;
         view.listed = true;
@@ -59,45 +59,47 @@
             view.leaves_at = now + row->leaves_in;
         view.leaving = row->leaving;
     }
-    // A VM that vanished from the list is kept as long as its engine answers: the list lags. One
-    // that the list now names in another domain only is that domain's.
+    // The list may lag, so a VM that is missing from it is kept as long as its engine answers. A VM
+    // listed only in another domain belongs to that domain and is removed.
     std::erase_if(m_vms, [&](const auto& entry) {
         return !entry.second.listed && (!fresh(entry.second, now) || first.contains(entry.first));
     });
 }
 
-bool vm_table::take_report(const report_seen& seen, time_point now)
+bool vm_table::apply_report(const report_seen& seen, time_point now)
 {
     vm_view* view = find(seen.vm);
     if (view == nullptr)
-        return true; // not ours
-    if (seen.report.vm != seen.vm || seen.report.members.size() > most_members) {
-        set_aside(seen.vm, now);
+        return true; // of another domain
+    if (seen.report.vm != seen.vm || seen.report.members.size() > max_members) {
+        quarantine(seen.vm, now);
         return false;
     }
     if (view->report && seen.sent_at < view->reported_at)
-        return true; // overtaken by a later one
-    // After a silence nobody knows what the VM did in between: it has to be seen anew.
-    const bool moved = !view->report || view->report->group != seen.report.group ||
-                       view->report->boot != seen.report.boot ||
-                       now - view->reported_at > m_settings->report_horizon;
-    if (moved)
+        return true; // older than the known report
+    // After a gap in the reports the VM may have been in another group meanwhile, so its time in
+    // the group is counted anew.
+    const bool continuity_lost = !view->report || view->report->group != seen.report.group ||
+                                 view->report->boot != seen.report.boot ||
+                                 now - view->reported_at > m_settings->report_horizon;
+    if (continuity_lost)
         view->same_group_since = now;
-    if (moved || seen.report.progress != view->progress ||
-        seen.report.state != member_state::loading) {
+    if (continuity_lost || seen.report.progress != view->progress ||
+        seen.report.state != member_state::loading)
+    {
         view->progress = seen.report.progress;
         view->progress_at = now;
     }
     view->report = seen.report;
     view->reported_at = seen.sent_at;
-    view->silent_since = seen.sent_at;
+    view->unresponsive_since = seen.sent_at;
     return true;
 }
 
-void vm_table::set_aside(const vm_id& vm, time_point now)
+void vm_table::quarantine(const vm_id& vm, time_point now)
 {
     if (vm_view* view = find(vm); view != nullptr) {
-        view->set_aside_until = now + m_settings->set_aside;
+        view->quarantined_until = now + m_settings->quarantine;
         view->order.attempts = 0;
     }
 }
@@ -109,20 +111,20 @@
 
 vm_condition vm_table::condition(const vm_view& view, time_point now) const
 {
-    if (now < view.set_aside_until)
-        return vm_condition::unfit;
+    if (now < view.quarantined_until)
+        return vm_condition::excluded;
     if (!fresh(view, now))
-        return view.listed ? vm_condition::silent : vm_condition::unfit;
+        return view.listed ? vm_condition::unresponsive : vm_condition::excluded;
     if (view.report->leaving)
         return vm_condition::leaving;
     if (view.leaving && view.leaves_at - now <= m_settings->leave_notice)
         return vm_condition::leaving;
-    return vm_condition::sound;
+    return vm_condition::healthy;
 }
 
-bool vm_table::quiet(const vm_view& view, time_point now) const
+bool vm_table::assignable(const vm_view& view, time_point now) const
 {
-    return condition(view, now) == vm_condition::sound && view.listed && !view.ambiguous &&
+    return condition(view, now) == vm_condition::healthy && view.listed && !view.ambiguous &&
            !view.leaving && view.report->group.value().empty() &&
            view.report->state == member_state::idle &&
            now - view.same_group_since >= m_settings->order_horizon;
