--- a/daemon/formation_driver.cc
+++ b/daemon/formation_driver.cc
@@ -45,7 +45,7 @@
             tell_domain(domain, groups::outage_confirmed{asked});
         };
         hooks.on_conceded = [this](const failure_domain_id& domain) {
-            tell_domain(domain, groups::outage_conceded{});
+            tell_domain(domain, groups::outage_reported{});
         };
         hooks.manages = [this](const failure_domain_id& domain) {
             const auto found = managers.find(domain);
@@ -60,7 +60,7 @@
             tell_one(domain, manager, happened);
     }
 
-    void tell_one(const failure_domain_id& domain, groups::formation& manager,
+    void tell_one(const failure_domain_id& domain, groups::formation_manager& manager,
                   const groups::formation_event& happened)
     {
         if (stopped || given_up.contains(domain))
@@ -88,17 +88,18 @@
         chosen.mechanisms = settings.mechanisms;
         chosen.own_domain = settings.failure_domain;
         chosen.domain = domain;
-        groups::formation& made =
-            managers.emplace(domain, groups::formation{std::move(chosen), registry}).first->second;
-        tell_one(domain, made, groups::model_pools_seen{pools});
+        groups::formation_manager& made =
+            managers.emplace(domain, groups::formation_manager{std::move(chosen), registry})
+                .first->second;
+        tell_one(domain, made, groups::model_pools_updated{pools});
         tell_one(domain, made, current);
         tell_one(domain, made, groups::peers_seen{peer_rows()});
         if (traffic)
-            tell_one(domain, made, groups::traffic_begun{});
+            tell_one(domain, made, groups::traffic_started{});
         const auto key = keys.find(groups::formation_key(settings.deployment, domain));
         tell_one(domain, made,
-                 groups::manager_key_seen{key == keys.end() ? std::optional<kv_entry>{}
-                                                            : std::optional{key->second}});
+                 groups::manager_key_updated{key == keys.end() ? std::optional<kv_entry>{}
+                                                               : std::optional{key->second}});
     }
 
     std::vector<groups::peer_row> peer_rows() const
@@ -132,14 +133,14 @@
     peer_service& peers;
     groups::runner_registry& registry;
     platform::order_client orders;
-    std::map<failure_domain_id, groups::formation> managers;
+    std::map<failure_domain_id, groups::formation_manager> managers;
     std::map<std::string, kv_entry> keys;
     std::vector<pool> pools;
     std::function<bool(const vm_id&)> hears;
     std::function<void()> on_word;
     std::shared_ptr<outage_inquiry> outage;
     std::uint64_t members_version = 0;
-    groups::registry_current current;
+    groups::registry_status current;
     bool traffic = false;
     std::set<failure_domain_id> given_up; ///< on a planned stop
     bool stopping = false;
@@ -176,7 +177,7 @@
         log_event(log_level::info, "peers_word",
                   {{"vm", answer.vm.value()}, {"answers", answer.answers}});
         m_asked.erase(found);
-        tell(groups::peers_word{answer.vm, answer.answers});
+        tell(groups::peer_probe_result{answer.vm, answer.answers});
     }
 
     void carry_out(const failure_domain_id& domain, const groups::kv_call& wanted)
@@ -203,7 +204,7 @@
     {
         net::co_spawn(io, probe(domain, wanted), net::detached);
     }
-    void carry_out(const failure_domain_id& /*domain*/, const groups::ask_peers& wanted)
+    void carry_out(const failure_domain_id& /*domain*/, const groups::probe_through_peers& wanted)
     {
         std::set<node_id>& asked = m_asked[wanted.vm];
         asked.clear();
@@ -218,15 +219,16 @@
         if (asked.empty())
             m_asked.erase(wanted.vm);
     }
-    void carry_out(const failure_domain_id& domain, const groups::ask_about_outage& /*wanted*/)
+    void carry_out(const failure_domain_id& domain,
+                   const groups::query_peers_about_outage& /*wanted*/)
     {
         outage->ask(domain);
     }
-    void carry_out(const failure_domain_id& domain, const groups::ask_runner& wanted)
+    void carry_out(const failure_domain_id& domain, const groups::request_runner_report& wanted)
     {
-        net::co_spawn(io, ask_runner(domain, wanted), net::detached);
+        net::co_spawn(io, request_runner_report(domain, wanted), net::detached);
     }
-    void carry_out(const failure_domain_id& /*domain*/, const groups::share_runner& wanted)
+    void carry_out(const failure_domain_id& /*domain*/, const groups::broadcast_runner& wanted)
     {
         for (const member& one : peers.members()) {
             if (one.node != settings.node && one.live())
@@ -296,7 +298,8 @@
         tell_domain(domain, groups::order_answered{wanted.token, wanted.vm, reply});
     }
 
-    net::awaitable<void> ask_runner(failure_domain_id domain, groups::ask_runner wanted)
+    net::awaitable<void> request_runner_report(failure_domain_id domain,
+                                               groups::request_runner_report wanted)
     {
         const auto self = shared_from_this();
         const result<runner_report> report =
@@ -360,20 +363,20 @@
         if (row.kind == pool_kind::model)
             m_impl->pools.push_back(row);
     }
-    m_impl->tell(groups::model_pools_seen{m_impl->pools});
+    m_impl->tell(groups::model_pools_updated{m_impl->pools});
 }
 
-void formation_driver::runner_seen(const runner& row)
+void formation_driver::runner_updated(const runner& row)
 {
     if (!row.joins_groups())
         return;
     m_impl->add_domain(row.failure_domain);
-    m_impl->tell_domain(row.failure_domain, groups::runner_seen{row});
+    m_impl->tell_domain(row.failure_domain, groups::runner_updated{row});
 }
 
-void formation_driver::runner_gone(const vm_id& vm)
+void formation_driver::runner_removed(const vm_id& vm)
 {
-    m_impl->tell(groups::runner_gone{vm});
+    m_impl->tell(groups::runner_removed{vm});
 }
 
 void formation_driver::key_seen(const kv_entry& entry, bool there)
@@ -384,9 +387,9 @@
         m_impl->keys.erase(entry.key);
     for (auto& [domain, manager] : m_impl->managers) {
         if (groups::formation_key(m_impl->settings.deployment, domain) == entry.key)
-            m_impl->tell_one(
-                domain, manager,
-                groups::manager_key_seen{there ? std::optional{entry} : std::optional<kv_entry>{}});
+            m_impl->tell_one(domain, manager,
+                             groups::manager_key_updated{there ? std::optional{entry}
+                                                               : std::optional<kv_entry>{}});
     }
 }
 
@@ -396,16 +399,16 @@
     m_impl->tell(m_impl->current);
 }
 
-void formation_driver::traffic_begun()
+void formation_driver::traffic_started()
 {
     if (std::exchange(m_impl->traffic, true))
         return;
-    m_impl->tell(groups::traffic_begun{});
+    m_impl->tell(groups::traffic_started{});
 }
 
 void formation_driver::silent(const vm_id& head)
 {
-    m_impl->tell(groups::group_silent{head});
+    m_impl->tell(groups::group_unresponsive{head});
 }
 
 void formation_driver::tick()
@@ -424,7 +427,7 @@
     kept->stopping = true;
     std::vector<lease_id> leases;
     for (auto& [domain, manager] : kept->managers) {
-        const bool nobody_else = manager.status(runtime_clock::now()).dark;
+        const bool nobody_else = manager.status(runtime_clock::now()).store_unreachable;
         if (kept->given_up.contains(domain) ||
             (nobody_else && which == resignation::where_possible))
             continue;
--- a/daemon/formation_driver.h
+++ b/daemon/formation_driver.h
@@ -2,7 +2,7 @@
 // hands them what the registry says and carries out what they want.
 //
 //   formation_driver managers{io, settings, kv, peers, registry};
-//   managers.runner_seen(row);        // once the registry has it
+//   managers.runner_updated(row);        // once the registry has it
 //   managers.tick();                  // after each batch, and ten times a second
 #pragma once
 
@@ -39,14 +39,14 @@
     formation_driver& operator=(const formation_driver&) = delete;
 
     void install(const configuration& tables);
-    void runner_seen(const runner& row);
-    void runner_gone(const vm_id& vm);
+    void runner_updated(const runner& row);
+    void runner_removed(const vm_id& vm);
     /// A key of the store that may be a manager's.
     void key_seen(const kv_entry& entry, bool there);
     /// Whether this node's registry is up to date by its own word with the store, and its place
     /// among the nodes of its failure domain that see to that.
     void set_current(bool current, std::size_t rank);
-    void traffic_begun();
+    void traffic_started();
     /// A group's head is silent towards this node.
     void silent(const vm_id& head);
     /// How this node knows whether requests reach a runner, for other nodes that ask.
--- a/daemon/registry_daemon.cc
+++ b/daemon/registry_daemon.cc
@@ -188,7 +188,7 @@
         const http_server_settings plain{settings.timeouts.http, settings.limits.http, {}};
         BOOST_OUTCOME_TRY(caller_server,
                           http_server::open(io, settings.listen, plain, [this](auto& exchange) {
-                              managers->traffic_begun();
+                              managers->traffic_started();
                               return calls->serve(exchange);
                           }));
         BOOST_OUTCOME_TRY(ready_server, http_server::open(io, settings.ready_listen, plain,
@@ -209,12 +209,12 @@
             install(std::move(next));
         };
         hooks.on_runner = [this](const runner& row) {
-            m_registry.take(row, runtime_clock::now());
-            managers->runner_seen(row);
+            m_registry.update(row, runtime_clock::now());
+            managers->runner_updated(row);
         };
         hooks.on_runner_gone = [this](const vm_id& id) {
-            m_registry.drop(id, runtime_clock::now());
-            managers->runner_gone(id);
+            m_registry.remove(id, runtime_clock::now());
+            managers->runner_removed(id);
         };
         hooks.on_key = [this](const kv_entry& entry, bool there) {
             managers->key_seen(entry, there);
--- a/groups/allotment.cc
+++ b/groups/domain_shares.cc
@@ -1,7 +1,7 @@
 // Groups that stand count where they are, so that shares don't move when a VM comes or goes. What
 // is missing goes to the domain with most room, pool by pool in order of rank. What is too much is
 // taken from the groups whose ids hash highest, which every manager reckons alike.
-#include "groups/allotment.h"
+#include "groups/domain_shares.h"
 
 #include <algorithm>
 
@@ -50,11 +50,11 @@
 
 using domain_counts = std::map<fabric_domain_id, domain_count>;
 
-domain_counts::iterator roomiest(domain_counts& domains, const pool& row)
+domain_counts::iterator most_free_domain(domain_counts& domains, const pool& row)
 {
     auto best = domains.end();
     for (auto at = domains.begin(); at != domains.end(); ++at) {
-        const bool fits = may_live_in(row, at->first) && at->second.free >= row.replica_vms;
+        const bool fits = allowed_in(row, at->first) && at->second.free >= row.replica_vms;
         if (fits && (best == domains.end() || at->second.free > best->second.free))
             best = at;
     }
@@ -67,8 +67,7 @@
 };
 
 /// Takes one group of the lowest rank under that of `row` out of the counts.
-yielding_group last_of_lower_rank(domain_counts& domains, const configuration& tables,
-                                  const pool& row)
+yielding_group yield_to(domain_counts& domains, const configuration& tables, const pool& row)
 {
     const std::vector<const pool*> ranked = pools_by_rank(tables);
     for (auto lowest = ranked.rbegin(); lowest != ranked.rend(); ++lowest) {
@@ -77,7 +76,7 @@
         for (auto& [domain, counted] : domains) {
             auto& groups = counted.viable[(*lowest)->name];
             const bool gives_room = (*lowest)->replica_vms + counted.free >= row.replica_vms;
-            if (groups.empty() || !may_live_in(row, domain) || !gives_room)
+            if (groups.empty() || !allowed_in(row, domain) || !gives_room)
                 continue;
             groups.pop_back();
             counted.free += (*lowest)->replica_vms;
@@ -90,7 +89,7 @@
 
 } // namespace
 
-bool may_live_in(const pool& row, const fabric_domain_id& domain)
+bool allowed_in(const pool& row, const fabric_domain_id& domain)
 {
     return row.kind == pool_kind::model &&
            (row.fabric_domains.empty() ||
@@ -113,11 +112,11 @@
     return pools;
 }
 
-allotment allotment::compute(const configuration& tables,
-                             const std::map<fabric_domain_id, std::set<vm_id>>& listed,
-                             const record_map& records, const fabric_domain_id& self)
+domain_shares domain_shares::compute(const configuration& tables,
+                                     const std::map<fabric_domain_id, std::set<vm_id>>& listed,
+                                     const record_map& records, const fabric_domain_id& self)
 {
-    allotment shares;
+    domain_shares shares;
     domain_counts domains;
     for (const auto& [domain, vms] : listed) {
         const auto record = records.find(domain);
@@ -132,7 +131,7 @@
         std::vector<std::pair<std::uint64_t, fabric_domain_id>> standing;
         for (auto& [domain, counted] : domains) {
             const auto& groups = counted.viable[row->name];
-            if (!may_live_in(*row, domain))
+            if (!allowed_in(*row, domain))
                 continue;
             for (const group_id& group : groups)
                 standing.emplace_back(hash64(group.value()), domain);
@@ -150,9 +149,9 @@
             --share.wanted;
         }
         for (std::size_t i = standing.size(); i < row->replicas; ++i) {
-            const auto where = roomiest(domains, *row);
+            const auto where = most_free_domain(domains, *row);
             if (where == domains.end()) {
-                const auto yields = last_of_lower_rank(domains, tables, *row);
+                const auto yields = yield_to(domains, tables, *row);
                 if (yields.row == nullptr)
                     break;
                 if (yields.domain == self)
@@ -167,7 +166,7 @@
     return shares;
 }
 
-pool_share allotment::share(const pool_id& pool) const
+pool_share domain_shares::share(const pool_id& pool) const
 {
     const auto at = m_shares.find(pool);
     return at == m_shares.end() ? pool_share{} : at->second;
--- a/groups/allotment.h
+++ b/groups/domain_shares.h
@@ -24,11 +24,11 @@
 };
 
 /// A group is viable if its domain has enough live VMs, by the list, to make it whole.
-class allotment {
+class domain_shares {
 public:
-    static allotment compute(const configuration& tables,
-                             const std::map<fabric_domain_id, std::set<vm_id>>& listed,
-                             const record_map& records, const fabric_domain_id& self);
+    static domain_shares compute(const configuration& tables,
+                                 const std::map<fabric_domain_id, std::set<vm_id>>& listed,
+                                 const record_map& records, const fabric_domain_id& self);
 
     [[nodiscard]] pool_share share(const pool_id& pool) const;
     /// Whether `group` of this domain can become whole from the domain's own live VMs.
@@ -40,7 +40,7 @@
 };
 
 /// Whether `pool` may have groups in `domain`.
-bool may_live_in(const pool& row, const fabric_domain_id& domain);
+bool allowed_in(const pool& row, const fabric_domain_id& domain);
 /// The model pools, the one that gives way last first.
 std::vector<const pool*> pools_by_rank(const configuration& tables);
 
--- a/groups/election.cc
+++ b/groups/election.cc
@@ -23,13 +23,13 @@
         boost::json::object{{"node", m_settings.self.value()}, {"lease", m_lease.value()}});
 }
 
-void election::key_seen(const std::optional<kv_entry>& entry, time_point now)
+void election::key_updated(const std::optional<kv_entry>& entry, time_point now)
 {
     const bool there = entry.has_value();
-    if (!there && (m_key_there || !m_key_known))
+    if (!there && (m_key_exists || !m_key_known))
         m_missing_since = now;
     m_key_known = true;
-    m_key_there = there;
+    m_key_exists = there;
     m_holder = there ? entry->value : std::string{};
     const bool own = there && m_lease.value() != 0 && entry->value == value();
     if (own && m_term == 0) {
@@ -40,28 +40,28 @@
         m_term = 0;
 }
 
-void election::tick(std::optional<duration> patience, time_point now,
+void election::tick(std::optional<duration> claim_delay, time_point now,
                     std::vector<election_command>& out)
 {
-    if (m_call != call::none && now - m_call_sent < m_settings.call_timeout)
+    if (m_call != election_call::none && now - m_call_sent < m_settings.call_timeout)
         return;
-    m_call = call::none;
+    m_call = election_call::none;
     if (m_term != 0) {
         if (now - m_renewed < m_settings.renewal)
             return;
         m_renewed = now;
-        m_call = call::renew;
+        m_call = election_call::renew;
         m_token = next_token();
         m_call_sent = now;
         out.emplace_back(lease_renew{m_token, m_lease});
         return;
     }
-    const bool may = patience && now >= m_back_until && m_key_known && !m_key_there &&
-                     now >= m_not_before && now - m_missing_since >= *patience;
+    const bool may = claim_delay && now >= m_suspended_until && m_key_known && !m_key_exists &&
+                     now >= m_not_before && now - m_missing_since >= *claim_delay;
     if (!may)
         return;
     m_not_before = now + m_settings.retry;
-    m_call = call::grant;
+    m_call = election_call::grant;
     m_token = next_token();
     m_call_sent = now;
     out.emplace_back(lease_grant{m_token, m_settings.lease});
@@ -69,18 +69,18 @@
 
 void election::claim(std::vector<election_command>& out)
 {
-    m_call = call::claim;
+    m_call = election_call::claim;
     m_token = next_token();
     out.emplace_back(kv_call{m_token, kv_transaction{{kv_compare{m_settings.key, 0}},
                                                      {kv_put{m_settings.key, value(), m_lease}},
                                                      {}}});
 }
 
-bool election::take(const kv_result& answer, time_point now)
+bool election::apply(const kv_result& answer, time_point now)
 {
-    if (m_call != call::claim || answer.token != m_token)
+    if (m_call != election_call::claim || answer.token != m_token)
         return false;
-    m_call = call::none;
+    m_call = election_call::none;
     m_not_before = now + m_settings.retry;
     if (!answer.outcome || !answer.outcome.value().succeeded)
         return true; // lost, or another was first: the watch tells
@@ -89,14 +89,15 @@
     return true;
 }
 
-bool election::take(const lease_result& answer, time_point now, std::vector<election_command>& out)
+bool election::apply(const lease_result& answer, time_point now, std::vector<election_command>& out)
 {
-    if ((m_call != call::grant && m_call != call::renew) || answer.token != m_token)
+    if ((m_call != election_call::grant && m_call != election_call::renew) ||
+        answer.token != m_token)
         return false;
-    const call was = m_call;
-    m_call = call::none;
+    const election_call was = m_call;
+    m_call = election_call::none;
     if (!answer.lease) {
-        if (was == call::renew && answer.lease.error().kind == error_kind::not_found) {
+        if (was == election_call::renew && answer.lease.error().kind == error_kind::not_found) {
             m_term = 0; // lapsed
             m_lease = lease_id{0};
         }
@@ -104,7 +105,7 @@
         return true;
     }
     m_lease_sent = m_call_sent;
-    if (was == call::grant) {
+    if (was == election_call::grant) {
         m_lease = answer.lease.value();
         m_renewed = m_call_sent;
         m_call_sent = now;
@@ -118,12 +119,12 @@
 void election::outage_confirmed(time_point asked)
 {
     if (m_term != 0)
-        m_word_until = asked + m_settings.word_holds;
+        m_confirmed_until = asked + m_settings.confirmation_validity;
 }
 
-void election::stand_back(time_point now)
+void election::suspend_candidacy(time_point now)
 {
-    m_back_until = now + m_settings.word_binds;
+    m_suspended_until = now + m_settings.pledge_duration;
 }
 
 void election::outdated(time_point now)
--- a/groups/election_test.cc
+++ b/groups/election_test.cc
@@ -9,24 +9,24 @@
 
 /// One candidate before a store that answers as the test wants.
 struct candidate {
-    election vote{{.key = "k", .self = node_id{"n1"}}};
+    election lease_election{{.key = "k", .self = node_id{"n1"}}};
     time_point now{std::chrono::hours{1}};
 
     std::vector<election_command> tick(duration step = 10ms)
     {
         now += step;
         std::vector<election_command> out;
-        vote.tick(duration{0}, now, out);
+        lease_election.tick(duration{0}, now, out);
         return out;
     }
     /// Runs the campaign up to its claim, and returns that.
     kv_call campaign()
     {
-        vote.key_seen(std::nullopt, now);
+        lease_election.key_updated(std::nullopt, now);
         const auto calls = tick();
         const auto& grant = std::get<lease_grant>(calls.at(0));
         std::vector<election_command> out;
-        vote.take(lease_result{grant.token, lease_id{5}}, now, out);
+        lease_election.apply(lease_result{grant.token, lease_id{5}}, now, out);
         return std::get<kv_call>(out.at(0));
     }
     void win(std::int64_t revision = 40)
@@ -35,7 +35,7 @@
         kv_outcome done;
         done.succeeded = true;
         done.revision = revision;
-        vote.take(kv_result{claim.token, done}, now);
+        lease_election.apply(kv_result{claim.token, done}, now);
     }
 };
 
@@ -45,14 +45,14 @@
 {
     candidate one;
     one.win(40);
-    cr_assert(one.vote.leading(one.now));
-    cr_assert_eq(one.vote.term(), 40);
+    cr_assert(one.lease_election.leading(one.now));
+    cr_assert_eq(one.lease_election.term(), 40);
 }
 
-Test(election, a_key_that_is_there_is_left_alone)
+Test(election, an_existing_key_is_not_claimed)
 {
     candidate one;
-    one.vote.key_seen(kv_entry{"k", "other", 3, 3, {}}, one.now);
+    one.lease_election.key_updated(kv_entry{"k", "other", 3, 3, {}}, one.now);
     cr_assert(one.tick().empty());
 }
 
@@ -62,25 +62,26 @@
 {
     candidate one;
     const kv_call claim = one.campaign();
-    one.vote.take(kv_result{claim.token, error{error_kind::unknown_outcome, "lost", ""}}, one.now);
-    cr_assert(!one.vote.leading(one.now));
+    one.lease_election.apply(kv_result{claim.token, error{error_kind::unknown_outcome, "lost", ""}},
+                             one.now);
+    cr_assert(!one.lease_election.leading(one.now));
     const auto& put = std::get<kv_put>(claim.transaction.then.at(0));
-    one.vote.key_seen(kv_entry{"k", put.value, 41, 41, put.lease}, one.now);
-    cr_assert(one.vote.leading(one.now));
-    cr_assert_eq(one.vote.term(), 41);
+    one.lease_election.key_updated(kv_entry{"k", put.value, 41, 41, put.lease}, one.now);
+    cr_assert(one.lease_election.leading(one.now));
+    cr_assert_eq(one.lease_election.term(), 41);
 }
 
 // The manager's VM is frozen for longer than its lease. When it wakes, another may lead: it must
 // not order anything before it has the store's word again.
-Test(election, a_manager_that_slept_through_its_lease_does_not_lead)
+Test(election, a_manager_paused_past_its_lease_does_not_lead)
 {
     candidate one;
     one.win();
     one.now += 3s;
-    cr_assert(!one.vote.leading(one.now));
+    cr_assert(!one.lease_election.leading(one.now));
 }
 
-Test(election, renewals_keep_the_lead_and_their_end_ends_it)
+Test(election, renewals_extend_leadership_until_they_fail)
 {
     candidate one;
     one.win();
@@ -88,40 +89,40 @@
         for (const election_command& call : one.tick(600ms)) {
             if (const auto* renewal = std::get_if<lease_renew>(&call)) {
                 std::vector<election_command> out;
-                one.vote.take(lease_result{renewal->token, lease_id{5}}, one.now, out);
+                one.lease_election.apply(lease_result{renewal->token, lease_id{5}}, one.now, out);
             }
         }
-        cr_assert(one.vote.leading(one.now));
+        cr_assert(one.lease_election.leading(one.now));
     }
     one.tick(1s);
     one.tick(1s);
     one.tick(1s);
-    cr_assert(!one.vote.leading(one.now));
+    cr_assert(!one.lease_election.leading(one.now));
 }
 
-Test(election, another_holder_of_the_key_ends_the_lead)
+Test(election, another_holder_of_the_key_ends_leadership)
 {
     candidate one;
     one.win(40);
-    one.vote.key_seen(kv_entry{"k", "other", 50, 50, {}}, one.now);
-    cr_assert(!one.vote.leading(one.now));
+    one.lease_election.key_updated(kv_entry{"k", "other", 50, 50, {}}, one.now);
+    cr_assert(!one.lease_election.leading(one.now));
 }
 
-Test(election, a_runner_that_knows_a_newer_term_ends_the_lead)
+Test(election, a_runner_that_knows_a_newer_term_ends_leadership)
 {
     candidate one;
     one.win();
-    one.vote.outdated(one.now);
-    cr_assert(!one.vote.leading(one.now));
+    one.lease_election.outdated(one.now);
+    cr_assert(!one.lease_election.leading(one.now));
     cr_assert(one.tick().empty());
 }
 
-Test(election, a_planned_stop_gives_the_lease_back)
+Test(election, a_planned_stop_ends_the_lease)
 {
     candidate one;
     one.win();
     std::vector<election_command> out;
-    one.vote.resign(out);
+    one.lease_election.resign(out);
     cr_assert_eq(std::get<lease_end>(out.at(0)).lease, lease_id{5});
-    cr_assert(!one.vote.leading(one.now));
+    cr_assert(!one.lease_election.leading(one.now));
 }
--- a/groups/fake_registry.cc
+++ b/groups/fake_registry.cc
@@ -70,22 +70,22 @@
     chosen.own_domain = m_peers[manager].failure_domain;
     chosen.domain = m_peers[manager].failure_domain;
     auto known = std::make_unique<runner_registry>();
-    formation core{chosen, *known};
+    formation_manager core{chosen, *known};
     return {std::move(known), std::move(core)};
 }
 
 void fake_registry::tell_start(std::size_t manager)
 {
-    tell(manager, model_pools_seen{pools()});
-    tell(manager, registry_current{true, manager});
+    tell(manager, model_pools_updated{pools()});
+    tell(manager, registry_status{true, manager});
     tell(manager, peers_seen{m_peers});
     const kv_entry* key = m_store.find(formation_key("test", failure_domain_id{"f"}));
     tell(manager,
-         manager_key_seen{key == nullptr ? std::optional<kv_entry>{} : std::optional{*key}});
+         manager_key_updated{key == nullptr ? std::optional<kv_entry>{} : std::optional{*key}});
     if (m_traffic)
-        tell(manager, traffic_begun{});
+        tell(manager, traffic_started{});
     for (const auto& [id, row] : m_published)
-        tell(manager, runner_seen{row});
+        tell(manager, runner_updated{row});
 }
 
 void fake_registry::start_manager(std::size_t index)
@@ -172,7 +172,7 @@
 void fake_registry::begin_traffic()
 {
     m_traffic = true;
-    tell_all(traffic_begun{});
+    tell_all(traffic_started{});
 }
 
 void fake_registry::kill_manager(std::size_t index)
@@ -182,7 +182,7 @@
 
 void fake_registry::say_silent(const std::string& head)
 {
-    tell_all(group_silent{vm_id{head}});
+    tell_all(group_unresponsive{vm_id{head}});
 }
 
 void fake_registry::run(duration time)
@@ -219,7 +219,7 @@
     for (auto& [id, row] : m_runners)
         progress(row);
     while (!m_store_down && !m_late_entries.empty() && m_late_entries.front().first <= m_now) {
-        tell_all(runner_seen{m_late_entries.front().second});
+        tell_all(runner_updated{m_late_entries.front().second});
         m_late_entries.pop_front();
     }
     constexpr std::int64_t steps_in_tick = 5;
@@ -238,10 +238,10 @@
     if (!m_managers[manager].alive)
         return;
     runner_registry& known = *m_managers[manager].known;
-    if (const auto* seen = std::get_if<runner_seen>(&event))
-        known.take(seen->row, m_now);
-    else if (const auto* gone = std::get_if<runner_gone>(&event))
-        known.drop(gone->vm, m_now);
+    if (const auto* seen = std::get_if<runner_updated>(&event))
+        known.update(seen->row, m_now);
+    else if (const auto* gone = std::get_if<runner_removed>(&event))
+        known.remove(gone->vm, m_now);
     for (const formation_command& command : m_managers[manager].core.handle(event, m_now))
         carry_out(manager, command);
 }
@@ -257,21 +257,21 @@
             (void)m_store.keep_alive(renewal->lease, m_now);
         tell(manager, lease_result{token, result<lease_id>{unreachable}});
     }
-    else if (const auto* asked = std::get_if<ask_runner>(&command)) {
+    else if (const auto* asked = std::get_if<request_runner_report>(&command)) {
         const fake_runner* at = find(asked->vm.value());
         if (at != nullptr && at->alive && at->reachable)
             tell(manager, runner_reported{report_of(*at)});
     }
-    else if (const auto* told = std::get_if<share_runner>(&command)) {
+    else if (const auto* told = std::get_if<broadcast_runner>(&command)) {
         for (const fake_manager& other : m_managers)
             other.known->tell(told->word, m_now);
     }
-    else if (std::holds_alternative<ask_about_outage>(command)) {
+    else if (std::holds_alternative<query_peers_about_outage>(command)) {
         if (!m_store_down || peers_reach_store)
             return;
         for (std::size_t other = 0; other < m_managers.size(); ++other) {
             if (other != manager)
-                tell(other, outage_conceded{});
+                tell(other, outage_reported{});
         }
         tell(manager, outage_confirmed{m_now});
     }
@@ -297,8 +297,8 @@
         const fake_runner* at = find(asked->vm.value());
         tell(manager, member_probed{asked->vm, at != nullptr && at->alive && at->reachable});
     }
-    else if (const auto* doubted = std::get_if<ask_peers>(&command)) {
-        tell(manager, peers_word{doubted->vm, peers_hear});
+    else if (const auto* doubted = std::get_if<probe_through_peers>(&command)) {
+        tell(manager, peer_probe_result{doubted->vm, peers_hear});
     }
 }
 
@@ -352,14 +352,14 @@
     if (m_entries_late > duration{0})
         m_late_entries.emplace_back(m_now + m_entries_late, row);
     else
-        tell_all(runner_seen{row});
+        tell_all(runner_updated{row});
 }
 
 void fake_registry::unlist(fake_runner& gone)
 {
     gone.listed = false;
     m_published.erase(gone.row.id.value());
-    tell_all(runner_gone{gone.row.id});
+    tell_all(runner_removed{gone.row.id});
 }
 
 void fake_registry::publish_key()
@@ -371,7 +371,7 @@
     if (revision == m_key_revision)
         return;
     m_key_revision = revision;
-    tell_all(manager_key_seen{key == nullptr ? std::optional<kv_entry>{} : std::optional{*key}});
+    tell_all(manager_key_updated{key == nullptr ? std::optional<kv_entry>{} : std::optional{*key}});
 }
 
 std::size_t fake_registry::open_groups(const std::string& model) const
--- a/groups/fake_registry.h
+++ b/groups/fake_registry.h
@@ -118,7 +118,7 @@
     };
     struct fake_manager {
         std::unique_ptr<runner_registry> known;
-        formation core;
+        formation_manager core;
         bool alive = true;
     };
     struct due_order {
--- a/groups/formation.h
+++ b/groups/formation.h
@@ -2,7 +2,7 @@
 // them form which groups, and orders them to.
 //
 //   formation manager{{.self = node, .domain = failure_domain, ...}, registry};
-//   run(manager.handle(runner_seen{row}, now));        // the registry, as it changes
+//   run(manager.handle(runner_updated{row}, now));        // the registry, as it changes
 //   run(manager.handle(formation_tick{}, now));        // ten times a second or more
 //
 // No record of assignments is kept: every runner tells the registry which group it is in, so a
@@ -30,24 +30,24 @@
 
 /// A runner's entry is new or has changed; the registry has been told. Rows of all failure domains
 /// are welcome.
-struct runner_seen {
+struct runner_updated {
     runner row;
 };
 /// A runner's entry is gone.
-struct runner_gone {
+struct runner_removed {
     vm_id vm;
 };
 /// The model pools in force.
-struct model_pools_seen {
+struct model_pools_updated {
     std::vector<pool> pools;
 };
 /// The manager's key, or that there is none.
-struct manager_key_seen {
+struct manager_key_updated {
     std::optional<kv_entry> entry;
 };
 /// Whether the registry as known here is up to date by this node's own word with the platform, and
 /// the node's place among those of its failure domain that see to that. Only such nodes claim keys.
-struct registry_current {
+struct registry_status {
     bool current = false;
     std::size_t rank = 0;
 };
@@ -57,7 +57,7 @@
     order_reply reply = order_reply::lost;
 };
 /// A group gives nothing though requests wait for it.
-struct group_silent {
+struct group_unresponsive {
     vm_id head;
 };
 /// Answer to probe_member.
@@ -66,7 +66,7 @@
     bool answers = false;
 };
 /// What other nodes say of a runner that did not answer this one: whether any of them is answered.
-struct peers_word {
+struct peer_probe_result {
     vm_id vm;
     bool answers = false;
 };
@@ -75,20 +75,20 @@
     time_point asked;
 };
 /// This node has told another that the store does not answer it.
-struct outage_conceded {};
-/// Answer to ask_runner.
+struct outage_reported {};
+/// Answer to request_runner_report.
 struct runner_reported {
     runner_report report;
 };
 /// Callers have begun to send requests.
-struct traffic_begun {};
+struct traffic_started {};
 struct formation_tick {};
 
 using formation_event =
-    std::variant<runner_seen, runner_gone, model_pools_seen, manager_key_seen, registry_current,
-                 kv_result, lease_result, order_answered, group_silent, member_probed, peers_word,
-                 outage_confirmed, outage_conceded, runner_reported, peers_seen, traffic_begun,
-                 formation_tick>;
+    std::variant<runner_updated, runner_removed, model_pools_updated, manager_key_updated,
+                 registry_status, kv_result, lease_result, order_answered, group_unresponsive,
+                 member_probed, peer_probe_result, outage_confirmed, outage_reported,
+                 runner_reported, peers_seen, traffic_started, formation_tick>;
 
 // Commands.
 
@@ -105,65 +105,65 @@
     std::string address;
 };
 /// Ask the other nodes whether a runner answers them.
-struct ask_peers {
+struct probe_through_peers {
     vm_id vm;
     std::string address;
 };
 /// Ask the other nodes whether the platform's store answers them.
-struct ask_about_outage {};
+struct query_peers_about_outage {};
 /// Ask a runner for its report.
-struct ask_runner {
+struct request_runner_report {
     vm_id vm;
     std::string address;
 };
 /// Tell the other nodes what the registry can't tell them now.
-struct share_runner {
+struct broadcast_runner {
     runner_word word;
 };
-using formation_command =
-    std::variant<kv_call, lease_grant, lease_renew, lease_end, send_order, probe_member, ask_peers,
-                 ask_about_outage, ask_runner, share_runner, notice>;
+using formation_command = std::variant<kv_call, lease_grant, lease_renew, lease_end, send_order,
+                                       probe_member, probe_through_peers, query_peers_about_outage,
+                                       request_runner_report, broadcast_runner, notice>;
 using formation_commands = std::vector<formation_command>;
 
 struct formation_settings {
     std::string deployment; ///< keeps the manager's key apart from other systems' in the store
     node_id self;
-    mechanism_set mechanisms;           ///< that are switched on
-    failure_domain_id own_domain;       ///< where this node stands
-    failure_domain_id domain;           ///< whose runners it manages
-    duration order_timeout = 1s;        ///< an order unanswered for this long counts as lost
-    duration order_pause = 200ms;       ///< before an order without effect is sent again
-    duration foreign_patience = 1500ms; ///< nodes of other domains claim the key this much later
-    duration claim_turn = 150ms;        ///< between the claims of two nodes
-    std::size_t claimers = 2;           ///< nodes of a failure domain that mostly are current
+    mechanism_set mechanisms;              ///< that are switched on
+    failure_domain_id own_domain;          ///< where this node stands
+    failure_domain_id domain;              ///< whose runners it manages
+    duration order_timeout = 1s;           ///< an order unanswered for this long counts as lost
+    duration order_retry_delay = 200ms;    ///< before an order without effect is sent again
+    duration foreign_claim_delay = 1500ms; ///< nodes of other domains claim the key this much later
+    duration claim_stagger = 150ms;        ///< between the claims of two nodes
+    std::size_t claimants_per_domain = 2;  ///< nodes of a failure domain that mostly are current
     /// Before the first request loads are quick. Groups are planned once no runner has come for
     /// this long, since who else is there decides what is best, ... Must be longer than entries
     /// gather on their way here while a fleet starts.
-    duration settled_after = 2s;
-    duration settled_by = 4s;   ///< ... and no later than this after the first runner
-    duration drain_notice = 6s; ///< a group with a leaving member is closed this long after notice
+    duration settle_time = 2s;
+    duration max_settle_time = 4s; ///< ... and no later than this after the first runner
+    duration close_delay = 6s; ///< a group with a leaving member is closed this long after notice
     /// A runner that did not answer a probe isn't used for this long. Longer than the registry
     /// takes to drop the entry of a dead one (three heartbeats), or it would be used once more in
     /// between.
-    duration dead_mark = 5s;
-    duration outage_question = 300ms; ///< between two questions about an outage of the store
+    duration unresponsive_hold_time = 5s;
+    duration outage_query_interval = 300ms; ///< between two questions about an outage of the store
     /// Between two questions to a runner for its report.
-    duration runner_question = 150ms;
+    duration report_query_interval = 150ms;
     /// Longer than reports are old; one that is asked for this long after an order counts it.
-    duration report_age = 250ms;
-    duration peers_patience = 500ms; ///< for the other nodes' word on a silent head
+    duration max_report_age = 250ms;
+    duration peer_probe_timeout = 500ms; ///< for the other nodes' word on a silent head
     /// Entries that ran out while a living runner could not reach the store are back within this
     /// time, as the store's operators tell; what is missing for longer counts as gone.
-    duration entry_return = 2s;
+    duration entry_grace_period = 2s;
     /// A composition that an earlier manager ordered is given this long to come together. Joins
     /// that load nothing take less.
-    duration adopt_wait = 5s;
+    duration adopted_group_timeout = 5s;
 };
 
 /// For status pages, metrics and logs.
 struct formation_status {
     bool leading = false;
-    bool dark = false; ///< leads, and the store does not renew its lease
+    bool store_unreachable = false; ///< leads, and the store does not renew its lease
     std::int64_t term = 0;
     std::size_t groups_open = 0;
     std::size_t groups_forming = 0;
@@ -172,17 +172,17 @@
 };
 
 /// Pure: no clock, no sockets, no threads.
-class formation {
+class formation_manager {
 public:
     /// `known` is shared by all managers of a node and must outlive them.
-    formation(formation_settings settings, const runner_registry& known);
-    ~formation();
-    formation(formation&&) noexcept;
-    formation& operator=(formation&&) noexcept;
-    formation(const formation&) = delete;
-    formation& operator=(const formation&) = delete;
+    formation_manager(formation_settings settings, const runner_registry& known);
+    ~formation_manager();
+    formation_manager(formation_manager&&) noexcept;
+    formation_manager& operator=(formation_manager&&) noexcept;
+    formation_manager(const formation_manager&) = delete;
+    formation_manager& operator=(const formation_manager&) = delete;
 
-    formation_commands handle(const formation_event& happened, time_point now);
+    formation_commands handle(const formation_event& event, time_point now);
     /// Gives the domain up, on a planned stop.
     formation_commands resign();
     /// Whether this node orders the domain's runners now.
--- a/groups/formation_bench.cc
+++ b/groups/formation_bench.cc
@@ -1,8 +1,8 @@
 // What a node of a large fleet spends on groups: the beat of one that manages nothing, a batch of
 // changed entries, the beat of a manager, and the allotment before the first request.
-#include "groups/allot.h"
 #include "groups/fake_registry.h"
 #include "groups/formation.h"
+#include "groups/group_allocation.h"
 
 #include <benchmark/benchmark.h>
 
@@ -64,7 +64,7 @@
             peers.push_back({node_id{"node-" + std::to_string(index)},
                              failure_domain(index % failure_domains)});
         for (std::size_t index = 0; index < runners; ++index)
-            known.take(runner_of(index), now);
+            known.update(runner_of(index), now);
         for (std::size_t index = 0; index < failure_domains; ++index) {
             formation_settings settings;
             settings.deployment = "bench";
@@ -73,26 +73,26 @@
             settings.domain = failure_domain(index);
             managers.emplace_back(settings, known);
         }
-        tell(model_pools_seen{large_pools()});
-        tell(registry_current{true});
+        tell(model_pools_updated{large_pools()});
+        tell(registry_status{true});
         tell(peers_seen{peers});
-        tell(traffic_begun{});
+        tell(traffic_started{});
         kv_entry held;
         held.value = "another node";
-        tell(manager_key_seen{held});
+        tell(manager_key_updated{held});
     }
 
     void tell(const formation_event& event)
     {
-        for (formation& manager : managers)
+        for (formation_manager& manager : managers)
             benchmark::DoNotOptimize(manager.handle(event, now));
     }
 
     /// The manager of the first failure domain takes its key.
     void lead()
     {
-        formation& manager = managers.front();
-        manager.handle(manager_key_seen{}, now);
+        formation_manager& manager = managers.front();
+        manager.handle(manager_key_updated{}, now);
         now += std::chrono::minutes{1};
         for (const formation_command& command : manager.handle(formation_tick{}, now)) {
             if (const auto* asked = std::get_if<lease_grant>(&command))
@@ -101,7 +101,7 @@
         manager.handle(formation_tick{}, now);
     }
 
-    void claim(formation& manager, const formation_commands& commands)
+    void claim(formation_manager& manager, const formation_commands& commands)
     {
         for (const formation_command& command : commands) {
             if (const auto* call = std::get_if<kv_call>(&command))
@@ -111,7 +111,7 @@
 
     time_point now{std::chrono::hours{1}};
     runner_registry known;
-    std::deque<formation> managers;
+    std::deque<formation_manager> managers;
 };
 
 void beat_of_a_node_that_manages_nothing(benchmark::State& state)
@@ -150,7 +150,7 @@
         draining = !draining;
         for (runner& row : rows) {
             row.leaving = draining;
-            node.known.take(row, node.now);
+            node.known.update(row, node.now);
         }
         node.tell(formation_tick{});
     }
@@ -159,15 +159,15 @@
 
 void allotment_of_a_fleet(benchmark::State& state)
 {
-    std::map<fabric_domain_id, domain_room> rooms;
+    std::map<fabric_domain_id, domain_capacity> capacities;
     for (std::int64_t index = 0; index < state.range(0); ++index) {
         const auto part = static_cast<std::size_t>(index) % failure_domains;
         const std::uint32_t lost = state.range(1) == 0 ? 0 : static_cast<std::uint32_t>(index) % 50;
-        rooms[fabric_domain_id{"fabric-domain-" + std::to_string(index)}] = {
+        capacities[fabric_domain_id{"fabric-domain-" + std::to_string(index)}] = {
             failure_domain(part), static_cast<std::uint32_t>(fabric_runners) - lost};
     }
     for (auto _ : state)
-        benchmark::DoNotOptimize(allot(large_pools(), rooms));
+        benchmark::DoNotOptimize(allocate_groups(large_pools(), capacities));
 }
 BENCHMARK(allotment_of_a_fleet)
     ->ArgNames({"domains", "uneven"})
--- a/groups/formation_groups.cc
+++ b/groups/formation_groups.cc
@@ -14,9 +14,9 @@
 
 namespace {
 
-group_key key_of(const seen_group& seen)
+group_key key_of(const observed_group& observed)
 {
-    return {seen.group, seen.epoch};
+    return {observed.group, observed.epoch};
 }
 
 bool holds_requests(const runner_view& head)
@@ -28,16 +28,16 @@
 } // namespace
 
 /// In the registry, and not known to be unreachable.
-bool formation::state::standing(const runner_view& view) const
+bool formation_manager::state::is_reachable(const runner_view& view) const
 {
-    return view.listed && !view.silent;
+    return view.listed && !view.unresponsive;
 }
 
-const pool* formation::state::pool_of(const seen_group& seen) const
+const pool* formation_manager::state::pool_of(const observed_group& observed) const
 {
-    const auto known = planned.find(key_of(seen));
+    const auto known = planned.find(key_of(observed));
     std::string model = known == planned.end() ? std::string{} : known->second.model;
-    for (const auto& [rank, vm] : seen.members) {
+    for (const auto& [rank, vm] : observed.members) {
         if (const runner_view* view = find(vm); model.empty() && view != nullptr)
             model = view->row.model;
     }
@@ -47,122 +47,124 @@
 }
 
 /// Null if its entry names another group, or none.
-runner_view* formation::state::head_of(const seen_group& seen)
+runner_view* formation_manager::state::head_of(const observed_group& observed)
 {
-    const auto found = seen.members.find(0);
-    return found == seen.members.end() ? nullptr : find(found->second);
+    const auto found = observed.members.find(0);
+    return found == observed.members.end() ? nullptr : find(found->second);
 }
 
-bool formation::state::whole(const seen_group& seen, const pool& kind) const
+bool formation_manager::state::is_complete(const observed_group& observed, const pool& kind) const
 {
-    if (seen.members.size() != kind.replica_vms ||
-        seen.members.rbegin()->first + 1 != kind.replica_vms)
+    if (observed.members.size() != kind.replica_vms ||
+        observed.members.rbegin()->first + 1 != kind.replica_vms)
         return false;
-    return std::all_of(seen.members.begin(), seen.members.end(), [&](const auto& entry) {
+    return std::all_of(observed.members.begin(), observed.members.end(), [&](const auto& entry) {
         const runner_view* view = find(entry.second);
-        return view != nullptr && standing(*view);
+        return view != nullptr && is_reachable(*view);
     });
 }
 
-void formation::state::look_at_groups(time_point now)
+void formation_manager::state::review_groups(time_point now)
 {
-    std::map<group_key, seen_group> all;
+    std::map<group_key, observed_group> all;
     for (const auto& [vm, view] : runners) {
         if (!view.row.group)
             continue;
         const membership& said = *view.row.group;
-        seen_group& group = all[{said.group, said.epoch}];
+        observed_group& group = all[{said.group, said.epoch}];
         group.group = said.group;
         group.epoch = said.epoch;
         group.members[said.rank] = vm;
     }
     for (const auto& [key, group] : all)
-        look_at(group, now);
-    join_again(now);
+        review_group(group, now);
+    resend_joins(now);
     // One that none of its members has joined, and that can't become whole, is forgotten.
     std::erase_if(planned, [&](const auto& entry) {
-        return !all.contains(entry.first) && !coming_together(entry.first, now);
+        return !all.contains(entry.first) && !still_forming(entry.first, now);
     });
 }
 
 /// A join that was lost on its way is sent again: it names the same composition.
-void formation::state::join_again(time_point now)
+void formation_manager::state::resend_joins(time_point now)
 {
     for (const auto& [key, plan] : planned) {
         const runner_view* head = find(plan.members.front());
         const bool opened = head != nullptr && is_in(*head, key) && holds_requests(*head);
-        if (!opened && coming_together(key, now))
+        if (!opened && still_forming(key, now))
             order_joins(plan, now);
     }
 }
 
-void formation::state::look_at(const seen_group& seen, time_point now)
+void formation_manager::state::review_group(const observed_group& observed, time_point now)
 {
-    if (warms_up(key_of(seen))) {
-        end_warm_up(seen, now);
+    if (is_warm_up(key_of(observed))) {
+        end_warm_up(observed, now);
         return;
     }
-    const pool* kind = pool_of(seen);
-    runner_view* const head = head_of(seen);
-    const bool complete = kind != nullptr && whole(seen, *kind);
-    if (!complete && head != nullptr && holds_requests(*head) && entries_may_return(seen, now))
+    const pool* kind = pool_of(observed);
+    runner_view* const head = head_of(observed);
+    const bool complete = kind != nullptr && is_complete(observed, *kind);
+    if (!complete && head != nullptr && holds_requests(*head) && entries_may_return(observed, now))
         return;
-    if (!complete && told_lately(seen, now))
+    if (!complete && reported_recently(observed, now))
         return;
-    const bool serving = head != nullptr && standing(*head) && holds_requests(*head);
+    const bool serving = head != nullptr && is_reachable(*head) && holds_requests(*head);
     if (serving) {
-        if (!head->vouched)
-            ask(*head, now); // so that it can be used at once if the group ends
+        if (!head->membership_confirmed)
+            query_runner(*head, now); // so that it can be used at once if the group ends
         if (complete)
-            close_before_leave(seen, *head, now);
+            close_before_leave(observed, *head, now);
         else
-            dissolve(seen, now);
+            dissolve(observed, now);
         return;
     }
     if (complete) {
-        open_if_whole(seen, *head, now);
+        open_if_ready(observed, *head, now);
         return;
     }
     // Joins of some members may not be in the registry yet.
-    if (!coming_together(key_of(seen), now))
-        dissolve(seen, now);
+    if (!still_forming(key_of(observed), now))
+        dissolve(observed, now);
 }
 
 /// Whether a member has just told of this group while the registry shows another, as after an
 /// outage of the store. The entries of the others are as old as its own was: that they don't name
 /// the group says nothing until they have been written anew.
-bool formation::state::told_lately(const seen_group& seen, time_point now) const
+bool formation_manager::state::reported_recently(const observed_group& observed,
+                                                 time_point now) const
 {
-    if (dark(now))
+    if (store_unreachable(now))
         return false;
-    return std::any_of(seen.members.begin(), seen.members.end(), [&](const auto& entry) {
+    return std::any_of(observed.members.begin(), observed.members.end(), [&](const auto& entry) {
         const runner_view* view = find(entry.second);
-        return view != nullptr && now - view->told_at < settings.entry_return;
+        return view != nullptr && now - view->reported_at < settings.entry_grace_period;
     });
 }
 
 /// An entry that has run out is a suspicion, not a loss: when a cut heals between two members'
 /// entries running out, the others can be ordered again while all of them live and serve. So the
 /// member itself is asked. Only one that doesn't answer, or whose entry stays away, is lost.
-bool formation::state::entry_may_return(runner_view& view, time_point now)
+bool formation_manager::state::entry_may_return(runner_view& view, time_point now)
 {
     const bool probed = settings.mechanisms.has(mechanism::probes_before_ending);
-    if (!probed || view.silent || now - view.unlisted_at >= settings.entry_return)
+    if (!probed || view.unresponsive || now - view.unlisted_at >= settings.entry_grace_period)
         return false;
-    if (view.doubted_at < view.unlisted_at) {
-        view.doubted_at = now;
+    if (view.liveness_queried_at < view.unlisted_at) {
+        view.liveness_queried_at = now;
         out.emplace_back(probe_member{view.row.id, view.row.address});
     }
-    return view.answered_at >= view.doubted_at || now - view.doubted_at < settings.peers_patience;
+    return view.probe_answered_at >= view.liveness_queried_at ||
+           now - view.liveness_queried_at < settings.peer_probe_timeout;
 }
 
 /// Whether a group misses nothing but entries that may return.
-bool formation::state::entries_may_return(const seen_group& seen, time_point now)
+bool formation_manager::state::entries_may_return(const observed_group& observed, time_point now)
 {
     bool missing = false;
-    for (const auto& [rank, vm] : seen.members) {
+    for (const auto& [rank, vm] : observed.members) {
         runner_view* view = find(vm);
-        if (view == nullptr || view->silent)
+        if (view == nullptr || view->unresponsive)
             return false;
         if (view->listed)
             continue;
@@ -173,110 +175,114 @@
     return missing;
 }
 
-bool formation::state::warms_up(const group_key& key) const
+bool formation_manager::state::is_warm_up(const group_key& key) const
 {
     const auto plan = planned.find(key);
     return plan != planned.end() && plan->second.purpose == group_purpose::warm_up;
 }
 
-void formation::state::end_warm_up(const seen_group& seen, time_point now)
+void formation_manager::state::end_warm_up(const observed_group& observed, time_point now)
 {
-    const runner_view* spare = find(seen.members.begin()->second);
+    const runner_view* spare = find(observed.members.begin()->second);
     const bool warm = spare != nullptr && spare->row.group->phase != member_phase::joining;
-    if (warm || !coming_together(key_of(seen), now))
-        dissolve(seen, now);
+    if (warm || !still_forming(key_of(observed), now))
+        dissolve(observed, now);
 }
 
-void formation::state::open_if_whole(const seen_group& seen, runner_view& head, time_point now)
+void formation_manager::state::open_if_ready(const observed_group& observed, runner_view& head,
+                                             time_point now)
 {
     bool all_ready = head.row.group->phase == member_phase::ready;
     bool leaving = false;
-    for (const auto& [rank, vm] : seen.members) {
+    for (const auto& [rank, vm] : observed.members) {
         const runner_view& view = *find(vm);
         all_ready = all_ready && (view.row.group->phase == member_phase::ready);
         leaving = leaving || view.row.leaving;
     }
     if (head.row.group->phase == member_phase::broken || leaving) {
-        dissolve(seen, now);
+        dissolve(observed, now);
         return;
     }
     if (!all_ready)
         return;
-    if (order(head, open_group{seen.group, seen.epoch}, now))
-        say(log_level::info, "group_opened", seen.group.value(),
-            "epoch " + std::to_string(seen.epoch));
+    if (order(head, open_group{observed.group, observed.epoch}, now))
+        add_notice(log_level::info, "group_opened", observed.group.value(),
+                   "epoch " + std::to_string(observed.epoch));
 }
 
-void formation::state::close_before_leave(const seen_group& seen, runner_view& head, time_point now)
+void formation_manager::state::close_before_leave(const observed_group& observed, runner_view& head,
+                                                  time_point now)
 {
     bool due = false;
-    for (const auto& [rank, vm] : seen.members) {
+    for (const auto& [rank, vm] : observed.members) {
         const runner_view& view = *find(vm);
-        due = due || (view.row.leaving && now - view.leaving_since >= settings.drain_notice);
+        due = due || (view.row.leaving && now - view.leaving_since >= settings.close_delay);
     }
     if (due && head.row.group->phase == member_phase::open &&
-        order(head, close_group{seen.group, seen.epoch}, now))
-        say(log_level::info, "group_closed", seen.group.value(), "a member leaves");
+        order(head, close_group{observed.group, observed.epoch}, now))
+        add_notice(log_level::info, "group_closed", observed.group.value(), "a member leaves");
 }
 
-void formation::state::dissolve(const seen_group& seen, time_point now)
+void formation_manager::state::dissolve(const observed_group& observed, time_point now)
 {
-    runner_view* const head = head_of(seen);
-    planned.erase(key_of(seen));
-    const bool reachable = head != nullptr && standing(*head);
+    runner_view* const head = head_of(observed);
+    planned.erase(key_of(observed));
+    const bool reachable = head != nullptr && is_reachable(*head);
     if (reachable && holds_requests(*head)) {
-        if (order(*head, leave_group{seen.group, seen.epoch}, now))
-            say(log_level::warning, "group_ended", seen.group.value(), "a member is lost");
-        ask_survivors(seen, now);
+        if (order(*head, leave_group{observed.group, observed.epoch}, now))
+            add_notice(log_level::warning, "group_ended", observed.group.value(),
+                       "a member is lost");
+        query_survivors(observed, now);
         return;
     }
-    if (head != nullptr && holds_requests(*head) && !head->dead && head->silent &&
-        now - head->silent_since < settings.peers_patience)
+    if (head != nullptr && holds_requests(*head) && !head->dead && head->unresponsive &&
+        now - head->unresponsive_since < settings.peer_probe_timeout)
         return; // the other nodes' word on it is due
-    for (const auto& [rank, vm] : seen.members) {
+    for (const auto& [rank, vm] : observed.members) {
         runner_view* view = find(vm);
-        if (view != nullptr && standing(*view) &&
-            order(*view, leave_group{seen.group, seen.epoch}, now))
-            say(log_level::info, "member_taken", vm.value(), seen.group.value() + " is over");
+        if (view != nullptr && is_reachable(*view) &&
+            order(*view, leave_group{observed.group, observed.epoch}, now))
+            add_notice(log_level::info, "member_taken", vm.value(),
+                       observed.group.value() + " is over");
     }
 }
 
 /// Survivors that have to leave next can be used at once if they have told of themselves by then.
-void formation::state::ask_survivors(const seen_group& seen, time_point now)
+void formation_manager::state::query_survivors(const observed_group& observed, time_point now)
 {
-    for (const auto& [rank, vm] : seen.members) {
-        if (runner_view* view = find(vm); view != nullptr && !view->vouched)
-            ask(*view, now);
+    for (const auto& [rank, vm] : observed.members) {
+        if (runner_view* view = find(vm); view != nullptr && !view->membership_confirmed)
+            query_runner(*view, now);
     }
 }
 
 /// Whether a composition may still become whole.
-bool formation::state::coming_together(const group_key& key, time_point now) const
+bool formation_manager::state::still_forming(const group_key& key, time_point now) const
 {
     const auto plan = planned.find(key);
     if (plan != planned.end())
-        return now < plan->second.give_up &&
+        return now < plan->second.deadline &&
                std::all_of(plan->second.members.begin(), plan->second.members.end(),
                            [&](const vm_id& vm) {
                                const runner_view* view = find(vm);
-                               return view != nullptr && standing(*view) &&
+                               return view != nullptr && is_reachable(*view) &&
                                       (!view->row.group || is_in(*view, key));
                            });
     // The manager before this one had it formed; who else belongs to it is not known here. One that
     // has been in the registry for longer was whole and has lost somebody.
     const std::optional<time_point> since = first_seen(key);
-    return since && now - *since < settings.adopt_wait;
+    return since && now - *since < settings.adopted_group_timeout;
 }
 
 /// When the composition first stood in the registry, or else when a member first told of it.
-std::optional<time_point> formation::state::first_seen(const group_key& key) const
+std::optional<time_point> formation_manager::state::first_seen(const group_key& key) const
 {
     std::optional<time_point> since = known.first_seen(key);
     if (since)
         return since;
     for (const auto& [vm, view] : runners) {
-        if (is_in(view, key) && (!since || view.told_at < *since))
-            since = view.told_at;
+        if (is_in(view, key) && (!since || view.reported_at < *since))
+            since = view.reported_at;
     }
     return since;
 }
--- a/groups/formation_histories_test.cc
+++ b/groups/formation_histories_test.cc
@@ -8,25 +8,25 @@
 namespace {
 
 // Troubles of a history, as bits of a number.
-constexpr unsigned old_reports = 1;     ///< runners say what held 200 ms ago
+constexpr unsigned stale_reports = 1;   ///< runners say what held 200 ms ago
 constexpr unsigned late_entries = 2;    ///< the registry tells of changes up to 600 ms late
 constexpr unsigned late_orders = 4;     ///< up to a third are carried out seconds later
 constexpr unsigned lost_answers = 8;    ///< up to 40% of orders get no answer
 constexpr unsigned outages = 16;        ///< of the store
 constexpr unsigned dying_managers = 32; ///< that start again with what the registry shows
-constexpr unsigned all_mixes = 64;
+constexpr unsigned fault_combinations = 64;
 
 /// The days of one failure domain, one random step after the other.
 class history {
 public:
-    history(std::uint64_t seed, unsigned troubles)
-        : m_random{seed * 7919 + troubles}, m_troubles{troubles},
+    history(std::uint64_t seed, unsigned faults)
+        : m_random{seed * 7919 + faults}, m_faults{faults},
           m_world{{.managers = 3, .domains = 2, .runners = 9 + m_random.index(12), .seed = seed}}
     {
         m_world.run(12s);
         m_world.begin_traffic();
         m_world.leases_outlast_outages = m_random.chance(0.5);
-        if (has(old_reports))
+        if (has(stale_reports))
             m_world.delay_reports(200ms);
         if (has(late_entries))
             m_world.delay_entries(milliseconds(50, 600));
@@ -53,7 +53,7 @@
     }
 
 private:
-    [[nodiscard]] bool has(unsigned trouble) const { return (m_troubles & trouble) != 0; }
+    [[nodiscard]] bool has(unsigned fault) const { return (m_faults & fault) != 0; }
 
     std::chrono::milliseconds milliseconds(std::int64_t least, std::int64_t most)
     {
@@ -66,7 +66,7 @@
         const std::string model = m_random.chance(0.5) ? "big" : "small";
         const std::string head = m_world.head_of(model, m_random.index(3));
         if (what < 0.5 && !head.empty())
-            hurt_group(head);
+            inject_group_fault(head);
         else if (what < 0.62 && !m_down && has(outages))
             begin_outage();
         else if (what < 0.8 && m_down)
@@ -77,7 +77,7 @@
             m_world.add(newcomer, m_random.index(2));
     }
 
-    void hurt_group(const std::string& head)
+    void inject_group_fault(const std::string& head)
     {
         const std::vector<std::string> members = m_world.members_of(head);
         const std::string& victim = members[m_random.index(members.size())];
@@ -114,36 +114,36 @@
     }
 
     random_source m_random;
-    unsigned m_troubles;
+    unsigned m_faults;
     fake_registry m_world;
     bool m_down = false;
 };
 
-void assert_kept(std::uint64_t seed, unsigned troubles)
+void assert_invariants_hold(std::uint64_t seed, unsigned faults)
 {
-    const std::string broken = history{seed, troubles}.play();
-    cr_assert(broken.empty(), "seed %lu, troubles %u: %s", seed, troubles, broken.c_str());
+    const std::string broken = history{seed, faults}.play();
+    cr_assert(broken.empty(), "seed %lu, troubles %u: %s", seed, faults, broken.c_str());
 }
 
 } // namespace
 
 // Guards against a runner in two groups when a join that got no answer is carried out after the
 // runner was told to leave that group.
-Test(formation, a_join_carried_out_late_moves_nobody)
+Test(formation, a_late_join_moves_no_runner)
 {
-    assert_kept(92, late_orders);
-    assert_kept(29, old_reports | late_orders);
-    assert_kept(7, late_orders | lost_answers);
-    assert_kept(5, late_entries | late_orders | lost_answers);
-    assert_kept(31, late_orders | outages);
+    assert_invariants_hold(92, late_orders);
+    assert_invariants_hold(29, stale_reports | late_orders);
+    assert_invariants_hold(7, late_orders | lost_answers);
+    assert_invariants_hold(5, late_entries | late_orders | lost_answers);
+    assert_invariants_hold(31, late_orders | outages);
 }
 
 // Guards against whatever mix of troubles puts a runner into two groups or opens a group too early.
-Test(formation, random_histories_break_no_promise)
+Test(formation, random_histories_violate_no_invariant)
 {
     constexpr std::uint64_t seeds = 6;
-    for (unsigned troubles = 0; troubles < all_mixes; ++troubles) {
+    for (unsigned faults = 0; faults < fault_combinations; ++faults) {
         for (std::uint64_t seed = 1; seed <= seeds; ++seed)
-            assert_kept(seed, troubles);
+            assert_invariants_hold(seed, faults);
     }
 }
--- a/groups/formation_orders_test.cc
+++ b/groups/formation_orders_test.cc
@@ -10,55 +10,55 @@
 constexpr std::int64_t term = 7;
 
 /// A manager alone, told of everything by hand.
-class lone_manager {
+class single_manager {
 public:
-    lone_manager()
+    single_manager()
     {
-        tell(model_pools_seen{fake_registry::pools()});
-        tell(registry_current{true, 0});
-        tell(traffic_begun{});
+        tell(model_pools_updated{fake_registry::pools()});
+        tell(registry_status{true, 0});
+        tell(traffic_started{});
     }
-    ~lone_manager() = default;
-    lone_manager(const lone_manager&) = delete; // the core refers to the registry
-    lone_manager& operator=(const lone_manager&) = delete;
-    lone_manager(lone_manager&&) = delete;
-    lone_manager& operator=(lone_manager&&) = delete;
+    ~single_manager() = default;
+    single_manager(const single_manager&) = delete; // the core refers to the registry
+    single_manager& operator=(const single_manager&) = delete;
+    single_manager(single_manager&&) = delete;
+    single_manager& operator=(single_manager&&) = delete;
 
     /// Becomes the manager of three spares and orders them into one group; no order is answered
     /// yet.
     void form()
     {
         for (const char* id : {"r-1", "r-2", "r-3"})
-            see(id, std::nullopt);
+            update_entry(id, std::nullopt);
         become_manager();
         for (const char* id : {"r-1", "r-2", "r-3"})
             report(id, std::nullopt, 4);
-        pass(50ms);
+        advance(50ms);
     }
 
     void become_manager()
     {
-        tell(manager_key_seen{std::nullopt});
-        pass(200ms);
+        tell(manager_key_updated{std::nullopt});
+        advance(200ms);
         const lease_grant asked = last<lease_grant>();
         tell(lease_result{asked.token, lease_id{1}});
         const kv_call claim = last<kv_call>();
         tell(kv_result{claim.token, kv_outcome{true, term, {}}});
-        pass(50ms);
+        advance(50ms);
     }
 
     /// The lease ends without a word of the store, which renews it later all the same.
     void stop_and_come_back(const std::function<void()>& meanwhile)
     {
-        pass(4s);
+        advance(4s);
         cr_assert_not(m_core.leading(m_now));
         meanwhile();
         tell(lease_result{last<lease_renew>().token, lease_id{1}});
-        pass(50ms);
+        advance(50ms);
         cr_assert(m_core.leading(m_now));
     }
 
-    void see(const std::string& id, std::optional<membership> group)
+    void update_entry(const std::string& id, std::optional<membership> group)
     {
         runner row;
         row.id = vm_id{id};
@@ -70,8 +70,8 @@
         row.staged = {"small"};
         row.model = group ? "small" : "";
         row.group = std::move(group);
-        m_known.take(row, m_now);
-        tell(runner_seen{row});
+        m_known.update(row, m_now);
+        tell(runner_updated{row});
     }
 
     void report(const std::string& id, std::optional<membership> group, std::int64_t orders)
@@ -95,7 +95,7 @@
         }
     }
 
-    void pass(duration time)
+    void advance(duration time)
     {
         constexpr duration beat = 50ms;
         for (const time_point until = m_now + time; m_now < until;) {
@@ -137,7 +137,7 @@
 
     time_point m_now{std::chrono::hours{1}};
     runner_registry m_known;
-    formation m_core{settings(), m_known};
+    formation_manager m_core{settings(), m_known};
     std::vector<formation_command> m_commands;
     std::map<std::string, send_order> m_orders; ///< the last to each runner
 };
@@ -147,7 +147,7 @@
 // Guards against a join that takes effect behind other orders, late or on an old belief.
 Test(formation, a_join_names_the_orders_that_the_runner_had_begun)
 {
-    lone_manager manager;
+    single_manager manager;
     manager.form();
     const join_group* join = manager.join_of("r-1");
     cr_assert_not_null(join);
@@ -158,16 +158,16 @@
 // group of the manager before: that one's join was carried out late, and its group may serve.
 Test(formation, a_runner_that_turned_up_in_another_group_is_not_joined)
 {
-    lone_manager manager;
+    single_manager manager;
     manager.form();
     manager.answer("r-1", order_reply::misfit);
     manager.forget_orders();
     const membership other{group_id{"g1"}, 1, 1, member_phase::ready};
-    manager.see("r-8", membership{group_id{"g1"}, 1, 0, member_phase::open});
-    manager.see("r-9", membership{group_id{"g1"}, 1, 2, member_phase::ready});
-    manager.see("r-1", other);
+    manager.update_entry("r-8", membership{group_id{"g1"}, 1, 0, member_phase::open});
+    manager.update_entry("r-9", membership{group_id{"g1"}, 1, 2, member_phase::ready});
+    manager.update_entry("r-1", other);
     manager.report("r-1", other, 5);
-    manager.pass(1s);
+    manager.advance(1s);
     cr_assert_null(manager.join_of("r-1"));
 }
 
@@ -175,12 +175,12 @@
 // runner didn't.
 Test(formation, a_runner_that_refused_a_join_is_asked_and_joined_again)
 {
-    lone_manager manager;
+    single_manager manager;
     manager.form();
     manager.answer("r-1", order_reply::misfit);
     manager.forget_orders();
     manager.report("r-1", std::nullopt, 3);
-    manager.pass(1s);
+    manager.advance(1s);
     const join_group* join = manager.join_of("r-1");
     cr_assert_not_null(join);
     cr_assert(join->orders_before == 3);
@@ -188,9 +188,9 @@
 
 // Guards against a report from before a join that arrives after the lease has ended: its runner
 // would be free to the manager that is back in its old term, and is in a group.
-Test(formation, a_report_from_before_a_join_frees_nobody_while_the_manager_stands_still)
+Test(formation, an_old_report_frees_no_runner_while_the_manager_does_not_lead)
 {
-    lone_manager manager;
+    single_manager manager;
     manager.form();
     for (const char* id : {"r-1", "r-2", "r-3"})
         manager.answer(id, order_reply::begun);
--- a/groups/formation_dark.cc
+++ b/groups/formation_outage.cc
@@ -17,35 +17,36 @@
 {
     const std::optional<membership>& told = report.word.group;
     const std::optional<membership>& known = view.row.group;
-    if (view.vouched && report.orders < view.begun_orders)
+    if (view.membership_confirmed && report.orders < view.begun_orders)
         return true;
     if (told)
         return told->epoch <= view.left_epoch || (known && told->epoch < known->epoch);
-    const bool has_left = view.vouched && report.orders > view.begun_orders;
-    return known && !has_left;
+    const bool apply_leave = view.membership_confirmed && report.orders > view.begun_orders;
+    return known && !apply_leave;
 }
 
 } // namespace
 
-bool formation::state::dark(time_point now) const
+bool formation_manager::state::store_unreachable(time_point now) const
 {
-    return vote.doubtful(now);
+    return lease_election.renewal_overdue(now);
 }
 
-void formation::state::ask_about_store(time_point now)
+void formation_manager::state::query_store_outage(time_point now)
 {
     if (!settings.mechanisms.has(mechanism::outage_inquiry))
         return;
-    if (!vote.doubtful(now) || now - outage_asked < settings.outage_question)
+    if (!lease_election.renewal_overdue(now) ||
+        now - outage_queried_at < settings.outage_query_interval)
         return;
-    outage_asked = now;
-    out.emplace_back(ask_about_outage{});
+    outage_queried_at = now;
+    out.emplace_back(query_peers_about_outage{});
 }
 
 /// Asks the members of the compositions that are to become groups.
-void formation::state::ask_members(time_point now)
+void formation_manager::state::query_members(time_point now)
 {
-    if (!dark(now))
+    if (!store_unreachable(now))
         return;
     for (const auto& [key, plan] : planned) {
         bool all_ready = true;
@@ -55,25 +56,25 @@
                                view->row.group->phase == member_phase::joining;
             all_ready = all_ready && !joins;
             if (joins)
-                ask(*view, now);
+                query_runner(*view, now);
         }
         runner_view* head = find(plan.members.front());
         const bool opens = all_ready && head != nullptr && is_in(*head, key) &&
                            head->row.group->phase == member_phase::ready;
         if (opens)
-            ask(*head, now);
+            query_runner(*head, now);
     }
 }
 
-void formation::state::ask(runner_view& view, time_point now)
+void formation_manager::state::query_runner(runner_view& view, time_point now)
 {
-    if (now < view.ask_again || !standing(view))
+    if (now < view.next_report_query || !is_reachable(view))
         return;
-    view.ask_again = now + settings.runner_question;
-    out.emplace_back(ask_runner{view.row.id, view.row.address});
+    view.next_report_query = now + settings.report_query_interval;
+    out.emplace_back(request_runner_report{view.row.id, view.row.address});
 }
 
-void formation::state::take_report(const runner_report& report, time_point now)
+void formation_manager::state::handle_report(const runner_report& report, time_point now)
 {
     const runner_word& word = report.word;
     runner_view* view = find(word.vm);
@@ -84,41 +85,42 @@
     // How far it has come there its entry tells, sooner than a report, unless the registry is dark.
     const bool same = word.group ? is_in(*view, key_of(*word.group)) : !view->row.group;
     const bool unchanged = view->row.group == word.group && view->row.model == word.model;
-    if (!unchanged && (!same || dark(now)))
-        install(word, *view, now);
+    if (!unchanged && (!same || store_unreachable(now)))
+        apply_report(word, *view, now);
     view->begun_orders = report.orders;
-    view->vouched = true;
+    view->membership_confirmed = true;
 }
 
-void formation::state::install(const runner_word& word, runner_view& view, time_point now)
+void formation_manager::state::apply_report(const runner_word& word, runner_view& view,
+                                            time_point now)
 {
-    view.told_at = now;
+    view.reported_at = now;
     runner row = view.row;
     row.group = word.group;
     row.model = word.model;
-    view.ahead.reset(); // this is later than what it said before
-    take_runner(row, now);
+    view.joined_before_entry.reset(); // this is later than what it said before
+    update_runner(row, now);
     if (view.row.group)
-        view.ahead = key_of(*view.row.group);
-    share(view, now);
+        view.joined_before_entry = key_of(*view.row.group);
+    broadcast(view, now);
 }
 
-void formation::state::share(const runner_view& view, time_point now)
+void formation_manager::state::broadcast(const runner_view& view, time_point now)
 {
-    if (vote.leading(now) && dark(now))
+    if (lease_election.leading(now) && store_unreachable(now))
         out.emplace_back(
-            share_runner{{view.row.id, view.row.born_ms, view.row.group, view.row.model}});
+            broadcast_runner{{view.row.id, view.row.born_ms, view.row.group, view.row.model}});
 }
 
 /// The registry drops the entry of a dead runner in the time for which it isn't used. While it is
 /// dark it can't, so the runner has to answer before it is used again.
-void formation::state::doubt_silent(runner_view& view, time_point now)
+void formation_manager::state::recheck_unresponsive(runner_view& view, time_point now)
 {
-    if (!dark(now)) {
-        view.silent = false;
+    if (!store_unreachable(now)) {
+        view.unresponsive = false;
         return;
     }
-    view.silent_until = now + settings.dead_mark;
+    view.unresponsive_until = now + settings.unresponsive_hold_time;
     out.emplace_back(probe_member{view.row.id, view.row.address});
 }
 
--- a/groups/formation_outage_test.cc
+++ b/groups/formation_outage_test.cc
@@ -8,7 +8,7 @@
 // to until the store is back. All nodes say that they don't reach it, so the manager goes on.
 Test(formation, groups_are_repaired_while_the_store_is_down)
 {
-    fake_registry world = serving({.managers = 3, .domains = 2, .runners = 9});
+    fake_registry world = serving_fleet({.managers = 3, .domains = 2, .runners = 9});
     const std::size_t groups = world.open_groups("big");
     const std::string head = world.head_of("big", 0);
     world.store_down();
@@ -23,16 +23,16 @@
     cr_assert(world.run_until([&] { return world.leaders() == 1; }, 4s));
     world.run(3s);
     cr_assert_eq(world.open_groups("big"), groups);
-    assert_sound(world);
+    assert_no_violations(world);
 }
 
 // While the store is down a manager makes a broken group whole with a spare. The store comes back,
 // and a node that has just started becomes the manager a moment later, before the runners have
 // written their entries anew: it still reads that the spare is free, and orders it elsewhere while
 // it serves. So a new manager asks each runner before it takes it for free.
-Test(formation, entries_from_before_an_outage_free_nobody)
+Test(formation, entries_from_before_an_outage_free_no_runner)
 {
-    fake_registry world = serving({.managers = 2, .domains = 2, .runners = 9});
+    fake_registry world = serving_fleet({.managers = 2, .domains = 2, .runners = 9});
     const std::size_t groups = world.open_groups("big");
     const std::string head = world.head_of("big", 0);
     world.store_down();
@@ -47,10 +47,10 @@
     world.store_up(2s);
     world.start_manager(1);
     world.run(1500ms);
-    assert_sound(world);
+    assert_no_violations(world);
     cr_assert_eq(world.leaders(), 1U);
     world.run(4s);
-    assert_sound(world);
+    assert_no_violations(world);
     cr_assert_eq(world.open_groups("big"), groups, "nor does it end groups that are whole");
 }
 
@@ -58,7 +58,7 @@
 // answer it must not be joined to one composition after the other, none of which becomes whole.
 Test(formation, a_dead_runner_whose_entry_stays_is_not_used_again)
 {
-    fake_registry world = serving({.managers = 2, .domains = 2, .runners = 9});
+    fake_registry world = serving_fleet({.managers = 2, .domains = 2, .runners = 9});
     const std::size_t groups = world.open_groups("big");
     const std::string head = world.head_of("big", 0);
     world.store_down();
@@ -70,14 +70,14 @@
     const std::size_t orders = world.orders();
     world.run(10s);
     cr_assert_leq(world.orders(), orders + 2, "nobody is ordered to and fro");
-    assert_sound(world);
+    assert_no_violations(world);
 }
 
 // One failure domain is cut off from the store, another is not: a node there takes the key when the
 // lease ends. The manager behind the cut must have stopped by then.
 Test(formation, a_manager_stops_while_any_node_reaches_the_store)
 {
-    fake_registry world = serving({.managers = 2, .domains = 2, .runners = 9});
+    fake_registry world = serving_fleet({.managers = 2, .domains = 2, .runners = 9});
     world.peers_reach_store = true;
     world.store_down();
     world.run(2s);
@@ -90,7 +90,8 @@
 {
     for (std::uint64_t seed = 1; seed <= 60; ++seed) {
         random_source random{seed};
-        fake_registry world = serving({.managers = 2, .domains = 2, .runners = 24, .seed = seed});
+        fake_registry world =
+            serving_fleet({.managers = 2, .domains = 2, .runners = 24, .seed = seed});
         world.delay_entries(std::chrono::milliseconds{random.between(50, 600)});
         for (int round = 0; round < 3; ++round) {
             const std::string head =
@@ -124,11 +125,12 @@
 // runners' own word. As the store comes back it first takes the calls that runners had under way:
 // entries from when they were in no group. One VM was ordered into another group while the one it
 // headed served.
-Test(formation, an_entry_older_than_an_accepted_join_frees_nobody)
+Test(formation, an_entry_older_than_an_accepted_join_frees_no_runner)
 {
     for (std::uint64_t seed = 1; seed <= 60; ++seed) {
         random_source random{seed};
-        fake_registry world = serving({.managers = 2, .domains = 2, .runners = 24, .seed = seed});
+        fake_registry world =
+            serving_fleet({.managers = 2, .domains = 2, .runners = 24, .seed = seed});
         world.leases_outlast_outages = true;
         world.store_down();
         world.run(3s);
@@ -159,9 +161,9 @@
 // Guards against a manager that is back in its old term after an outage and takes the members of a
 // group that it had made: the group opened in the outage, on an order that was carried out late,
 // and the time in which it had to come together has passed.
-Test(formation, a_manager_back_in_its_old_term_leaves_its_own_group_alone)
+Test(formation, a_manager_resuming_its_term_keeps_its_group)
 {
-    fake_registry world = serving({.managers = 2, .domains = 2, .runners = 10});
+    fake_registry world = serving_fleet({.managers = 2, .domains = 2, .runners = 10});
     world.leases_outlast_outages = true;
     world.delay_entries(600ms);
     const std::size_t groups = world.open_groups("big");
@@ -180,16 +182,16 @@
     world.lose_orders(0.0);
     world.store_up();
     world.run(4s);
-    assert_sound(world);
+    assert_no_violations(world);
     cr_assert_eq(world.leaders(), 1U);
     cr_assert_eq(world.open_groups("big"), groups);
 }
 
 // Guards against a runner in two groups when an entry from before an outage is heard after the
 // manager, elected anew as the store came back, has opened the group that it made in the outage.
-Test(formation, an_open_order_vouches_for_no_entry)
+Test(formation, an_open_order_confirms_no_entry)
 {
-    fake_registry world = serving({.managers = 2, .domains = 2, .runners = 9});
+    fake_registry world = serving_fleet({.managers = 2, .domains = 2, .runners = 9});
     world.delay_entries(500ms);
     const std::string first = world.head_of("big", 0);
     const std::string second = world.head_of("big", 1);
@@ -208,5 +210,5 @@
     world.run(150ms);
     world.say_silent(second);
     world.run(3s);
-    assert_sound(world);
+    assert_no_violations(world);
 }
--- a/groups/formation_plan.cc
+++ b/groups/formation_plan.cc
@@ -14,10 +14,10 @@
 
 namespace {
 
-constexpr duration warm_join = 200ms;   ///< of a runner whose last group had the model
-constexpr duration load_patience = 10s; ///< beyond the time that joins and loads should take
-constexpr double load_burst = 3.0;      ///< loads that may begin at once, of those saved up
-constexpr double alike = 1.3;           ///< needs within this factor count as equal
+constexpr duration warm_join = 200ms;     ///< of a runner whose last group had the model
+constexpr duration formation_slack = 10s; ///< beyond the time that joins and loads should take
+constexpr double load_burst = 3.0;        ///< loads that may begin at once, of those saved up
+constexpr double need_tolerance = 1.3;    ///< needs within this factor count as equal
 constexpr std::int64_t epochs_in_term = 4096;
 
 bool has_staged(const runner_view& view, const std::string& model)
@@ -36,9 +36,9 @@
 
 } // namespace
 
-duration formation::state::ready_in(const runner_view& view, const pool& kind) const
+duration formation_manager::state::time_to_ready(const runner_view& view, const pool& kind) const
 {
-    if (view.warm == kind.model)
+    if (view.warm_model == kind.model)
         return warm_join;
     if (has_staged(view, kind.model))
         return kind.forming.warm_up;
@@ -53,26 +53,27 @@
 /// another, and one VM would serve in two. So a manager asks each runner once before it uses it.
 /// What a runner said may be over too: an order may reach it late, behind the word. So a join names
 /// how many orders the runner had begun by that word, and the runner refuses it after any other.
-std::vector<runner_view*> formation::state::free_in(const fabric_domain_id& domain, time_point now)
+std::vector<runner_view*> formation_manager::state::free_runners(const fabric_domain_id& domain,
+                                                                 time_point now)
 {
     std::vector<runner_view*> free;
     for (runner_view* view : by_fabric.at(domain)) {
-        const bool usable =
-            standing(*view) && !view->row.leaving && !view->pending && now >= view->not_before;
+        const bool usable = is_reachable(*view) && !view->row.leaving && !view->pending &&
+                            now >= view->next_order_at;
         // One whose entry names a group has to leave it first, whatever its head last said: an open
         // order that was lost may still be carried out there.
         if (!usable || view->row.group)
             continue;
-        if (view->vouched)
+        if (view->membership_confirmed)
             free.push_back(view);
         else
-            ask(*view, now);
+            query_runner(*view, now);
     }
     return free;
 }
 
 /// The models in the order of their groups for their share, the fewest first.
-std::vector<needed_model> formation::state::ranked_by_need() const
+std::vector<model_need> formation_manager::state::models_by_need() const
 {
     std::map<std::string, double> groups;
     for (const auto& [domain, heads] : known.heads_by_domain()) {
@@ -83,32 +84,32 @@
     }
     for (const auto& [vm, view] : runners) {
         const bool head = view.listed && view.row.group && view.row.group->rank == 0;
-        if (!head || warms_up({view.row.group->group, view.row.group->epoch}))
+        if (!head || is_warm_up({view.row.group->group, view.row.group->epoch}))
             continue;
         const auto plan = planned.find({view.row.group->group, view.row.group->epoch});
         groups[plan == planned.end() ? view.row.model : plan->second.model] += 1.0;
     }
-    std::vector<needed_model> ranked;
+    std::vector<model_need> ranked;
     for (const pool& kind : pools) {
         const double wanted = std::max(kind.forming.share, 0.01) / kind.replica_vms;
         ranked.push_back({groups[kind.model] / wanted, &kind});
     }
-    std::sort(ranked.begin(), ranked.end(), [](const needed_model& a, const needed_model& b) {
-        return a.groups_for_share != b.groups_for_share ? a.groups_for_share < b.groups_for_share
+    std::sort(ranked.begin(), ranked.end(), [](const model_need& a, const model_need& b) {
+        return a.groups_per_share != b.groups_per_share ? a.groups_per_share < b.groups_per_share
                                                         : a.kind->name < b.kind->name;
     });
     return ranked;
 }
 
 /// Takes one load out of this domain's part of the weight store's rate, if there is one.
-bool formation::state::may_load(const pool& kind, time_point now)
+bool formation_manager::state::take_load_token(const pool& kind, time_point now)
 {
     if (!traffic || kind.forming.loads_per_s <= 0.0)
         return true;
     const auto parts =
         static_cast<double>(std::max<std::size_t>(1, known.heads_by_domain().size()));
-    const double passed = std::chrono::duration<double>(now - tokens_at).count();
-    tokens_at = now;
+    const double passed = std::chrono::duration<double>(now - load_tokens_at).count();
+    load_tokens_at = now;
     load_tokens = std::min(load_burst, load_tokens + passed * kind.forming.loads_per_s / parts);
     if (load_tokens < 1.0)
         return false;
@@ -116,60 +117,61 @@
     return true;
 }
 
-void formation::state::order_joins(const planned_group& plan, time_point now)
+void formation_manager::state::order_joins(const planned_group& plan, time_point now)
 {
     for (const vm_id& vm : plan.members) {
         runner_view* view = find(vm);
         // One that has turned up in another composition has to leave that first.
         if (view == nullptr || view->row.group)
             continue;
-        if (view->vouched)
+        if (view->membership_confirmed)
             order(*view,
                   join_group{plan.group, plan.epoch, plan.model, plan.members, view->begun_orders},
                   now);
         else
-            ask(*view, now);
+            query_runner(*view, now);
     }
 }
 
-void formation::state::start_group(const pool& kind, std::vector<runner_view*> members,
-                                   group_purpose purpose, time_point now)
+void formation_manager::state::start_group(const pool& kind, std::vector<runner_view*> members,
+                                           group_purpose purpose, time_point now)
 {
-    if (last_number + 1 >= epochs_in_term) {
-        vote.outdated(now); // a new term brings new epochs
+    if (last_group_number + 1 >= epochs_in_term) {
+        lease_election.outdated(now); // a new term brings new epochs
         return;
     }
     planned_group plan;
     plan.purpose = purpose;
-    plan.epoch = vote.term() * epochs_in_term + ++last_number;
+    plan.epoch = lease_election.term() * epochs_in_term + ++last_group_number;
     plan.group = group_id{"g" + std::to_string(plan.epoch)};
     plan.model = kind.model;
     duration longest{0};
     for (const runner_view* member : members) {
         plan.members.push_back(member->row.id);
-        longest = std::max(longest, ready_in(*member, kind));
+        longest = std::max(longest, time_to_ready(*member, kind));
     }
-    plan.give_up = now + 2 * longest + load_patience;
+    plan.deadline = now + 2 * longest + formation_slack;
     const group_key key{plan.group, plan.epoch};
-    say(log_level::info, purpose == group_purpose::serve ? "group_forming" : "spare_warming",
-        plan.group.value(),
-        kind.name.value() + " of " + std::to_string(members.size()) + " in " +
-            members.front()->row.fabric_domain.value());
+    add_notice(log_level::info, purpose == group_purpose::serve ? "group_forming" : "spare_warming",
+               plan.group.value(),
+               kind.name.value() + " of " + std::to_string(members.size()) + " in " +
+                   members.front()->row.fabric_domain.value());
     order_joins(plan, now);
     planned.emplace(key, std::move(plan));
 }
 
 /// Makes one group of `kind` whose members are all ready within `longest`; false if it can't.
-bool formation::state::form_one(const fabric_domain_id& domain, const pool& kind, duration longest,
-                                time_point now)
+bool formation_manager::state::form_group(const fabric_domain_id& domain, const pool& kind,
+                                          duration longest, time_point now)
 {
-    std::vector<runner_view*> free = free_in(domain, now);
-    std::erase_if(free, [&](const runner_view* view) { return ready_in(*view, kind) > longest; });
+    std::vector<runner_view*> free = free_runners(domain, now);
+    std::erase_if(free,
+                  [&](const runner_view* view) { return time_to_ready(*view, kind) > longest; });
     if (free.size() < kind.replica_vms)
         return false;
     std::sort(free.begin(), free.end(), [&](const runner_view* a, const runner_view* b) {
-        const duration left = ready_in(*a, kind);
-        const duration right = ready_in(*b, kind);
+        const duration left = time_to_ready(*a, kind);
+        const duration right = time_to_ready(*b, kind);
         return left != right ? left < right : a->row.id < b->row.id;
     });
     free.resize(kind.replica_vms);
@@ -178,15 +180,15 @@
 }
 
 /// Fills every fabric domain of the own failure domain as the allotment of the whole fleet says.
-void formation::state::form_early(time_point now)
+void formation_manager::state::form_initial_groups(time_point now)
 {
-    const bool settled = now - known.last_joined() >= settings.settled_after ||
-                         now - known.first_joined() >= settings.settled_by;
+    const bool settled = now - known.last_joined() >= settings.settle_time ||
+                         now - known.first_joined() >= settings.max_settle_time;
     if (!settled)
         return;
-    if (!allotted || known.last_joined() != allotted_for) {
-        allotted = allot(pools, known.rooms());
-        allotted_for = known.last_joined();
+    if (!initial_allocation || known.last_joined() != allocated_at_join) {
+        initial_allocation = allocate_groups(pools, known.capacities());
+        allocated_at_join = known.last_joined();
     }
     std::map<fabric_domain_id, std::map<std::string, std::uint32_t>> formed;
     for (const auto& [key, plan] : planned) {
@@ -194,26 +196,26 @@
         if (head != nullptr && plan.purpose == group_purpose::serve)
             ++formed[head->row.fabric_domain][plan.model];
     }
-    for (const auto& [domain, counts] : *allotted) {
+    for (const auto& [domain, counts] : *initial_allocation) {
         if (!by_fabric.contains(domain))
             continue;
         for (std::size_t index = 0; index < counts.size(); ++index) {
             const pool& kind = pools[index];
             for (std::uint32_t done = formed[domain][kind.model]; done < counts[index]; ++done)
-                form_one(domain, kind, kind.forming.load, now);
+                form_group(domain, kind, kind.forming.load, now);
         }
     }
 }
 
 /// Of those that have a group in the domain. Null if none has.
-const pool* formation::state::largest_in(const fabric_domain_id& domain) const
+const pool* formation_manager::state::largest_model(const fabric_domain_id& domain) const
 {
     const pool* largest = nullptr;
     for (const pool& kind : pools) {
         const std::vector<runner_view*>& there = by_fabric.at(domain);
         const bool here = std::any_of(there.begin(), there.end(), [&](const runner_view* view) {
             return view->listed && view->row.group && view->row.group->rank == 0 &&
-                   view->row.model == kind.model && !warms_up(key_of(*view->row.group));
+                   view->row.model == kind.model && !is_warm_up(key_of(*view->row.group));
         });
         if (here && (largest == nullptr || kind.replica_vms > largest->replica_vms))
             largest = &kind;
@@ -226,60 +228,61 @@
 /// next group the bare runners complete, or that clearly lacks groups. Otherwise the largest again:
 /// two or three runners with another model would wait beside a broken group that they could make
 /// whole.
-const pool* formation::state::model_to_stage(const fabric_domain_id& domain,
-                                             const std::vector<runner_view*>& spare,
-                                             const std::vector<needed_model>& ranked) const
+const pool* formation_manager::state::model_to_stage(const fabric_domain_id& domain,
+                                                     const std::vector<runner_view*>& spare,
+                                                     const std::vector<model_need>& ranked) const
 {
-    const pool* const largest = largest_in(domain);
-    const auto guards = std::count_if(spare.begin(), spare.end(), [&](const runner_view* view) {
+    const pool* const largest = largest_model(domain);
+    const auto standbys = std::count_if(spare.begin(), spare.end(), [&](const runner_view* view) {
         return largest != nullptr &&
                (view->staging == largest->model || has_staged(*view, largest->model));
     });
     const bool guarded = settings.mechanisms.has(mechanism::guard_largest);
-    if (guarded && largest != nullptr && guards < losses_to_bear)
+    if (guarded && largest != nullptr && standbys < tolerated_losses)
         return largest;
     const auto bare = static_cast<std::size_t>(
         std::count_if(spare.begin(), spare.end(),
                       [&](const runner_view* view) { return !is_prepared(*view, pools); }));
     const pool* best = nullptr;
-    std::size_t best_lack = 0;
+    std::size_t fewest_missing = 0;
     double best_need = 0.0;
     double largest_need = 0.0;
-    for (const auto& [groups_for_share, kind] : ranked) {
+    for (const auto& [groups_per_share, kind] : ranked) {
         if (kind == largest)
-            largest_need = groups_for_share;
+            largest_need = groups_per_share;
         const auto have = static_cast<std::size_t>(std::count_if(
             spare.begin(), spare.end(), [model = kind->model](const runner_view* view) {
                 return view->staging == model || has_staged(*view, model);
             }));
-        const std::size_t lack = kind->replica_vms - have % kind->replica_vms;
+        const std::size_t runners_missing = kind->replica_vms - have % kind->replica_vms;
         // A model that has clearly fewer groups for its share goes first, however many runners its
         // next group still lacks; among models of about equal need the one that lacks the fewest.
-        const bool needier = best != nullptr && groups_for_share > alike * best_need;
-        const bool nearer = lack <= bare && (best_lack > bare || lack < best_lack);
+        const bool needier = best != nullptr && groups_per_share > need_tolerance * best_need;
+        const bool nearer =
+            runners_missing <= bare && (fewest_missing > bare || runners_missing < fewest_missing);
         if (best == nullptr || (!needier && nearer)) {
-            best_need = best == nullptr ? groups_for_share : best_need;
+            best_need = best == nullptr ? groups_per_share : best_need;
             best = kind;
-            best_lack = lack;
+            fewest_missing = runners_missing;
         }
     }
-    const bool lacking = best_need * alike < largest_need;
-    return best_lack > bare && largest != nullptr && !lacking ? largest : best;
+    const bool lacking = best_need * need_tolerance < largest_need;
+    return fewest_missing > bare && largest != nullptr && !lacking ? largest : best;
 }
 
-void formation::state::stage_spares(const fabric_domain_id& domain,
-                                    const std::vector<needed_model>& ranked, time_point now)
+void formation_manager::state::stage_spares(const fabric_domain_id& domain,
+                                            const std::vector<model_need>& ranked, time_point now)
 {
-    const std::vector<runner_view*> spare = free_in(domain, now);
+    const std::vector<runner_view*> spare = free_runners(domain, now);
     for (runner_view* view : spare) {
         if (is_prepared(*view, pools))
             continue;
         const pool* kind = model_to_stage(domain, spare, ranked);
-        if (kind == nullptr || !may_load(*kind, now))
+        if (kind == nullptr || !take_load_token(*kind, now))
             return;
         if (order(*view, stage_model{kind->model}, now)) {
             view->staging = kind->model;
-            view->staging_until = now + 2 * kind->forming.load + load_patience;
+            view->staging_until = now + 2 * kind->forming.load + formation_slack;
         }
     }
 }
@@ -287,12 +290,12 @@
 /// A spare whose host has the weights joins in more than a second, one whose last group had them in
 /// a fifth of that. Each spare therefore joins a composition of its own and leaves it again, at a
 /// time when nobody waits for it.
-void formation::state::warm_spares(const fabric_domain_id& domain, time_point now)
+void formation_manager::state::warm_spares(const fabric_domain_id& domain, time_point now)
 {
-    for (runner_view* view : free_in(domain, now)) {
+    for (runner_view* view : free_runners(domain, now)) {
         for (const pool& kind : pools) {
             const bool alone_serves = kind.replica_vms < 2;
-            if (alone_serves || view->warm == kind.model || !has_staged(*view, kind.model))
+            if (alone_serves || view->warm_model == kind.model || !has_staged(*view, kind.model))
                 continue;
             start_group(kind, {view}, group_purpose::warm_up, now);
             break;
@@ -300,17 +303,17 @@
     }
 }
 
-void formation::state::form_groups(time_point now)
+void formation_manager::state::form_groups(time_point now)
 {
     if (!traffic)
-        form_early(now);
-    const std::vector<needed_model> ranked = ranked_by_need();
+        form_initial_groups(now);
+    const std::vector<model_need> ranked = models_by_need();
     for (const auto& [domain, members] : by_fabric) {
-        for (const needed_model& needed : ranked) {
-            while (form_one(domain, *needed.kind, needed.kind->forming.warm_up, now)) {
+        for (const model_need& needed : ranked) {
+            while (form_group(domain, *needed.kind, needed.kind->forming.warm_up, now)) {
             }
         }
-        if (traffic || now - known.first_joined() >= 2 * settings.settled_by) {
+        if (traffic || now - known.first_joined() >= 2 * settings.max_settle_time) {
             stage_spares(domain, ranked, now);
             if (settings.mechanisms.has(mechanism::warm_spares))
                 warm_spares(domain, now);
--- a/groups/formation_test.cc
+++ b/groups/formation_test.cc
@@ -12,7 +12,7 @@
     cr_assert_geq(world.open_groups("small"), 1U);
     world.run(6s);
     cr_assert_geq(world.staged("big") + world.staged("small"), 18U, "spares are staged too");
-    assert_sound(world);
+    assert_no_violations(world);
 }
 
 // Guards against a split between the models that hangs on which part of a large fleet was known
@@ -33,15 +33,15 @@
     in_batches.run(12s);
     for (const char* model : {"big", "small"})
         cr_assert_eq(in_batches.open_groups(model), at_once.open_groups(model), "%s", model);
-    assert_sound(in_batches);
+    assert_no_violations(in_batches);
 }
 
 // A caller's streams at one group stop in their middle, all at once: a member of the group has
 // died. The head goes on taking requests and would notice only after seconds. The manager finds the
 // dead member, ends the group and makes one of the survivors and a spare.
-Test(formation, a_lost_member_is_replaced_by_a_spare_in_a_moment)
+Test(formation, a_lost_member_is_replaced_by_a_spare_within_two_seconds)
 {
-    fake_registry world = serving({.domains = 2, .runners = 9});
+    fake_registry world = serving_fleet({.domains = 2, .runners = 9});
     const std::size_t groups = world.open_groups("big");
     const std::string head = world.head_of("big", 0);
     world.kill(world.members_of(head)[2]);
@@ -49,30 +49,30 @@
     world.say_silent(head);
     world.run(2s);
     cr_assert_eq(world.open_groups("big"), groups);
-    assert_sound(world);
+    assert_no_violations(world);
 }
 
 // A member dies while a spare of its domain has the weights on its host. Loading them from there
 // into the accelerators takes more than a second of the group's absence, unless the spare had it
 // done before.
-Test(formation, a_warm_spare_makes_a_group_whole_in_half_a_second)
+Test(formation, a_warm_spare_completes_a_group_within_700_ms)
 {
-    fake_registry world = serving({.domains = 2, .runners = 9});
+    fake_registry world = serving_fleet({.domains = 2, .runners = 9});
     const std::size_t groups = world.open_groups("big");
     const std::string head = world.head_of("big", 0);
     world.kill(world.members_of(head)[2]);
     world.say_silent(head);
     world.run(700ms);
     cr_assert_eq(world.open_groups("big"), groups);
-    assert_sound(world);
+    assert_no_violations(world);
 }
 
 // A failure domain loses its manager, and in that time a group loses a member. The next manager has
 // followed the registry all along: the group was whole, so its survivors are not a composition that
 // is still coming together, and nothing is gained by waiting for more of it.
-Test(formation, a_new_manager_repairs_what_broke_without_one)
+Test(formation, a_new_manager_repairs_groups_broken_before_its_election)
 {
-    fake_registry world = serving({.managers = 2, .domains = 2, .runners = 9});
+    fake_registry world = serving_fleet({.managers = 2, .domains = 2, .runners = 9});
     const std::size_t groups = world.open_groups("big");
     const std::string head = world.head_of("big", 0);
     world.kill_manager(world.leader());
@@ -81,14 +81,14 @@
     world.say_silent(head);
     world.run(1s);
     cr_assert_eq(world.open_groups("big"), groups);
-    assert_sound(world);
+    assert_no_violations(world);
 }
 
 // Guards against survivors that wait for two seconds since their reports, 200 ms old, still name
 // the group that they have just left. Pattern: the first loss after a change of the manager.
 Test(formation, a_new_manager_uses_survivors_though_their_reports_are_old)
 {
-    fake_registry world = serving({.managers = 2, .domains = 2, .runners = 9});
+    fake_registry world = serving_fleet({.managers = 2, .domains = 2, .runners = 9});
     world.delay_reports(200ms);
     const std::size_t groups = world.open_groups("big");
     world.kill_manager(world.leader());
@@ -100,14 +100,14 @@
     world.say_silent(head);
     world.run(1s);
     cr_assert_eq(world.open_groups("big"), groups);
-    assert_sound(world);
+    assert_no_violations(world);
 }
 
 // The head itself dies. Its members still believe themselves in its group; joined to another
 // without leaving, they would be in two groups if the head only stood behind a cut.
 Test(formation, members_of_a_lost_head_leave_before_they_join)
 {
-    fake_registry world = serving({.domains = 2, .runners = 9});
+    fake_registry world = serving_fleet({.domains = 2, .runners = 9});
     const std::size_t groups = world.open_groups("big");
     const std::string head = world.head_of("big", 0);
     world.cut_off(head); // it works on, and its group is open
@@ -115,14 +115,14 @@
     world.say_silent(head);
     world.run(2s);
     cr_assert_eq(world.open_groups("big"), groups + 1, "the one behind the cut and its successor");
-    assert_sound(world);
+    assert_no_violations(world);
 }
 
 // One node of the system is cut off from a head; its own requests there stop, everybody else's go
 // on. It must not take a group apart that serves the others.
-Test(formation, a_group_that_other_nodes_hear_is_left_alone)
+Test(formation, a_group_reachable_from_other_nodes_is_kept)
 {
-    fake_registry world = serving({.domains = 2, .runners = 9});
+    fake_registry world = serving_fleet({.domains = 2, .runners = 9});
     world.peers_hear = true;
     const std::string head = world.head_of("big", 0);
     const std::size_t orders = world.orders();
@@ -131,16 +131,16 @@
     world.say_silent(head);
     world.run(500ms);
     cr_assert_eq(world.orders(), orders);
-    assert_sound(world);
+    assert_no_violations(world);
 }
 
 // A failure domain is cut off for so long that the entries of its runners begin to run out, one
 // after the other. The cut heals in between: heads whose entries still stand can be ordered again,
 // members whose entries have gone live and write them anew within two seconds. The groups serve all
 // the time; ending them would leave the domain with nothing for as long as they form again.
-Test(formation, entries_that_run_out_behind_a_cut_end_no_group)
+Test(formation, entries_expired_by_a_partition_end_no_group)
 {
-    fake_registry world = serving({.domains = 2, .runners = 9});
+    fake_registry world = serving_fleet({.domains = 2, .runners = 9});
     const std::size_t big = world.open_groups("big");
     const std::size_t small = world.open_groups("small");
     const std::vector<std::string> members = world.members_of(world.head_of("big", 0));
@@ -153,27 +153,27 @@
     cr_assert_eq(world.open_groups("big"), big);
     cr_assert_eq(world.open_groups("small"), small);
     cr_assert_eq(world.orders(), orders, "nobody was told to leave");
-    assert_sound(world);
+    assert_no_violations(world);
 }
 
 // A member lives and answers the manager but can't write its entry. Nobody knows for how long: its
 // group is ended after the time in which entries return, and another is made of a spare.
-Test(formation, a_member_whose_entry_stays_away_is_replaced)
+Test(formation, a_member_without_an_entry_is_replaced)
 {
-    fake_registry world = serving({.domains = 2, .runners = 9});
+    fake_registry world = serving_fleet({.domains = 2, .runners = 9});
     const std::size_t big = world.open_groups("big");
     const std::string lost = world.members_of(world.head_of("big", 0))[1];
     world.lose_entry(lost, 60s);
     world.run(5s);
     cr_assert_eq(world.open_groups("big"), big);
-    assert_sound(world);
+    assert_no_violations(world);
 }
 
 // Two groups of one model in one domain each lose a member and no spare is left: their survivors
 // make one group at once, rather than two that wait for weights to load.
-Test(formation, survivors_of_two_groups_make_one)
+Test(formation, survivors_of_two_groups_form_one)
 {
-    fake_registry world = serving({.domains = 1, .runners = 16});
+    fake_registry world = serving_fleet({.domains = 1, .runners = 16});
     for (const std::string& spare : world.spare())
         world.kill(spare);
     world.run(5s);
@@ -189,13 +189,13 @@
     const std::size_t others = world.open_groups(model) - 2;
     world.run(2s);
     cr_assert_eq(world.open_groups(model), others + 1);
-    assert_sound(world);
+    assert_no_violations(world);
 }
 
 // A whole fabric domain loses power and comes back with its weights still on the hosts.
-Test(formation, a_domain_that_comes_back_is_whole_in_seconds)
+Test(formation, a_restarted_domain_recovers_within_four_seconds)
 {
-    fake_registry world = serving({.domains = 1, .runners = 9});
+    fake_registry world = serving_fleet({.domains = 1, .runners = 9});
     const std::size_t groups = world.open_groups("big") + world.open_groups("small");
     for (int index = 0; index < 9; ++index)
         world.kill("r-a-" + std::to_string(index));
@@ -204,12 +204,12 @@
         world.start_again("r-a-" + std::to_string(index));
     world.run(4s);
     cr_assert_eq(world.open_groups("big") + world.open_groups("small"), groups);
-    assert_sound(world);
+    assert_no_violations(world);
 }
 
 // The manager's process is killed while joins are on their way. The next one finds the composition
 // in the registry and opens it; the members don't load a second time.
-Test(formation, the_next_manager_takes_over_what_was_ordered)
+Test(formation, the_next_manager_adopts_ordered_groups)
 {
     fake_registry world{{.managers = 3, .domains = 1, .runners = 9}};
     world.run(2500ms);
@@ -220,14 +220,14 @@
     world.run(8s);
     cr_assert_eq(world.leaders(), 1U);
     cr_assert_geq(world.open_groups("big") + world.open_groups("small"), 2U);
-    assert_sound(world);
+    assert_no_violations(world);
 }
 
 // A member says that it will leave. Its group goes on while it can, is closed before the member
 // goes, and the others are used again.
 Test(formation, a_group_is_closed_before_its_member_leaves)
 {
-    fake_registry world = serving({.domains = 2, .runners = 9});
+    fake_registry world = serving_fleet({.domains = 2, .runners = 9});
     const std::string head = world.head_of("big", 0);
     const std::size_t groups = world.open_groups("big");
     world.drain(world.members_of(head)[1]);
@@ -236,14 +236,14 @@
     world.run(8s);
     cr_assert_eq(world.open_groups("big"), groups, "a spare has taken the place");
     cr_assert(world.head_of("big", 0) != head || world.members_of(head)[1] != "r-a-1");
-    assert_sound(world);
+    assert_no_violations(world);
 }
 
 // Newcomers are staged with the model that lacks groups most. By the count of runners that the next
 // group lacks alone, the smaller model would take them all while the larger one dies out.
-Test(formation, newcomers_go_to_the_model_in_need)
+Test(formation, new_runners_are_staged_with_the_neediest_model)
 {
-    fake_registry world = serving({.domains = 2, .runners = 9});
+    fake_registry world = serving_fleet({.domains = 2, .runners = 9});
     while (world.open_groups("big") > 0) {
         const std::string head = world.head_of("big", 0);
         const std::vector<std::string> members = world.members_of(head);
@@ -259,13 +259,13 @@
     world.run(20s);
     cr_assert_geq(world.staged("big"), staged + 3);
     cr_assert_geq(world.open_groups("big"), 1U);
-    assert_sound(world);
+    assert_no_violations(world);
 }
 
 // A third of the orders get no answer and are carried out up to 12 s later, behind newer ones,
 // while runners and managers die. Whatever comes of it, no runner serves two groups, none opens
 // unready, and once the orders arrive again the domain heals.
-Test(formation, late_orders_and_deaths_break_no_promise)
+Test(formation, late_orders_and_deaths_violate_no_invariant)
 {
     // 841: an open order was lost, its group given up and its members joined to another; then the
     // order was carried out, and the head served with members that were in two groups.
@@ -313,7 +313,7 @@
 // Two runners are left over beside a large and a small group. One with each model would make
 // neither group whole after a second loss; both stand by for the larger one, which strands more
 // runners.
-Test(formation, spares_stand_by_for_the_largest_group)
+Test(formation, spares_are_staged_for_the_largest_group)
 {
     fake_registry world{{.managers = 1, .domains = 1, .runners = 9}};
     world.run(12s);
@@ -323,5 +323,5 @@
     cr_assert_geq(big, 1U);
     cr_assert_geq(spares, 1U);
     cr_assert_eq(world.staged("big"), 4 * big + spares);
-    assert_sound(world);
+    assert_no_violations(world);
 }
--- a/groups/formation_testing.h
+++ b/groups/formation_testing.h
@@ -3,7 +3,7 @@
 //
 //   fake_registry world = serving({.domains = 2, .runners = 9});
 //   ...
-//   assert_sound(world);
+//   assert_no_violations(world);
 #pragma once
 
 #include "groups/fake_registry.h"
@@ -13,7 +13,7 @@
 namespace jaynotch::groups {
 
 /// A failure domain whose groups are all open and whose callers have begun.
-inline fake_registry serving(fake_registry_settings settings)
+inline fake_registry serving_fleet(fake_registry_settings settings)
 {
     fake_registry world{settings};
     world.run(12s);
@@ -21,7 +21,7 @@
     return world;
 }
 
-inline void assert_sound(const fake_registry& world)
+inline void assert_no_violations(const fake_registry& world)
 {
     cr_assert(world.broken().empty(), "%s", world.broken().c_str());
 }
--- a/groups/allot.cc
+++ b/groups/group_allocation.cc
@@ -13,9 +13,9 @@
 // Cost: the worth depends on sums over the domains only, so a change is judged by what it adds to
 // them. Fabric domains of a failure domain that have equally many runners are alike: only how many
 // of them have which fill is searched. So the search grows with the kinds of domains, not with the
-// domains, and where all differ, most_tried bounds it. The bound is on steps, not on time: all
+// domains, and where all differ, max_evaluations bounds it. The bound is on steps, not on time: all
 // managers must find the same allotment.
-#include "groups/allot.h"
+#include "groups/group_allocation.h"
 
 #include <cmath>
 
@@ -23,11 +23,11 @@
 
 namespace {
 
-constexpr double spare_worth = 0.26;        ///< of the logarithm of the runners left over
-constexpr double own_model_worth = 0.05;    ///< of a failure domain's first group of a model
-constexpr double almost_none = 0.1;         ///< a model without a group counts badly, not -inf
-constexpr std::size_t most_tried = 300'000; ///< changes that one search judges
-constexpr double least_gain = 1e-9;         ///< less is rounding
+constexpr double spare_weight = 0.26;            ///< of the logarithm of the runners left over
+constexpr double own_model_bonus = 0.05;         ///< of a failure domain's first group of a model
+constexpr double log_offset = 0.1;               ///< a model without a group counts badly, not -inf
+constexpr std::size_t max_evaluations = 300'000; ///< changes that one search judges
+constexpr double min_gain = 1e-9;                ///< less is rounding
 
 /// All fills of `runners` that leave no more over than spares for the losses to bear, and what is
 /// too few for a group of the largest model.
@@ -36,7 +36,7 @@
 {
     if (index == pools.size()) {
         const bool wasteful = std::all_of(pools.begin(), pools.end(), [&](const pool& kind) {
-            return kind.replica_vms + losses_to_bear <= left;
+            return kind.replica_vms + tolerated_losses <= left;
         });
         if (!wasteful)
             found.push_back(given);
@@ -63,15 +63,15 @@
 /// chance and miss each one that is lost (square-root staffing).
 double weight_of(const pool& kind)
 {
-    constexpr double least_share = 0.01;
-    return std::sqrt(std::max(kind.forming.share, least_share));
+    constexpr double min_share = 0.01;
+    return std::sqrt(std::max(kind.forming.share, min_share));
 }
 
 /// Groups of each model, averaged over the losses to bear. Spares are kept for the model with the
 /// largest groups of the domain: it makes the survivors of one of those whole again. Without a
 /// spare the group is gone, and its survivors are spares.
-std::vector<double> lasting_groups(const group_counts& counts, const std::vector<pool>& pools,
-                                   double spares)
+std::vector<double> expected_groups(const group_counts& counts, const std::vector<pool>& pools,
+                                    double spares)
 {
     std::vector<double> now(counts.begin(), counts.end());
     std::vector<double> sum = now;
@@ -81,59 +81,59 @@
         if (counts[index] > 0 && (counts[largest] == 0 || larger))
             largest = index;
     }
-    for (std::uint32_t loss = 0; loss < losses_to_bear; ++loss) {
+    for (std::uint32_t loss = 0; loss < tolerated_losses; ++loss) {
         double members = 0.0;
         for (std::size_t index = 0; index < now.size(); ++index)
             members += now[index] * pools[index].replica_vms;
         std::vector<double> next = now;
         for (std::size_t index = 0; members > 0.0 && index < now.size(); ++index) {
             const double hit = now[index] * pools[index].replica_vms / members;
-            const double borne = index == largest ? std::min(hit, spares) : 0.0;
-            spares -= borne;
-            next[index] = std::max(0.0, now[index] - (hit - borne));
+            const double covered = index == largest ? std::min(hit, spares) : 0.0;
+            spares -= covered;
+            next[index] = std::max(0.0, now[index] - (hit - covered));
             if (index == largest)
-                spares += (hit - borne) * (pools[index].replica_vms - 1);
+                spares += (hit - covered) * (pools[index].replica_vms - 1);
         }
         now = std::move(next);
         for (std::size_t index = 0; index < now.size(); ++index)
             sum[index] += now[index];
     }
     for (double& one : sum)
-        one /= losses_to_bear + 1;
+        one /= tolerated_losses + 1;
     return sum;
 }
 
 } // namespace
 
-double worth_of(const allotment& given, const std::vector<pool>& pools,
-                const std::map<fabric_domain_id, domain_room>& rooms)
+double utility_of(const group_allocation& given, const std::vector<pool>& pools,
+                  const std::map<fabric_domain_id, domain_capacity>& capacities)
 {
     std::vector<double> groups(pools.size(), 0.0);
     std::map<failure_domain_id, std::vector<bool>> has_own;
     double spares = 0.0;
-    double worth = 0.0;
+    double utility = 0.0;
     for (const auto& [domain, counts] : given) {
-        const domain_room& room = rooms.at(domain);
-        std::vector<bool>& own = has_own[room.failure_domain];
+        const domain_capacity& capacity = capacities.at(domain);
+        std::vector<bool>& own = has_own[capacity.failure_domain];
         own.resize(pools.size(), false);
-        const double left = room.runners - runners_in(counts, pools);
-        const std::vector<double> lasting = lasting_groups(counts, pools, left);
+        const double left = capacity.runners - runners_in(counts, pools);
+        const std::vector<double> expected = expected_groups(counts, pools, left);
         for (std::size_t index = 0; index < counts.size(); ++index) {
-            groups[index] += lasting[index];
+            groups[index] += expected[index];
             own[index] = own[index] || counts[index] > 0;
         }
         spares += left;
     }
-    worth += spare_worth * std::log(spares + almost_none);
+    utility += spare_weight * std::log(spares + log_offset);
     double sum = 0.0;
     for (const pool& kind : pools)
         sum += weight_of(kind);
     for (std::size_t index = 0; index < pools.size(); ++index)
-        worth += weight_of(pools[index]) / sum * static_cast<double>(pools.size()) *
-                 std::log(groups[index] + almost_none);
+        utility += weight_of(pools[index]) / sum * static_cast<double>(pools.size()) *
+                   std::log(groups[index] + log_offset);
     for (const auto& [domain, own] : has_own)
-        worth += own_model_worth * static_cast<double>(std::count(own.begin(), own.end(), true));
-    return worth;
+        utility += own_model_bonus * static_cast<double>(std::count(own.begin(), own.end(), true));
+    return utility;
 }
 
 namespace {
@@ -141,12 +141,12 @@
 /// One way to fill a fabric domain, with what it adds to the sums.
 struct domain_fill {
     group_counts counts;
-    double left = 0.0;           ///< runners
-    std::vector<double> lasting; ///< groups by model
+    double left = 0.0;            ///< runners
+    std::vector<double> expected; ///< groups by model
 };
 
 /// Fabric domains of one failure domain with equally many runners.
-struct like_domains {
+struct domain_class {
     std::size_t failure_domain = 0; ///< index
     std::vector<fabric_domain_id> members;
     std::vector<domain_fill> fills;
@@ -163,7 +163,7 @@
 class fill_search {
 public:
     fill_search(const std::vector<pool>& pools,
-                const std::map<fabric_domain_id, domain_room>& rooms)
+                const std::map<fabric_domain_id, domain_capacity>& capacities)
         : m_pools{pools}, m_groups(pools.size(), 0.0)
     {
         double sum = 0.0;
@@ -171,22 +171,22 @@
             sum += weight_of(kind);
         for (const pool& kind : pools)
             m_weights.push_back(weight_of(kind) / sum * static_cast<double>(pools.size()));
-        sort_into_kinds(rooms);
-        for (like_domains& kind : m_kinds)
+        classify_domains(capacities);
+        for (domain_class& kind : m_classes)
             start(kind);
-        m_worth = worth();
+        m_utility = utility();
     }
 
     void run()
     {
-        while (better_one() || better_pair()) {
+        while (improve_single() || improve_pair()) {
         }
     }
 
-    [[nodiscard]] allotment found() const
+    [[nodiscard]] group_allocation found() const
     {
-        allotment given;
-        for (const like_domains& kind : m_kinds) {
+        group_allocation given;
+        for (const domain_class& kind : m_classes) {
             auto member = kind.members.begin();
             for (std::size_t fill = kind.fills.size(); fill-- > 0;) {
                 for (std::uint32_t count = 0; count < kind.taken[fill]; ++count)
@@ -197,26 +197,26 @@
     }
 
 private:
-    void sort_into_kinds(const std::map<fabric_domain_id, domain_room>& rooms)
+    void classify_domains(const std::map<fabric_domain_id, domain_capacity>& capacities)
     {
         std::map<failure_domain_id, std::size_t> failure_domains;
         std::map<std::pair<std::size_t, std::uint32_t>, std::size_t> kinds;
-        for (const auto& [domain, room] : rooms) {
+        for (const auto& [domain, capacity] : capacities) {
             const std::size_t failure_domain =
-                failure_domains.try_emplace(room.failure_domain, failure_domains.size())
+                failure_domains.try_emplace(capacity.failure_domain, failure_domains.size())
                     .first->second;
             const auto [kind, fresh] =
-                kinds.try_emplace({failure_domain, room.runners}, m_kinds.size());
+                kinds.try_emplace({failure_domain, capacity.runners}, m_classes.size());
             if (fresh)
-                m_kinds.push_back(make_kind(failure_domain, room.runners));
-            m_kinds[kind->second].members.push_back(domain);
+                m_classes.push_back(make_class(failure_domain, capacity.runners));
+            m_classes[kind->second].members.push_back(domain);
         }
         m_own.assign(failure_domains.size(), std::vector<std::uint32_t>(m_pools.size(), 0));
     }
 
-    [[nodiscard]] like_domains make_kind(std::size_t failure_domain, std::uint32_t runners) const
+    [[nodiscard]] domain_class make_class(std::size_t failure_domain, std::uint32_t runners) const
     {
-        like_domains made;
+        domain_class made;
         made.failure_domain = failure_domain;
         std::vector<group_counts> fills;
         group_counts given;
@@ -224,7 +224,7 @@
         for (group_counts& counts : fills) {
             domain_fill fill;
             fill.left = runners - runners_in(counts, m_pools);
-            fill.lasting = lasting_groups(counts, m_pools, fill.left);
+            fill.expected = expected_groups(counts, m_pools, fill.left);
             fill.counts = std::move(counts);
             made.fills.push_back(std::move(fill));
         }
@@ -232,7 +232,7 @@
         return made;
     }
 
-    void start(like_domains& kind)
+    void start(domain_class& kind)
     {
         const auto fullest = std::min_element(
             kind.fills.begin(), kind.fills.end(),
@@ -242,46 +242,46 @@
             add(kind, index);
     }
 
-    void add(like_domains& kind, std::size_t fill)
+    void add(domain_class& kind, std::size_t fill)
     {
         ++kind.taken[fill];
         const domain_fill& added = kind.fills[fill];
         m_spares += added.left;
         for (std::size_t index = 0; index < m_groups.size(); ++index) {
-            m_groups[index] += added.lasting[index];
+            m_groups[index] += added.expected[index];
             m_own[kind.failure_domain][index] += added.counts[index] > 0 ? 1 : 0;
         }
     }
 
-    void remove(like_domains& kind, std::size_t fill)
+    void remove(domain_class& kind, std::size_t fill)
     {
         --kind.taken[fill];
         const domain_fill& removed = kind.fills[fill];
         m_spares -= removed.left;
         for (std::size_t index = 0; index < m_groups.size(); ++index) {
-            m_groups[index] -= removed.lasting[index];
+            m_groups[index] -= removed.expected[index];
             m_own[kind.failure_domain][index] -= removed.counts[index] > 0 ? 1 : 0;
         }
     }
 
     void make(const fill_change& change)
     {
-        remove(m_kinds[change.kind], change.from);
-        add(m_kinds[change.kind], change.to);
+        remove(m_classes[change.kind], change.from);
+        add(m_classes[change.kind], change.to);
     }
 
     void undo(const fill_change& change) { make({change.kind, change.to, change.from}); }
 
-    /// The same as worth_of(), from the sums.
-    [[nodiscard]] double worth() const
+    /// The same as utility_of(), from the sums.
+    [[nodiscard]] double utility() const
     {
         // What is left of a sum after additions and subtractions may be a little below zero.
-        double sum = spare_worth * std::log(std::max(0.0, m_spares) + almost_none);
+        double sum = spare_weight * std::log(std::max(0.0, m_spares) + log_offset);
         for (std::size_t index = 0; index < m_groups.size(); ++index)
-            sum += m_weights[index] * std::log(std::max(0.0, m_groups[index]) + almost_none);
+            sum += m_weights[index] * std::log(std::max(0.0, m_groups[index]) + log_offset);
         for (const std::vector<std::uint32_t>& own : m_own) {
             for (const std::uint32_t domains : own)
-                sum += domains > 0 ? own_model_worth : 0.0;
+                sum += domains > 0 ? own_model_bonus : 0.0;
         }
         return sum;
     }
@@ -289,22 +289,22 @@
     /// Keeps the change if it makes the whole worth more.
     bool keep_if_better()
     {
-        ++m_tried;
-        const double changed = worth();
-        if (changed <= m_worth + least_gain)
+        ++m_evaluations;
+        const double changed = utility();
+        if (changed <= m_utility + min_gain)
             return false;
-        m_worth = changed;
+        m_utility = changed;
         return true;
     }
 
-    [[nodiscard]] bool exhausted() const { return m_tried >= most_tried; }
+    [[nodiscard]] bool exhausted() const { return m_evaluations >= max_evaluations; }
 
     /// Changes of some like domains that are possible now, those of `first` and later ones.
     [[nodiscard]] std::vector<fill_change> changes(std::size_t first) const
     {
         std::vector<fill_change> possible;
-        for (std::size_t kind = first; kind < m_kinds.size(); ++kind) {
-            const like_domains& alike = m_kinds[kind];
+        for (std::size_t kind = first; kind < m_classes.size(); ++kind) {
+            const domain_class& alike = m_classes[kind];
             for (std::size_t from = 0; from < alike.fills.size(); ++from) {
                 for (std::size_t to = 0; alike.taken[from] > 0 && to < alike.fills.size(); ++to) {
                     if (to != from)
@@ -315,24 +315,24 @@
         return possible;
     }
 
-    bool better_one()
+    bool improve_single()
     {
-        bool bettered = false;
+        bool improved = false;
         for (const fill_change& change : changes(0)) {
             // The same change may help again, for the next of the like domains.
-            while (m_kinds[change.kind].taken[change.from] > 0 && !exhausted()) {
+            while (m_classes[change.kind].taken[change.from] > 0 && !exhausted()) {
                 make(change);
                 if (!keep_if_better()) {
                     undo(change);
                     break;
                 }
-                bettered = true;
+                improved = true;
             }
         }
-        return bettered;
+        return improved;
     }
 
-    bool better_pair()
+    bool improve_pair()
     {
         for (const fill_change& first : changes(0)) {
             make(first);
@@ -351,20 +351,20 @@
 
     const std::vector<pool>& m_pools;
     std::vector<double> m_weights;
-    std::vector<like_domains> m_kinds;
+    std::vector<domain_class> m_classes;
     double m_spares = 0.0;
     std::vector<double> m_groups;                  ///< lasting ones, by model
     std::vector<std::vector<std::uint32_t>> m_own; ///< domains by failure domain and model
-    double m_worth = 0.0;
-    std::size_t m_tried = 0;
+    double m_utility = 0.0;
+    std::size_t m_evaluations = 0;
 };
 
 } // namespace
 
-allotment allot(const std::vector<pool>& pools,
-                const std::map<fabric_domain_id, domain_room>& rooms)
+group_allocation allocate_groups(const std::vector<pool>& pools,
+                                 const std::map<fabric_domain_id, domain_capacity>& capacities)
 {
-    fill_search search{pools, rooms};
+    fill_search search{pools, capacities};
     search.run();
     return search.found();
 }
--- a/groups/allot.h
+++ b/groups/group_allocation.h
@@ -16,24 +16,24 @@
 namespace jaynotch::groups {
 
 /// A fabric domain that groups can be formed in.
-struct domain_room {
+struct domain_capacity {
     failure_domain_id failure_domain;
     std::uint32_t runners = 0;
 };
 
 /// Members that a fabric domain is to bear the loss of without losing a group for long, while a
 /// newcomer loads the weights.
-constexpr std::uint32_t losses_to_bear = 2;
+constexpr std::uint32_t tolerated_losses = 2;
 
 /// Groups by the index of their pool.
 using group_counts = std::vector<std::uint32_t>;
-using allotment = std::map<fabric_domain_id, group_counts>;
+using group_allocation = std::map<fabric_domain_id, group_counts>;
 
-allotment allot(const std::vector<pool>& pools,
-                const std::map<fabric_domain_id, domain_room>& rooms);
+group_allocation allocate_groups(const std::vector<pool>& pools,
+                                 const std::map<fabric_domain_id, domain_capacity>& capacities);
 
 /// What an allotment is worth; for tests, which compare it with all others.
-double worth_of(const allotment& given, const std::vector<pool>& pools,
-                const std::map<fabric_domain_id, domain_room>& rooms);
+double utility_of(const group_allocation& given, const std::vector<pool>& pools,
+                  const std::map<fabric_domain_id, domain_capacity>& capacities);
 
 } // namespace jaynotch::groups
--- a/groups/allot_test.cc
+++ b/groups/group_allocation_test.cc
@@ -1,5 +1,5 @@
-#include "groups/allot.h"
 #include "groups/fake_registry.h"
+#include "groups/group_allocation.h"
 
 #include <criterion/criterion.h>
 
@@ -8,29 +8,30 @@
 
 namespace {
 
-std::map<fabric_domain_id, domain_room> rooms_of(const std::vector<std::uint32_t>& sizes)
+std::map<fabric_domain_id, domain_capacity> capacities_of(const std::vector<std::uint32_t>& sizes)
 {
-    std::map<fabric_domain_id, domain_room> rooms;
+    std::map<fabric_domain_id, domain_capacity> capacities;
     for (std::size_t index = 0; index < sizes.size(); ++index)
-        rooms[fabric_domain_id{"d" + std::to_string(index)}] = {
+        capacities[fabric_domain_id{"d" + std::to_string(index)}] = {
             failure_domain_id{"f" + std::to_string(index % 3)}, sizes[index]};
-    return rooms;
+    return capacities;
 }
 
 /// The best of all fills whatsoever: the slow reference.
-double best_of_all(const std::vector<pool>& pools,
-                   const std::map<fabric_domain_id, domain_room>& rooms, allotment given,
-                   std::map<fabric_domain_id, domain_room>::const_iterator at)
+double exhaustive_best(const std::vector<pool>& pools,
+                       const std::map<fabric_domain_id, domain_capacity>& capacities,
+                       group_allocation given,
+                       std::map<fabric_domain_id, domain_capacity>::const_iterator at)
 {
-    if (at == rooms.end())
-        return worth_of(given, pools, rooms);
+    if (at == capacities.end())
+        return utility_of(given, pools, capacities);
     double best = -1e9;
     const std::uint32_t most = at->second.runners / pools[0].replica_vms;
     for (std::uint32_t first = 0; first <= most; ++first) {
         const std::uint32_t left = at->second.runners - first * pools[0].replica_vms;
         for (std::uint32_t second = 0; second <= left / pools[1].replica_vms; ++second) {
             given[at->first] = {first, second};
-            best = std::max(best, best_of_all(pools, rooms, given, std::next(at)));
+            best = std::max(best, exhaustive_best(pools, capacities, given, std::next(at)));
         }
     }
     return best;
@@ -44,7 +45,7 @@
         const std::uint32_t left = runners - first * pools[0].replica_vms;
         for (std::uint32_t second = 0; second * pools[1].replica_vms <= left; ++second) {
             const std::uint32_t over = left - second * pools[1].replica_vms;
-            if (over < std::max(pools[0].replica_vms, pools[1].replica_vms) + losses_to_bear)
+            if (over < std::max(pools[0].replica_vms, pools[1].replica_vms) + tolerated_losses)
                 found.push_back({first, second});
         }
     }
@@ -53,47 +54,48 @@
 
 /// A search domain by domain that works the whole worth out for each change: the slow reference
 /// for fleets too large for all fills.
-double worth_by_slow_search(const std::vector<pool>& pools,
-                            const std::map<fabric_domain_id, domain_room>& rooms)
+double utility_by_slow_search(const std::vector<pool>& pools,
+                              const std::map<fabric_domain_id, domain_capacity>& capacities)
 {
-    allotment best;
-    for (const auto& [domain, room] : rooms)
-        best[domain] = fills_of(room.runners, pools).back();
-    double worth = worth_of(best, pools, rooms);
+    group_allocation best;
+    for (const auto& [domain, capacity] : capacities)
+        best[domain] = fills_of(capacity.runners, pools).back();
+    double utility = utility_of(best, pools, capacities);
     const auto better = [&](const fabric_domain_id& domain, const group_counts& choice) {
         group_counts before = std::exchange(best[domain], choice);
-        const double changed = worth_of(best, pools, rooms);
-        if (changed > worth + 1e-9) {
-            worth = changed;
+        const double changed = utility_of(best, pools, capacities);
+        if (changed > utility + 1e-9) {
+            utility = changed;
             return true;
         }
         best[domain] = std::move(before);
         return false;
     };
-    for (bool bettered = true; bettered;) {
-        bettered = false;
-        for (const auto& [domain, room] : rooms) {
-            for (const group_counts& choice : fills_of(room.runners, pools))
-                bettered = better(domain, choice) || bettered;
+    for (bool improved = true; improved;) {
+        improved = false;
+        for (const auto& [domain, capacity] : capacities) {
+            for (const group_counts& choice : fills_of(capacity.runners, pools))
+                improved = better(domain, choice) || improved;
         }
-        for (auto first = rooms.begin(); !bettered && first != rooms.end(); ++first) {
+        for (auto first = capacities.begin(); !improved && first != capacities.end(); ++first) {
             for (const group_counts& choice : fills_of(first->second.runners, pools)) {
                 const group_counts before = std::exchange(best[first->first], choice);
                 bool pair = false;
-                for (auto second = std::next(first); second != rooms.end(); ++second) {
+                for (auto second = std::next(first); second != capacities.end(); ++second) {
                     for (const group_counts& other : fills_of(second->second.runners, pools))
                         pair = better(second->first, other) || pair;
                 }
                 if (!pair)
                     best[first->first] = before;
-                bettered = bettered || pair;
+                improved = improved || pair;
             }
         }
     }
-    return worth;
+    return utility;
 }
 
-double part_of_runners(const allotment& given, const std::vector<pool>& pools, std::size_t index)
+double runner_fraction(const group_allocation& given, const std::vector<pool>& pools,
+                       std::size_t index)
 {
     double own = 0.0;
     double all = 0.0;
@@ -109,48 +111,49 @@
 
 } // namespace
 
-Test(allot, is_as_good_as_the_best_of_all_fills)
+Test(allocate_groups, matches_exhaustive_search)
 {
     const std::vector<pool> pools = fake_registry::pools();
     for (const auto& sizes : std::vector<std::vector<std::uint32_t>>{
              {9, 9, 9, 9, 9, 9}, {9}, {7, 8, 9}, {3, 4, 5, 6}, {2, 12}, {20, 20}})
     {
-        const auto rooms = rooms_of(sizes);
-        const double best = best_of_all(pools, rooms, {}, rooms.begin());
-        cr_assert_geq(worth_of(allot(pools, rooms), pools, rooms), best - 1e-6);
+        const auto capacities = capacities_of(sizes);
+        const double best = exhaustive_best(pools, capacities, {}, capacities.begin());
+        cr_assert_geq(utility_of(allocate_groups(pools, capacities), pools, capacities),
+                      best - 1e-6);
     }
 }
 
 // A model of 16 runners and one of 4 with equal shares of the work. Were groups counted instead of
 // runners, the large model would get three groups of the fleet and its callers would be refused.
-Test(allot, runners_follow_the_shares_of_the_work)
+Test(allocate_groups, runners_follow_the_shares_of_the_work)
 {
     std::vector<pool> pools = fake_registry::pools();
     pools[0].replica_vms = 16;
     pools[0].forming.share = 0.5;
     pools[1].replica_vms = 4;
     pools[1].forming.share = 0.5;
-    const allotment given = allot(pools, rooms_of({37, 37, 37, 37, 37, 37}));
-    cr_assert_gt(part_of_runners(given, pools, 0), 0.4);
-    cr_assert_lt(part_of_runners(given, pools, 0), 0.65);
+    const group_allocation given = allocate_groups(pools, capacities_of({37, 37, 37, 37, 37, 37}));
+    cr_assert_gt(runner_fraction(given, pools, 0), 0.4);
+    cr_assert_lt(runner_fraction(given, pools, 0), 0.65);
 }
 
-Test(allot, a_domain_too_small_for_any_group_gets_none)
+Test(allocate_groups, a_domain_too_small_for_any_group_gets_none)
 {
-    const allotment given = allot(fake_registry::pools(), rooms_of({2}));
+    const group_allocation given = allocate_groups(fake_registry::pools(), capacities_of({2}));
     cr_assert_eq(given.at(fabric_domain_id{"d0"}), (group_counts{0, 0}));
 }
 
 // A model of 16 runners in domains of 37. Two groups and one of the small model leave one runner
 // over; the first member lost beyond it takes 15 others out of work for as long as weights load.
-Test(allot, large_groups_keep_spares_beside_them)
+Test(allocate_groups, large_groups_keep_spares)
 {
     std::vector<pool> pools = fake_registry::pools();
     pools[0].replica_vms = 16;
     pools[0].forming.share = 0.5;
     pools[1].replica_vms = 4;
     pools[1].forming.share = 0.5;
-    const allotment given = allot(pools, rooms_of({37, 37, 37, 37, 37, 37}));
+    const group_allocation given = allocate_groups(pools, capacities_of({37, 37, 37, 37, 37, 37}));
     std::uint32_t large = 0;
     for (const auto& [domain, counts] : given) {
         large += counts[0];
@@ -161,7 +164,7 @@
 }
 
 // Fleets of hundreds of runners. The search may not pay for its speed with worse allotments.
-Test(allot, large_fleets_are_filled_as_well_as_by_the_slow_search)
+Test(allocate_groups, matches_slow_search_on_large_fleets)
 {
     std::vector<pool> pools = fake_registry::pools();
     pools[0].replica_vms = 32;
@@ -170,20 +173,20 @@
          {std::vector<std::uint32_t>(15, 73), std::vector<std::uint32_t>(22, 73),
           std::vector<std::uint32_t>{73, 72, 70, 66, 41, 40, 39, 33, 20, 9, 8, 73, 55, 50, 64}})
     {
-        const auto rooms = rooms_of(sizes);
-        const double slow = worth_by_slow_search(pools, rooms);
-        const double fast = worth_of(allot(pools, rooms), pools, rooms);
+        const auto capacities = capacities_of(sizes);
+        const double slow = utility_by_slow_search(pools, capacities);
+        const double fast = utility_of(allocate_groups(pools, capacities), pools, capacities);
         cr_assert_geq(fast, slow - 0.001 * std::abs(slow), "%f, slow search %f", fast, slow);
     }
 }
 
-Test(allot, each_domain_gets_one_fill_that_fits)
+Test(allocate_groups, each_domain_gets_one_fill_that_fits)
 {
     const std::vector<pool> pools = fake_registry::pools();
-    const auto rooms = rooms_of({9, 9, 12, 9, 12, 7, 2, 9});
-    const allotment given = allot(pools, rooms);
-    cr_assert_eq(given.size(), rooms.size());
+    const auto capacities = capacities_of({9, 9, 12, 9, 12, 7, 2, 9});
+    const group_allocation given = allocate_groups(pools, capacities);
+    cr_assert_eq(given.size(), capacities.size());
     for (const auto& [domain, counts] : given)
         cr_assert_leq(counts[0] * pools[0].replica_vms + counts[1] * pools[1].replica_vms,
-                      rooms.at(domain).runners);
+                      capacities.at(domain).runners);
 }
--- a/groups/leadership.cc
+++ b/groups/leadership.cc
@@ -15,7 +15,7 @@
 
 bool leadership::leading(time_point now) const
 {
-    return m_holding && now < m_until;
+    return m_holds_key && now < m_until;
 }
 
 call_token leadership::next_token()
@@ -29,9 +29,9 @@
         boost::json::object{{"node", m_settings.self.value()}, {"lease", m_lease.value()}});
 }
 
-void leadership::lose()
+void leadership::step_down()
 {
-    m_holding = false;
+    m_holds_key = false;
     m_lease = lease_id{0};
 }
 
@@ -41,23 +41,23 @@
     if (waiting && now - m_pending.sent_at < m_settings.call_timeout)
         return;
     m_pending = {};
-    if (m_holding && now >= m_until)
-        m_holding = false; // the self-stop; the lease may live on, and a look tells
-    if (m_holding) {
+    if (m_holds_key && now >= m_until)
+        m_holds_key = false; // the self-stop; the lease may live on, and a look tells
+    if (m_holds_key) {
         if (now - m_lease_sent >= m_settings.lease / 3)
             renew(now, out);
         return;
     }
-    if (candidate && now >= m_next_look)
-        look(now, out);
+    if (candidate && now >= m_next_key_check)
+        check_key(now, out);
 }
 
-void leadership::look(time_point now, std::vector<manager_command>& out)
+void leadership::check_key(time_point now, std::vector<manager_command>& out)
 {
     const std::string manager = manager_key(m_settings.deployment, m_settings.domain);
     const std::string record = record_key(m_settings.deployment, m_settings.domain);
-    m_next_look = now + m_settings.campaign_period;
-    m_pending = {call_kind::look, next_token(), now};
+    m_next_key_check = now + m_settings.campaign_period;
+    m_pending = {call_kind::check_key, next_token(), now};
     out.emplace_back(kv_call{m_pending.token, kv_transaction{{kv_compare{manager, 0}},
                                                              {kv_get{record}},
                                                              {kv_get{manager}, kv_get{record}}}});
@@ -84,12 +84,12 @@
                       std::vector<kv_entry>& records)
 {
     if (answer.token != m_pending.token ||
-        (m_pending.kind != call_kind::look && m_pending.kind != call_kind::claim))
+        (m_pending.kind != call_kind::check_key && m_pending.kind != call_kind::claim))
         return false;
     const pending_call call = std::exchange(m_pending, {});
     if (!answer.outcome)
         return true; // a claim that was lost on its way back shows at the next look
-    m_platform_heard = now;
+    m_last_platform_answer = now;
     const kv_outcome& outcome = answer.outcome.value();
     const std::string manager = manager_key(m_settings.deployment, m_settings.domain);
     const kv_entry* key = nullptr;
@@ -100,7 +100,7 @@
             records.push_back(entry);
     }
     if (outcome.succeeded && call.kind == call_kind::claim) {
-        m_holding = true;
+        m_holds_key = true;
         m_key_revision = outcome.revision;
         m_until = m_lease_sent + m_settings.lease - m_settings.lease_margin;
         return true;
@@ -126,10 +126,10 @@
     if (!answer.lease) {
         // Unknown to the platform: lapsed. Anything else may still be true, so it is kept.
         if (call.kind == call_kind::renew && answer.lease.error().kind == error_kind::not_found)
-            lose();
+            step_down();
         return true;
     }
-    m_platform_heard = now;
+    m_last_platform_answer = now;
     m_lease_sent = call.sent_at;
     if (call.kind == call_kind::grant) {
         m_lease = answer.lease.value();
@@ -138,7 +138,7 @@
     }
     if (answer.lease.value() != m_lease)
         return true;
-    m_holding = m_key_revision != 0;
+    m_holds_key = m_key_revision != 0;
     m_until = m_lease_sent + m_settings.lease - m_settings.lease_margin;
     return true;
 }
--- a/groups/leadership.h
+++ b/groups/leadership.h
@@ -9,7 +9,7 @@
 namespace jaynotch::groups {
 
 /// What the calls under way are for.
-enum class call_kind { none, look, grant, claim, renew, write, read };
+enum class call_kind { none, check_key, grant, claim, renew, write, read };
 
 struct pending_call {
     call_kind kind = call_kind::none;
@@ -29,8 +29,8 @@
     /// mod_revision of the manager's key as this node wrote it; a write compares it.
     [[nodiscard]] std::int64_t key_revision() const { return m_key_revision; }
     /// When the platform last answered anything.
-    [[nodiscard]] time_point platform_heard() const { return m_platform_heard; }
-    void hear_platform(time_point now) { m_platform_heard = now; }
+    [[nodiscard]] time_point last_platform_answer() const { return m_last_platform_answer; }
+    void note_platform_answer(time_point now) { m_last_platform_answer = now; }
 
     /// The calls that are due. `candidate`: whether this node should try to become manager.
     void tick(bool candidate, time_point now, std::vector<manager_command>& out);
@@ -39,11 +39,11 @@
               std::vector<kv_entry>& records);
     bool take(const lease_result& answer, time_point now, std::vector<manager_command>& out);
     /// A write showed that the manager's key is not this node's any more.
-    void lose();
+    void step_down();
     call_token next_token();
 
 private:
-    void look(time_point now, std::vector<manager_command>& out);
+    void check_key(time_point now, std::vector<manager_command>& out);
     void claim(time_point now, std::vector<manager_command>& out);
     void renew(time_point now, std::vector<manager_command>& out);
     [[nodiscard]] std::string key_value() const;
@@ -51,13 +51,13 @@
     manager_settings m_settings;
     std::uint64_t m_last_token = 0;
     pending_call m_pending;
-    lease_id m_lease;        ///< 0 if none
-    time_point m_lease_sent; ///< sending of the last grant or renewal that was answered
-    bool m_holding = false;  ///< the key was written, or read, with this node's lease
-    time_point m_until;      ///< lease_sent + lease - margin
+    lease_id m_lease;         ///< 0 if none
+    time_point m_lease_sent;  ///< sending of the last grant or renewal that was answered
+    bool m_holds_key = false; ///< the key was written, or read, with this node's lease
+    time_point m_until;       ///< lease_sent + lease - margin
     std::int64_t m_key_revision = 0;
-    time_point m_next_look;
-    time_point m_platform_heard;
+    time_point m_next_key_check;
+    time_point m_last_platform_answer;
 };
 
 } // namespace jaynotch::groups
--- a/groups/manager.cc
+++ b/groups/manager.cc
@@ -176,7 +176,7 @@
         read_again = true;
         return;
     }
-    lead.hear_platform(now);
+    lead.note_platform_answer(now);
     const kv_outcome& outcome = answer.outcome.value();
     if (call.kind == call_kind::write && outcome.succeeded) {
         ++writes;
@@ -193,7 +193,7 @@
         install(entry, now);
     }
     if (!ours)
-        lead.lose();
+        lead.step_down();
 }
 
 void domain_manager::state::write_record(domain_record next, time_point now)
@@ -241,7 +241,7 @@
 
 bool domain_manager::state::dark(time_point now) const
 {
-    const time_point heard = std::max(lead.platform_heard(), started);
+    const time_point heard = std::max(lead.last_platform_answer(), started);
     return now - heard >= settings.dark_after;
 }
 
--- a/groups/orders.cc
+++ b/groups/orders.cc
@@ -38,7 +38,7 @@
 
 /// Whether another domain's record names `vm`: the list is wrong about where the VM is, and the
 /// domain that holds it goes on holding it.
-bool held_elsewhere(const vm_id& vm, const order_input& in)
+bool in_other_record(const vm_id& vm, const order_input& in)
 {
     const auto names = [&](const member& one) { return one.vm == vm; };
     return std::any_of(in.records.begin(), in.records.end(), [&](const auto& entry) {
@@ -59,7 +59,7 @@
     group_work work{&group, &sight, group.members, {}, 0};
     // Survivors are only told of the new composition once every replacement is loaded; while the
     // platform answers, the record is changed first and `members` are the new ones by then.
-    const bool switching = in.dark && (sight.can_switch || sight.switched);
+    const bool switching = in.platform_unreachable && (sight.can_switch || sight.switched);
     if (switching)
         work.members = sight.target;
     for (std::size_t rank = 0; rank < group.members.size(); ++rank) {
@@ -104,10 +104,11 @@
 
     // Whatever an engine believes, the record goes before it: let go what isn't named there.
     for (auto& [vm, view] : vms.all()) {
-        if (in.dark || !vms.fresh(view, in.now) || view.report->group.value().empty())
+        if (in.platform_unreachable || !vms.fresh(view, in.now) ||
+            view.report->group.value().empty())
             continue;
         const auto at = named.find(vm);
-        if (at == named.end() && (view.ambiguous || held_elsewhere(vm, in)))
+        if (at == named.end() && (view.ambiguous || in_other_record(vm, in)))
             continue;
         if (at == named.end() || at->second != view.report->group)
             release(in, view, out);
@@ -142,9 +143,9 @@
     if (!reported.value().empty() && reported != group.group)
         return; // released first
     const auto bound = m_bound.find(view.id.vm);
-    const bool bound_long =
+    const bool bound_long_enough =
         bound != m_bound.end() && in.now - bound->second.second >= in.settings.order_horizon;
-    if (reported.value().empty() && !bound_long && !vms.quiet(view, in.now))
+    if (reported.value().empty() && !bound_long_enough && !vms.quiet(view, in.now))
         return;
 
     order_assign order;
--- a/groups/orders.h
+++ b/groups/orders.h
@@ -19,7 +19,7 @@
     time_point now;
     time_point not_after; ///< no order may be sent later
     /// The platform is dark: only switches to bound standbys, nothing is released.
-    bool dark = false;
+    bool platform_unreachable = false;
 };
 
 /// Numbers and sends the orders of one manager.
--- a/groups/plan.cc
+++ b/groups/plan.cc
@@ -14,7 +14,8 @@
 
 namespace {
 
-constexpr duration last_moment = 5s; ///< before a leaving VM goes, its group is switched anyway
+constexpr duration forced_switch_lead =
+    5s; ///< before a leaving VM goes, its group is switched anyway
 
 std::set<vm_id> all_assigned(const record_map& records, const domain_record& next)
 {
@@ -39,7 +40,7 @@
 
 } // namespace
 
-duration since_table::lasting(const std::string& what, bool holds, time_point now)
+duration condition_timers::held_for(const std::string& what, bool holds, time_point now)
 {
     if (!holds) {
         m_since.erase(what);
@@ -60,24 +61,24 @@
 {
     look(in);
     pass run{*this, in, notices};
-    run.drop_useless_standbys();
-    run.retire_unwanted();
-    run.dissolve_hopeless();
+    run.drop_unusable_standbys();
+    run.retire_surplus();
+    run.dissolve_unrecoverable();
     run.finish_drains();
     run.switch_to_substitutes();
-    run.cover_lost_places();
+    run.replace_lost_members();
     run.complete_one_from_another();
     run.form_groups();
     run.roll_out();
-    run.build_beside_leaving();
+    run.build_replacements_for_leaving();
     run.bind_spares();
     return std::move(run.next);
 }
 
 planner::pass::pass(planner& owner, const plan_input& input, std::vector<notice>& out)
     : self{owner}, in{input}, notices{out}, next{input.record},
-      shares{allotment::compute(input.tables, input.vms.listed(), input.records,
-                                input.settings.domain)}
+      shares{domain_shares::compute(input.tables, input.vms.listed(), input.records,
+                                    input.settings.domain)}
 {
     const std::set<vm_id> assigned = all_assigned(in.records, next);
     for (const auto& [vm, view] : in.vms.all()) {
@@ -86,7 +87,7 @@
     }
 }
 
-void planner::pass::drop_useless_standbys()
+void planner::pass::drop_unusable_standbys()
 {
     for (group_assignment& group : next.groups) {
         std::erase_if(group.standbys, [&](const member& standby) {
@@ -101,11 +102,11 @@
     }
 }
 
-void planner::pass::retire_unwanted()
+void planner::pass::retire_surplus()
 {
     for (group_assignment& group : next.groups) {
         const pool* row = pool_of(group);
-        if (!group.retiring && (row == nullptr || !may_live_in(*row, next.domain)))
+        if (!group.retiring && (row == nullptr || !allowed_in(*row, next.domain)))
             start_drain(group, true, "pool dropped or moved");
         // The group that it was built beside is gone: it counts as any other from
         // now on.
@@ -116,11 +117,13 @@
         const pool_share share = shares.share(row->name);
         // Another domain's manager may see the list or a record later than this
         // one: a difference that has not lasted is no reason to dissolve a group.
-        const bool surplus = self.m_since.lasting("surplus " + row->name.value(), share.surplus > 0,
-                                                  in.now) > in.settings.settle;
-        const bool yields = self.m_since.lasting("yields " + row->name.value(), share.yielding > 0,
-                                                 in.now) > in.settings.settle;
-        const std::size_t go = (surplus ? share.surplus : 0) + (yields ? share.yielding : 0);
+        const bool surplus = self.m_since.held_for("surplus " + row->name.value(),
+                                                   share.surplus > 0, in.now) > in.settings.settle;
+        const bool yields_to_higher_rank =
+            self.m_since.held_for("yields " + row->name.value(), share.yielding > 0, in.now) >
+            in.settings.settle;
+        const std::size_t retire_count =
+            (surplus ? share.surplus : 0) + (yields_to_higher_rank ? share.yielding : 0);
         std::vector<group_assignment*> candidates;
         for (group_assignment& group : next.groups) {
             if (group.pool == row->name && !group.retiring && group.replaces.value().empty())
@@ -132,21 +135,21 @@
                                  return !whole(*left);
                              return outdated(*left) && !outdated(*right);
                          });
-        for (std::size_t i = 0; i < std::min(go, candidates.size()); ++i)
+        for (std::size_t i = 0; i < std::min(retire_count, candidates.size()); ++i)
             start_drain(*candidates[i], true, surplus ? "more than wanted" : "gives way by rank");
     }
 }
 
-void planner::pass::dissolve_hopeless()
+void planner::pass::dissolve_unrecoverable()
 {
-    std::vector<group_id> hopeless;
+    std::vector<group_id> unrecoverable;
     for (const group_assignment& group : next.groups) {
         const bool lost = !group.retiring && !whole(group) && !shares.viable(group.group) &&
                           group.replaces.value().empty();
-        if (lasting("hopeless", group.group, lost) > in.settings.settle)
-            hopeless.push_back(group.group);
+        if (held_for("hopeless", group.group, lost) > in.settings.settle)
+            unrecoverable.push_back(group.group);
     }
-    for (const group_id& group : hopeless)
+    for (const group_id& group : unrecoverable)
         erase(group, "too few live VMs in this domain");
 }
 
@@ -173,15 +176,15 @@
             group.draining = group.draining && outdated(group);
             continue;
         }
-        bool at_last_moment = false;
+        bool must_switch_now = false;
         for (std::size_t rank = 0; rank < group.members.size(); ++rank) {
             const vm_view* view = in.vms.find(group.members[rank].vm);
-            at_last_moment = at_last_moment || (view != nullptr && view->leaving &&
-                                                view->leaves_at - in.now <= last_moment);
+            must_switch_now = must_switch_now || (view != nullptr && view->leaving &&
+                                                  view->leaves_at - in.now <= forced_switch_lead);
         }
         // A planned switch ends the requests in flight, so it waits until there are
         // none.
-        if (seen.whole && !seen.switched && !at_last_moment) {
+        if (seen.whole && !seen.switched && !must_switch_now) {
             if (being_replaced(group.group))
                 continue;
             if (!group.draining)
@@ -194,7 +197,8 @@
         });
         group.members = seen.target;
         group.draining = false;
-        tell("members_replaced", group.group, "bound standbys took the place of lost members");
+        add_notice("members_replaced", group.group,
+                   "bound standbys took the place of lost members");
     }
 }
 
@@ -232,16 +236,16 @@
     return sight(group).whole || sight(group).switched;
 }
 
-duration planner::pass::lasting(const char* why, const group_id& group, bool holds)
+duration planner::pass::held_for(const char* why, const group_id& group, bool holds)
 {
-    return self.m_since.lasting(std::string{why} + " " + group.value(), holds, in.now);
+    return self.m_since.held_for(std::string{why} + " " + group.value(), holds, in.now);
 }
 
 void planner::pass::erase(const group_id& group, const char* why)
 {
-    tell("group_dissolved", group, why);
+    add_notice("group_dissolved", group, why);
     for (const char* reason : {"draining", "hopeless", "broken", "ready"})
-        (void)lasting(reason, group, false);
+        (void)held_for(reason, group, false);
     std::erase_if(next.groups, [&](const auto& one) { return one.group == group; });
 }
 
@@ -251,7 +255,7 @@
         return;
     group.draining = true;
     group.retiring = group.retiring || retire;
-    tell("group_draining", group.group, why);
+    add_notice("group_draining", group.group, why);
 }
 
 bool planner::pass::drained(const group_assignment& group)
@@ -261,7 +265,7 @@
     const auto written = std::find_if(in.record.groups.begin(), in.record.groups.end(),
                                       [&](const auto& one) { return one.group == group.group; });
     const bool draining = written != in.record.groups.end() && written->draining;
-    const duration lasted = lasting("draining", group.group, draining);
+    const duration lasted = held_for("draining", group.group, draining);
     if (!draining)
         return false;
     if (!whole(group))
@@ -271,7 +275,7 @@
     return (known && sight(group).idle) || lasted > in.settings.drain_limit;
 }
 
-void planner::pass::tell(const char* kind, const group_id& group, std::string detail)
+void planner::pass::add_notice(const char* kind, const group_id& group, std::string detail)
 {
     notices.push_back({log_level::info, kind, group.value(), std::move(detail)});
 }
--- a/groups/plan.h
+++ b/groups/plan.h
@@ -2,7 +2,7 @@
 // reports, the VM list and the tables; the manager writes what it returns and calls it again.
 #pragma once
 
-#include "groups/allotment.h"
+#include "groups/domain_shares.h"
 #include "groups/sight.h"
 
 #include <map>
@@ -23,10 +23,10 @@
 };
 
 /// Since when a reason for a change has held; a change that moves VMs waits for it to last.
-class since_table {
+class condition_timers {
 public:
     /// How long `holds` has been true for `what`; 0 if it isn't.
-    duration lasting(const std::string& what, bool holds, time_point now);
+    duration held_for(const std::string& what, bool holds, time_point now);
 
 private:
     std::map<std::string, time_point> m_since;
@@ -47,7 +47,7 @@
 
     substitutes m_substitutes;
     std::map<group_id, group_sight> m_sights;
-    since_table m_since;
+    condition_timers m_since;
 };
 
 } // namespace jaynotch::groups
--- a/groups/plan_pass.h
+++ b/groups/plan_pass.h
@@ -13,17 +13,17 @@
     pass(planner& owner, const plan_input& input, std::vector<notice>& out);
 
     // plan.cc: what has to go and what has come to its end.
-    void drop_useless_standbys();
-    void retire_unwanted();
-    void dissolve_hopeless();
+    void drop_unusable_standbys();
+    void retire_surplus();
+    void dissolve_unrecoverable();
     void finish_drains();
     void switch_to_substitutes();
     // rollout.cc: new versions, adapters and sizes.
     void roll_out();
-    void build_beside_leaving();
+    void build_replacements_for_leaving();
     [[nodiscard]] bool being_replaced(const group_id& group) const;
     // repair.cc: VMs to where they are worth most.
-    void cover_lost_places();
+    void replace_lost_members();
     void complete_one_from_another();
     void form_groups();
     void bind_spares();
@@ -34,11 +34,11 @@
     [[nodiscard]] bool outdated(const group_assignment& group) const;
     /// All members ready, in the record's composition or after a switch.
     [[nodiscard]] bool whole(const group_assignment& group) const;
-    duration lasting(const char* why, const group_id& group, bool holds);
+    duration held_for(const char* why, const group_id& group, bool holds);
     void erase(const group_id& group, const char* why);
     void start_drain(group_assignment& group, bool retire, const char* why);
     [[nodiscard]] bool drained(const group_assignment& group);
-    void tell(const char* kind, const group_id& group, std::string detail);
+    void add_notice(const char* kind, const group_id& group, std::string detail);
 
     /// VMs that may join a group now and that no group of `next` names.
     std::vector<member>& spares() { return m_spares; }
@@ -53,7 +53,7 @@
     const plan_input& in;
     std::vector<notice>& notices;
     domain_record next;
-    allotment shares;
+    domain_shares shares;
 
 private:
     [[nodiscard]] bool unneeded(const group_assignment& group, const member& standby) const;
--- a/groups/repair.cc
+++ b/groups/repair.cc
@@ -96,7 +96,7 @@
     return taken;
 }
 
-void planner::pass::cover_lost_places()
+void planner::pass::replace_lost_members()
 {
     std::vector<group_assignment*> broken;
     for (group_assignment& group : next.groups) {
@@ -136,7 +136,7 @@
     for (const group_assignment& group : next.groups) {
         const bool short_of_vms = !group.retiring && !whole(group) && sight(group).uncovered > 0 &&
                                   group.standbys.size() < sight(group).uncovered;
-        if (lasting("broken", group.group, short_of_vms) > in.settings.hold_down)
+        if (held_for("broken", group.group, short_of_vms) > in.settings.hold_down)
             broken.push_back(&group);
     }
     std::stable_sort(broken.begin(), broken.end(), [&](const auto* left, const auto* right) {
@@ -188,14 +188,14 @@
         else
             return;
     }
-    tell("group_formed", group.group, "of pool " + row.name.value());
+    add_notice("group_formed", group.group, "of pool " + row.name.value());
     next.groups.push_back(std::move(group));
 }
 
 void planner::pass::form_groups()
 {
     for (const pool* row : pools_by_rank(in.tables)) {
-        if (!may_live_in(*row, next.domain))
+        if (!allowed_in(*row, next.domain))
             continue;
         std::size_t present = 0;
         for (const group_assignment& group : next.groups) {
--- a/groups/rollout.cc
+++ b/groups/rollout.cc
@@ -41,7 +41,7 @@
                        [&](const auto& one) { return one.replaces == group; });
 }
 
-void planner::pass::build_beside_leaving()
+void planner::pass::build_replacements_for_leaving()
 {
     std::vector<group_id> leaving;
     for (const group_assignment& group : next.groups) {
@@ -65,7 +65,7 @@
         const bool ready = old != nullptr && whole(group);
         // Whole in the manager's sight is not yet a ticket: the watchers need
         // another probe.
-        if (lasting("ready", group.group, ready) < in.settings.report_horizon || !ready)
+        if (held_for("ready", group.group, ready) < in.settings.report_horizon || !ready)
             continue;
         // Whole: it takes over, and the old one finishes what it has in flight.
         start_drain(*find(group.replaces), true, "replaced by a group built beside it");
@@ -96,7 +96,7 @@
             group.version = row->version;
             group.adapters = row->adapters;
             group.draining = false;
-            tell("group_changes_version", id, row->version);
+            add_notice("group_changes_version", id, row->version);
         }
         std::erase_if(
             old, [&](const group_id& id) { return find(id) == nullptr || !outdated(*find(id)); });
--- a/groups/runner_registry.cc
+++ b/groups/runner_registry.cc
@@ -19,7 +19,7 @@
 }
 
 /// What the router goes by of an entry itself, whatever the group that it is in.
-std::optional<runner> served_part(const registered_runner& entry)
+std::optional<runner> served_row(const registered_runner& entry)
 {
     const bool served = !entry.row.joins_groups() || is_open_head(entry.row);
     return entry.listed && served ? std::optional{entry.row} : std::nullopt;
@@ -33,9 +33,9 @@
 
 } // namespace
 
-void runner_registry::take(const runner& row, time_point now)
+void runner_registry::update(const runner& row, time_point now)
 {
-    forget_unlisted(now);
+    expire_unlisted(now);
     const auto [found, fresh] = m_runners.try_emplace(row.id);
     const registered_runner& known = found->second;
     if (known.listed && known.row == row)
@@ -52,13 +52,13 @@
         entry.row = row;
         entry.listed = true;
         if (!row.model.empty())
-            entry.warm = row.model;
+            entry.warm_model = row.model;
     });
 }
 
-void runner_registry::drop(const vm_id& vm, time_point now)
+void runner_registry::remove(const vm_id& vm, time_point now)
 {
-    forget_unlisted(now);
+    expire_unlisted(now);
     const auto found = m_runners.find(vm);
     if (found == m_runners.end() || !found->second.listed)
         return;
@@ -82,9 +82,9 @@
     change(found->second, now, [&](registered_runner& entry) {
         entry.row.group = word.group;
         entry.row.model = word.model;
-        entry.told_at = now;
+        entry.reported_at = now;
         if (!word.model.empty())
-            entry.warm = word.model;
+            entry.warm_model = word.model;
     });
     return true;
 }
@@ -92,7 +92,7 @@
 void runner_registry::change(registered_runner& entry, time_point now,
                              const std::function<void(registered_runner&)>& edit)
 {
-    const std::optional<runner> served = served_part(entry);
+    const std::optional<runner> served = served_row(entry);
     const std::optional<group_key> counted = counted_group(entry);
     const std::optional<membership> said = entry.row.group;
     const bool open_before = counted && m_compositions.at(*counted).open > 0;
@@ -102,9 +102,9 @@
     const std::optional<group_key> counts_now = counted_group(entry);
     const bool open_now = counts_now && m_compositions.at(*counts_now).open > 0;
     if (said)
-        forget_unnamed(key_of(*said));
+        erase_if_unnamed(key_of(*said));
     const bool regrouped = counts_now != counted && (open_before || open_now);
-    if (regrouped || served_part(entry) != served)
+    if (regrouped || served_row(entry) != served)
         ++m_serving_version;
 }
 
@@ -150,9 +150,9 @@
         ++(*heads)[row.model];
     }
     if (!row.leaving) {
-        domain_room& room = m_rooms[row.fabric_domain];
-        room.failure_domain = row.failure_domain;
-        ++room.runners;
+        domain_capacity& capacity = m_capacities[row.fabric_domain];
+        capacity.failure_domain = row.failure_domain;
+        ++capacity.runners;
     }
 }
 
@@ -171,20 +171,20 @@
     m_plain.erase(row.id);
     if (m_heads.erase(row.id) != 0)
         --m_heads_by_domain[row.failure_domain][row.model];
-    if (row.joins_groups() && !row.leaving && --m_rooms[row.fabric_domain].runners == 0)
-        m_rooms.erase(row.fabric_domain);
+    if (row.joins_groups() && !row.leaving && --m_capacities[row.fabric_domain].runners == 0)
+        m_capacities.erase(row.fabric_domain);
 }
 
-void runner_registry::forget_unnamed(const group_key& key)
+void runner_registry::erase_if_unnamed(const group_key& key)
 {
     const auto found = m_compositions.find(key);
     if (found != m_compositions.end() && found->second.named == 0)
         m_compositions.erase(found);
 }
 
-void runner_registry::forget_unlisted(time_point now)
+void runner_registry::expire_unlisted(time_point now)
 {
-    while (!m_unlisted.empty() && now - m_unlisted.front().first > keep_unlisted) {
+    while (!m_unlisted.empty() && now - m_unlisted.front().first > unlisted_retention) {
         const auto found = m_runners.find(m_unlisted.front().second);
         const bool stays = found == m_runners.end() || found->second.listed ||
                            found->second.unlisted_at != m_unlisted.front().first;
@@ -193,7 +193,7 @@
             continue;
         uncount(found->second);
         if (found->second.row.group)
-            forget_unnamed(key_of(*found->second.row.group));
+            erase_if_unnamed(key_of(*found->second.row.group));
         m_runners.erase(found);
     }
 }
--- a/groups/runner_registry.h
+++ b/groups/runner_registry.h
@@ -10,7 +10,7 @@
 #pragma once
 
 #include "base/base.h"
-#include "groups/allot.h"
+#include "groups/group_allocation.h"
 #include "outside/runner.h"
 
 #include <deque>
@@ -28,7 +28,7 @@
 
 /// A runner whose entry has gone is remembered for this long: its group may outlive the entry where
 /// it is cut off.
-constexpr duration keep_unlisted = std::chrono::seconds{120};
+constexpr duration unlisted_retention = std::chrono::seconds{120};
 
 inline group_key key_of(const membership& said)
 {
@@ -41,8 +41,8 @@
     bool listed = false;      ///< its entry is in the registry
     time_point unlisted_at;   ///< if not listed
     time_point leaving_since; ///< if leaving
-    time_point told_at;       ///< when its own word last differed from its entry
-    std::string warm;         ///< model of the last group of this start: joins to it are quick
+    time_point reported_at;   ///< when its own word last differed from its entry
+    std::string warm_model;   ///< model of the last group of this start: joins to it are quick
 };
 
 class runner_registry {
@@ -52,9 +52,9 @@
     using model_counts = std::map<std::string, std::size_t>;
 
     /// A runner's entry is new or has changed.
-    void take(const runner& row, time_point now);
+    void update(const runner& row, time_point now);
     /// A runner's entry is gone. It is remembered for a while, since its group may outlive it.
-    void drop(const vm_id& vm, time_point now);
+    void remove(const vm_id& vm, time_point now);
     /// A runner's own word while the registry can't tell; false if it is of another start.
     bool tell(const runner_word& word, time_point now);
 
@@ -77,7 +77,10 @@
         return m_heads_by_domain;
     }
     /// Listed runners of each fabric domain that stay.
-    [[nodiscard]] const std::map<fabric_domain_id, domain_room>& rooms() const { return m_rooms; }
+    [[nodiscard]] const std::map<fabric_domain_id, domain_capacity>& capacities() const
+    {
+        return m_capacities;
+    }
     /// When the first runner was seen, and when one was last seen that was not known.
     [[nodiscard]] time_point first_joined() const { return m_first_joined; }
     [[nodiscard]] time_point last_joined() const { return m_last_joined; }
@@ -96,15 +99,15 @@
                 const std::function<void(registered_runner&)>& edit);
     void count(const registered_runner& entry, time_point now);
     void uncount(const registered_runner& entry);
-    void forget_unnamed(const group_key& key);
-    void forget_unlisted(time_point now);
+    void erase_if_unnamed(const group_key& key);
+    void expire_unlisted(time_point now);
 
     runner_map m_runners;
     std::map<group_key, composition> m_compositions;
     std::set<vm_id> m_heads;
     std::set<vm_id> m_plain;
     std::map<failure_domain_id, model_counts> m_heads_by_domain;
-    std::map<fabric_domain_id, domain_room> m_rooms;
+    std::map<fabric_domain_id, domain_capacity> m_capacities;
     std::deque<std::pair<time_point, vm_id>> m_unlisted; ///< in the order in which they went
     std::size_t m_listed = 0;
     time_point m_first_joined;
--- a/groups/runner_registry_test.cc
+++ b/groups/runner_registry_test.cc
@@ -40,7 +40,7 @@
             else if (row.group && row.group->rank == 0)
                 heads.insert(id);
             if (row.joins_groups() && !row.leaving)
-                ++rooms[row.fabric_domain];
+                ++capacities[row.fabric_domain];
         }
     }
 
@@ -48,7 +48,7 @@
     std::map<group_key, std::size_t> members;
     std::set<vm_id> heads;
     std::set<vm_id> plain;
-    std::map<fabric_domain_id, std::uint32_t> rooms;
+    std::map<fabric_domain_id, std::uint32_t> capacities;
 };
 
 void assert_counts(const runner_registry& registry, std::uint64_t seed)
@@ -57,9 +57,9 @@
     cr_assert_eq(registry.listed(), expected.listed, "seed %lu", seed);
     cr_assert(registry.heads() == expected.heads, "seed %lu", seed);
     cr_assert(registry.plain_servers() == expected.plain, "seed %lu", seed);
-    cr_assert_eq(registry.rooms().size(), expected.rooms.size(), "seed %lu", seed);
-    for (const auto& [domain, room] : registry.rooms())
-        cr_assert_eq(room.runners, expected.rooms.at(domain), "seed %lu", seed);
+    cr_assert_eq(registry.capacities().size(), expected.capacities.size(), "seed %lu", seed);
+    for (const auto& [domain, capacity] : registry.capacities())
+        cr_assert_eq(capacity.runners, expected.capacities.at(domain), "seed %lu", seed);
     for (const auto& [key, count] : expected.members)
         cr_assert_eq(registry.members_of(key), count, "seed %lu", seed);
     std::size_t heads = 0;
@@ -72,7 +72,7 @@
 
 } // namespace
 
-Test(runner_registry, counts_are_what_the_entries_say_after_any_history)
+Test(runner_registry, counts_match_the_entries_after_any_history)
 {
     for (std::uint64_t seed = 0; seed < 50; ++seed) {
         random_source random{seed};
@@ -93,9 +93,9 @@
             }
             const std::size_t what = random.index(10);
             if (what < 7)
-                registry.take(row, now);
+                registry.update(row, now);
             else if (what < 9)
-                registry.drop(row.id, now);
+                registry.remove(row.id, now);
             else
                 registry.tell({row.id, 0, row.group, row.model}, now);
             assert_counts(registry, seed);
@@ -105,20 +105,20 @@
 
 // The router would work its targets out anew for each step of each member that joins or is warmed
 // up: thousands while a large fleet starts.
-Test(runner_registry, only_what_is_served_changes_the_version)
+Test(runner_registry, only_serving_changes_raise_the_version)
 {
     runner_registry registry;
-    registry.take(member_of("head", "g", 0, member_phase::ready), start);
-    registry.take(member_of("other", "g", 1, member_phase::joining), start);
-    registry.take(member_of("spare", "w", 0, member_phase::joining), start);
+    registry.update(member_of("head", "g", 0, member_phase::ready), start);
+    registry.update(member_of("other", "g", 1, member_phase::joining), start);
+    registry.update(member_of("spare", "w", 0, member_phase::joining), start);
     cr_assert_eq(registry.serving_version(), 0U);
-    registry.take(member_of("head", "g", 0, member_phase::open), start);
+    registry.update(member_of("head", "g", 0, member_phase::open), start);
     const std::uint64_t open = registry.serving_version();
     cr_assert_gt(open, 0U);
-    registry.take(member_of("other", "g", 1, member_phase::ready), start);
-    registry.take(member_of("spare", "", 0, member_phase::joining), start);
+    registry.update(member_of("other", "g", 1, member_phase::ready), start);
+    registry.update(member_of("spare", "", 0, member_phase::joining), start);
     cr_assert_eq(registry.serving_version(), open);
-    registry.drop(vm_id{"other"}, start);
+    registry.remove(vm_id{"other"}, start);
     cr_assert_gt(registry.serving_version(), open, "an open group has lost a member");
 }
 
@@ -127,29 +127,29 @@
 Test(runner_registry, a_composition_keeps_the_time_at_which_it_was_first_seen)
 {
     runner_registry registry;
-    registry.take(member_of("a", "g", 0, member_phase::joining), start);
-    registry.take(member_of("a", "g", 0, member_phase::ready), start + 3s);
+    registry.update(member_of("a", "g", 0, member_phase::joining), start);
+    registry.update(member_of("a", "g", 0, member_phase::ready), start + 3s);
     const group_key key{group_id{"g"}, 1};
     cr_assert(registry.first_seen(key) == start);
-    registry.drop(vm_id{"a"}, start + 5s);
+    registry.remove(vm_id{"a"}, start + 5s);
     cr_assert(registry.first_seen(key) == start, "its member may be cut off only");
-    registry.take(member_of("b", "", 0, member_phase::ready), start + 200s);
+    registry.update(member_of("b", "", 0, member_phase::ready), start + 200s);
     cr_assert(!registry.first_seen(key), "it is forgotten with its last member");
     cr_assert(registry.find(vm_id{"a"}) == nullptr);
 }
 
 // An id that comes back is another start of its runner: nothing of the one before holds for it.
-Test(runner_registry, an_id_that_comes_back_begins_anew)
+Test(runner_registry, a_restarted_runner_keeps_no_state)
 {
     runner_registry registry;
     runner row = member_of("a", "g", 0, member_phase::open);
     row.leaving = true;
-    registry.take(row, start);
+    registry.update(row, start);
     runner again = member_of("a", "", 0, member_phase::ready);
     again.model.clear();
     again.born_ms = 2;
-    registry.take(again, start + 1s);
-    cr_assert(registry.find(vm_id{"a"})->warm.empty());
+    registry.update(again, start + 1s);
+    cr_assert(registry.find(vm_id{"a"})->warm_model.empty());
     cr_assert(registry.heads().empty());
     cr_assert(!registry.tell({vm_id{"a"}, 1, std::nullopt, ""}, start + 1s), "of the start before");
 }
