--- a/groups/formation.h
+++ b/groups/formation.h
@@ -1,14 +1,14 @@
-// The manager of one failure domain's groups where runners register themselves: decides which of
-// them form which groups, and orders them to.
+// Manages the groups of one failure domain in deployments where backend servers ("runners")
+// register themselves: decides which runners form which groups and sends them the orders.
 //
 //   formation manager{{.self = node, .domain = failure_domain, ...}, registry};
-//   run(manager.handle(runner_updated{row}, now));        // the registry, as it changes
-//   run(manager.handle(formation_tick{}, now));        // ten times a second or more
+//   run(manager.handle(runner_updated{row}, now));  // on every change of the registry
+//   run(manager.handle(formation_tick{}, now));     // at least ten times a second
 //
-// No record of assignments is kept: every runner tells the registry which group it is in, so a
-// manager that takes over sees what the one before it did. Every daemon runs one of these for each
-// failure domain; the one that holds the domain's key orders. The others keep nothing of runners:
-// whoever takes the key begins with what the node's registry shows.
+// Assignments are not stored: every runner publishes its group in the registry, so a new manager
+// sees what its predecessor did. Every daemon runs one instance per failure domain; only the one
+// that holds the domain's key sends orders. The other instances hold no runner state; an instance
+// that obtains the key starts from the contents of the node's registry.
 #pragma once
 
 #include "groups/election.h"
@@ -28,12 +28,12 @@
 
 // Events.
 
-/// A runner's entry is new or has changed; the registry has been told. Rows of all failure domains
-/// are welcome.
+/// A runner's entry was added or changed; the runner_registry has been updated. Rows of other
+/// failure domains are ignored.
 struct runner_updated {
     runner row;
 };
-/// A runner's entry is gone.
+/// A runner's entry was removed.
 struct runner_removed {
     vm_id vm;
 };
@@ -41,12 +41,12 @@
 struct model_pools_updated {
     std::vector<pool> pools;
 };
-/// The manager's key, or that there is none.
+/// The manager's key in the store; nullopt if it does not exist.
 struct manager_key_updated {
     std::optional<kv_entry> entry;
 };
-/// Whether the registry as known here is up to date by this node's own word with the platform, and
-/// the node's place among those of its failure domain that see to that. Only such nodes claim keys.
+/// Whether this node reads the registry from the platform itself and is up to date, and the node's
+/// rank among the nodes of its failure domain that do so. Only such nodes claim keys.
 struct registry_status {
     bool current = false;
     std::size_t rank = 0;
@@ -56,7 +56,7 @@
     vm_id vm;
     order_reply reply = order_reply::lost;
 };
-/// A group gives nothing though requests wait for it.
+/// A group sends no output although requests are waiting for it.
 struct group_unresponsive {
     vm_id head;
 };
@@ -65,22 +65,22 @@
     vm_id vm;
     bool answers = false;
 };
-/// What other nodes say of a runner that did not answer this one: whether any of them is answered.
+/// Answer to probe_through_peers: whether the runner answered any other node.
 struct peer_probe_result {
     vm_id vm;
     bool answers = false;
 };
-/// The platform's store answers no node; asked for at this time.
+/// The platform's store answers no node. `asked` is when this node sent its question.
 struct outage_confirmed {
     time_point asked;
 };
-/// This node has told another that the store does not answer it.
+/// This node has told a peer that the store does not answer it.
 struct outage_reported {};
 /// Answer to request_runner_report.
 struct runner_reported {
     runner_report report;
 };
-/// Callers have begun to send requests.
+/// The first request of a caller has arrived.
 struct traffic_started {};
 struct formation_tick {};
 
@@ -99,24 +99,24 @@
     member_order order;
     fencing_number fence;
 };
-/// Find out whether a runner answers.
+/// Checks whether a runner answers.
 struct probe_member {
     vm_id vm;
     std::string address;
 };
-/// Ask the other nodes whether a runner answers them.
+/// Asks the other nodes whether a runner answers them.
 struct probe_through_peers {
     vm_id vm;
     std::string address;
 };
-/// Ask the other nodes whether the platform's store answers them.
+/// Asks the other nodes whether the platform's store answers them.
 struct query_peers_about_outage {};
-/// Ask a runner for its report.
+/// Asks a runner for its report.
 struct request_runner_report {
     vm_id vm;
     std::string address;
 };
-/// Tell the other nodes what the registry can't tell them now.
+/// Sends a runner's state to the other nodes while the registry can't be written.
 struct broadcast_runner {
     runner_word word;
 };
@@ -126,44 +126,47 @@
 using formation_commands = std::vector<formation_command>;
 
 struct formation_settings {
-    std::string deployment; ///< keeps the manager's key apart from other systems' in the store
+    std::string deployment; ///< prefix of the manager's key; separates systems that share a store
     node_id self;
-    mechanism_set mechanisms;              ///< that are switched on
-    failure_domain_id own_domain;          ///< where this node stands
-    failure_domain_id domain;              ///< whose runners it manages
-    duration order_timeout = 1s;           ///< an order unanswered for this long counts as lost
-    duration order_retry_delay = 200ms;    ///< before an order without effect is sent again
-    duration foreign_claim_delay = 1500ms; ///< nodes of other domains claim the key this much later
-    duration claim_stagger = 150ms;        ///< between the claims of two nodes
-    std::size_t claimants_per_domain = 2;  ///< nodes of a failure domain that mostly are current
-    /// Before the first request loads are quick. Groups are planned once no runner has come for
-    /// this long, since who else is there decides what is best, ... Must be longer than entries
-    /// gather on their way here while a fleet starts.
+    mechanism_set mechanisms;           ///< enabled mechanisms
+    failure_domain_id own_domain;       ///< failure domain that this node runs in
+    failure_domain_id domain;           ///< failure domain whose runners are managed
+    duration order_timeout = 1s;        ///< an order unanswered for this long counts as lost
+    duration order_retry_delay = 200ms; ///< delay before a refused order is sent again
+    /// Additional delay before nodes of other failure domains claim the key.
+    duration foreign_claim_delay = 1500ms;
+    duration claim_stagger = 150ms; ///< delay between the claims of consecutive nodes
+    /// Expected number of nodes per failure domain whose registry_status is current.
+    std::size_t claimants_per_domain = 2;
+    /// Groups are planned once no new runner has registered for this long, because the best plan
+    /// depends on all runners. Must exceed the time for which entries can be batched on their way
+    /// to this node while a fleet starts. Loading is fast until the first request arrives.
     duration settle_time = 2s;
-    duration max_settle_time = 4s; ///< ... and no later than this after the first runner
-    duration close_delay = 6s; ///< a group with a leaving member is closed this long after notice
-    /// A runner that did not answer a probe isn't used for this long. Longer than the registry
-    /// takes to drop the entry of a dead one (three heartbeats), or it would be used once more in
-    /// between.
+    duration max_settle_time = 4s; ///< upper bound on settling, from the first runner
+    /// A group with a leaving member is closed this long after the member announced its departure.
+    duration close_delay = 6s;
+    /// A runner that did not answer a probe is not used for this long. Must exceed the time after
+    /// which the registry drops a dead runner's entry (three heartbeats); otherwise a dead runner
+    /// would be used once more in between.
     duration unresponsive_hold_time = 5s;
-    duration outage_query_interval = 300ms; ///< between two questions about an outage of the store
-    /// Between two questions to a runner for its report.
-    duration report_query_interval = 150ms;
-    /// Longer than reports are old; one that is asked for this long after an order counts it.
+    duration outage_query_interval = 300ms; ///< between two queries about an outage of the store
+    duration report_query_interval = 150ms; ///< between two report requests to one runner
+    /// Upper bound on the age of a report: a report requested this long after an order includes
+    /// that order in its count.
     duration max_report_age = 250ms;
-    duration peer_probe_timeout = 500ms; ///< for the other nodes' word on a silent head
-    /// Entries that ran out while a living runner could not reach the store are back within this
-    /// time, as the store's operators tell; what is missing for longer counts as gone.
+    duration peer_probe_timeout = 500ms; ///< wait for other nodes' probes of an unresponsive head
+    /// A live runner whose entry expired while it could not reach the store writes it again within
+    /// this time (figure from the store's operators). An entry missing for longer counts as lost.
     duration entry_grace_period = 2s;
-    /// A composition that an earlier manager ordered is given this long to come together. Joins
-    /// that load nothing take less.
+    /// Time for a composition ordered by an earlier manager to become complete. Joins that load no
+    /// weights take less.
     duration adopted_group_timeout = 5s;
 };
 
 /// For status pages, metrics and logs.
 struct formation_status {
     bool leading = false;
-    bool store_unreachable = false; ///< leads, and the store does not renew its lease
+    bool store_unreachable = false; ///< this node leads, but lease renewals fail
     std::int64_t term = 0;
     std::size_t groups_open = 0;
     std::size_t groups_forming = 0;
@@ -171,10 +174,10 @@
     std::uint64_t orders = 0;
 };
 
-/// Pure: no clock, no sockets, no threads.
+/// Pure state machine: uses no clock, sockets or threads.
 class formation_manager {
 public:
-    /// `known` is shared by all managers of a node and must outlive them.
+    /// `known` is shared by all managers of a node and must outlive this object.
     formation_manager(formation_settings settings, const runner_registry& known);
     ~formation_manager();
     formation_manager(formation_manager&&) noexcept;
@@ -183,11 +186,11 @@
     formation_manager& operator=(const formation_manager&) = delete;
 
     formation_commands handle(const formation_event& event, time_point now);
-    /// Gives the domain up, on a planned stop.
+    /// Gives up the domain's key on a planned stop.
     formation_commands resign();
-    /// Whether this node orders the domain's runners now.
+    /// Whether this node is currently the domain's manager.
     [[nodiscard]] bool leading(time_point now) const;
-    /// Counts are of the runners as the manager knows them; zero where it does not lead.
+    /// The counts are zero on a node that does not hold the domain's key.
     [[nodiscard]] formation_status status(time_point now) const;
 
 private:
@@ -195,7 +198,7 @@
     std::unique_ptr<state> m_state;
 };
 
-/// The key of a failure domain's manager.
+/// Store key that holds the manager of a failure domain.
 std::string formation_key(std::string_view deployment, const failure_domain_id& domain);
 
 } // namespace jaynotch::groups
