--- a/groups/formation.cc
+++ b/groups/formation.cc
@@ -24,7 +24,7 @@
     : settings{std::move(given)}, lease_election{{.key = formation_key(settings.deployment,
                                                                        settings.domain),
                                                   .self = settings.self}},
-      known{shared}
+      registry{shared}
 {}
 
 formation_manager::formation_manager(formation_settings settings, const runner_registry& known)
@@ -59,23 +59,23 @@
 formation_status formation_manager::status(time_point now) const
 {
     const state& core = *m_state;
-    formation_status told;
-    told.leading = core.lease_election.leading(now);
-    told.store_unreachable = told.leading && core.store_unreachable(now);
-    told.term = core.lease_election.term();
-    told.orders = core.orders;
+    formation_status counts;
+    counts.leading = core.lease_election.leading(now);
+    counts.store_unreachable = counts.leading && core.store_unreachable(now);
+    counts.term = core.lease_election.term();
+    counts.orders = core.orders;
     for (const auto& [vm, view] : core.runners) {
         if (!view.listed)
             continue;
         const bool spare = !view.row.group || core.is_warm_up(key_of(*view.row.group));
         if (spare)
-            ++told.spare_runners;
+            ++counts.spare_runners;
         else if (view.row.group->rank == 0 && view.row.group->phase == member_phase::open)
-            ++told.groups_open;
+            ++counts.groups_open;
         else if (view.row.group->rank == 0)
-            ++told.groups_forming;
+            ++counts.groups_forming;
     }
-    return told;
+    return counts;
 }
 
 bool formation_manager::state::managed(const runner& row) const
@@ -116,7 +116,7 @@
         }
         void operator()(const registry_status& e) const
         {
-            core.registry = e;
+            core.registry_state = e;
             core.delay_before_claim.reset();
         }
         void operator()(const kv_result& e) const { core.lease_election.apply(e, now); }
@@ -171,7 +171,7 @@
 void formation_manager::state::adopt_runners()
 {
     managing = true;
-    for (const auto& [vm, entry] : known.runners()) {
+    for (const auto& [vm, entry] : registry.runners()) {
         if (!managed(entry.row))
             continue;
         runner_view& view = runners[vm];
@@ -364,9 +364,9 @@
     }
 }
 
-std::optional<duration> formation_manager::state::patience()
+std::optional<duration> formation_manager::state::claim_delay()
 {
-    if (!registry.current || known.runners().empty())
+    if (!registry_state.current || registry.runners().empty())
         return std::nullopt;
     if (!delay_before_claim)
         delay_before_claim = compute_claim_delay();
@@ -377,7 +377,8 @@
 /// other domains, one domain after the other.
 duration formation_manager::state::compute_claim_delay() const
 {
-    const duration own_turn = static_cast<duration::rep>(registry.rank) * settings.claim_stagger;
+    const duration own_turn =
+        static_cast<duration::rep>(registry_state.rank) * settings.claim_stagger;
     // Also while no node there is known: at a start of everything they are not heard of yet, and
     // one node that took all domains would leave all of them without a manager when it dies.
     if (settings.own_domain == settings.domain)
@@ -402,7 +403,7 @@
 void formation_manager::state::run_election(time_point now)
 {
     std::vector<election_command> calls;
-    lease_election.tick(patience(), now, calls);
+    lease_election.tick(claim_delay(), now, calls);
     for (election_command& call : calls)
         std::visit([&](auto& one) { out.emplace_back(std::move(one)); }, call);
     const bool leading = lease_election.leading(now);
@@ -464,10 +465,10 @@
         if (view.listed)
             ++counts[view.row.fabric_domain.value() + " " + describe_use(view)];
     }
-    std::string told;
+    std::string summary;
     for (const auto& [use, count] : counts)
-        told += (told.empty() ? "" : ", ") + use + " " + std::to_string(count);
-    add_notice(log_level::info, "runners_used", settings.domain.value(), std::move(told));
+        summary += (summary.empty() ? "" : ", ") + use + " " + std::to_string(count);
+    add_notice(log_level::info, "runners_used", settings.domain.value(), std::move(summary));
 }
 
 std::string formation_manager::state::describe_use(const runner_view& view) const
--- a/groups/formation_groups.cc
+++ b/groups/formation_groups.cc
@@ -35,14 +35,15 @@
 
 const pool* formation_manager::state::pool_of(const observed_group& observed) const
 {
-    const auto known = planned.find(key_of(observed));
-    std::string model = known == planned.end() ? std::string{} : known->second.model;
+    const auto plan = planned.find(key_of(observed));
+    std::string model = plan == planned.end() ? std::string{} : plan->second.model;
     for (const auto& [rank, vm] : observed.members) {
         if (const runner_view* view = find(vm); model.empty() && view != nullptr)
             model = view->row.model;
     }
-    const auto found = std::find_if(pools.begin(), pools.end(),
-                                    [&](const pool& kind) { return kind.model == model; });
+    const auto found = std::find_if(pools.begin(), pools.end(), [&](const pool& model_pool) {
+        return model_pool.model == model;
+    });
     return found == pools.end() ? nullptr : &*found;
 }
 
@@ -53,10 +54,11 @@
     return found == observed.members.end() ? nullptr : find(found->second);
 }
 
-bool formation_manager::state::is_complete(const observed_group& observed, const pool& kind) const
+bool formation_manager::state::is_complete(const observed_group& observed,
+                                           const pool& model_pool) const
 {
-    if (observed.members.size() != kind.replica_vms ||
-        observed.members.rbegin()->first + 1 != kind.replica_vms)
+    if (observed.members.size() != model_pool.replica_vms ||
+        observed.members.rbegin()->first + 1 != model_pool.replica_vms)
         return false;
     return std::all_of(observed.members.begin(), observed.members.end(), [&](const auto& entry) {
         const runner_view* view = find(entry.second);
@@ -102,9 +104,9 @@
         end_warm_up(observed, now);
         return;
     }
-    const pool* kind = pool_of(observed);
+    const pool* model_pool = pool_of(observed);
     runner_view* const head = head_of(observed);
-    const bool complete = kind != nullptr && is_complete(observed, *kind);
+    const bool complete = model_pool != nullptr && is_complete(observed, *model_pool);
     if (!complete && head != nullptr && holds_requests(*head) && entries_may_return(observed, now))
         return;
     if (!complete && reported_recently(observed, now))
@@ -277,7 +279,7 @@
 /// When the composition first stood in the registry, or else when a member first told of it.
 std::optional<time_point> formation_manager::state::first_seen(const group_key& key) const
 {
-    std::optional<time_point> since = known.first_seen(key);
+    std::optional<time_point> since = registry.first_seen(key);
     if (since)
         return since;
     for (const auto& [vm, view] : runners) {
--- a/groups/formation_outage.cc
+++ b/groups/formation_outage.cc
@@ -15,14 +15,14 @@
 /// doesn't know how many it has begun, the compositions tell.
 bool is_outdated(const runner_report& report, const runner_view& view)
 {
-    const std::optional<membership>& told = report.word.group;
-    const std::optional<membership>& known = view.row.group;
+    const std::optional<membership>& reported = report.word.group;
+    const std::optional<membership>& current = view.row.group;
     if (view.membership_confirmed && report.orders < view.begun_orders)
         return true;
-    if (told)
-        return told->epoch <= view.left_epoch || (known && told->epoch < known->epoch);
-    const bool apply_leave = view.membership_confirmed && report.orders > view.begun_orders;
-    return known && !apply_leave;
+    if (reported)
+        return reported->epoch <= view.left_epoch || (current && reported->epoch < current->epoch);
+    const bool has_left = view.membership_confirmed && report.orders > view.begun_orders;
+    return current && !has_left;
 }
 
 } // namespace
--- a/groups/formation_plan.cc
+++ b/groups/formation_plan.cc
@@ -29,20 +29,21 @@
 /// Has weights of some model of `pools` on its host, or gets them.
 bool is_prepared(const runner_view& view, const std::vector<pool>& pools)
 {
-    return !view.staging.empty() || std::any_of(pools.begin(), pools.end(), [&](const pool& kind) {
-        return has_staged(view, kind.model);
-    });
+    return !view.staging.empty() ||
+           std::any_of(pools.begin(), pools.end(),
+                       [&](const pool& model_pool) { return has_staged(view, model_pool.model); });
 }
 
 } // namespace
 
-duration formation_manager::state::time_to_ready(const runner_view& view, const pool& kind) const
+duration formation_manager::state::time_to_ready(const runner_view& view,
+                                                 const pool& model_pool) const
 {
-    if (view.warm_model == kind.model)
+    if (view.warm_model == model_pool.model)
         return warm_join;
-    if (has_staged(view, kind.model))
-        return kind.forming.warm_up;
-    return kind.forming.load;
+    if (has_staged(view, model_pool.model))
+        return model_pool.forming.warm_up;
+    return model_pool.forming.load;
 }
 
 /// Runners that are in no group, by the registry and by their own word.
@@ -76,7 +77,7 @@
 std::vector<model_need> formation_manager::state::models_by_need() const
 {
     std::map<std::string, double> groups;
-    for (const auto& [domain, heads] : known.heads_by_domain()) {
+    for (const auto& [domain, heads] : registry.heads_by_domain()) {
         if (domain == settings.domain)
             continue;
         for (const auto& [model, count] : heads)
@@ -90,27 +91,28 @@
         groups[plan == planned.end() ? view.row.model : plan->second.model] += 1.0;
     }
     std::vector<model_need> ranked;
-    for (const pool& kind : pools) {
-        const double wanted = std::max(kind.forming.share, 0.01) / kind.replica_vms;
-        ranked.push_back({groups[kind.model] / wanted, &kind});
+    for (const pool& model_pool : pools) {
+        const double wanted = std::max(model_pool.forming.share, 0.01) / model_pool.replica_vms;
+        ranked.push_back({groups[model_pool.model] / wanted, &model_pool});
     }
     std::sort(ranked.begin(), ranked.end(), [](const model_need& a, const model_need& b) {
         return a.groups_per_share != b.groups_per_share ? a.groups_per_share < b.groups_per_share
-                                                        : a.kind->name < b.kind->name;
+                                                        : a.model_pool->name < b.model_pool->name;
     });
     return ranked;
 }
 
 /// Takes one load out of this domain's part of the weight store's rate, if there is one.
-bool formation_manager::state::take_load_token(const pool& kind, time_point now)
+bool formation_manager::state::take_load_token(const pool& model_pool, time_point now)
 {
-    if (!traffic || kind.forming.loads_per_s <= 0.0)
+    if (!traffic || model_pool.forming.loads_per_s <= 0.0)
         return true;
     const auto parts =
-        static_cast<double>(std::max<std::size_t>(1, known.heads_by_domain().size()));
+        static_cast<double>(std::max<std::size_t>(1, registry.heads_by_domain().size()));
     const double passed = std::chrono::duration<double>(now - load_tokens_at).count();
     load_tokens_at = now;
-    load_tokens = std::min(load_burst, load_tokens + passed * kind.forming.loads_per_s / parts);
+    load_tokens =
+        std::min(load_burst, load_tokens + passed * model_pool.forming.loads_per_s / parts);
     if (load_tokens < 1.0)
         return false;
     load_tokens -= 1.0;
@@ -133,8 +135,9 @@
     }
 }
 
-void formation_manager::state::start_group(const pool& kind, std::vector<runner_view*> members,
-                                           group_purpose purpose, time_point now)
+void formation_manager::state::start_group(const pool& model_pool,
+                                           std::vector<runner_view*> members, group_purpose purpose,
+                                           time_point now)
 {
     if (last_group_number + 1 >= epochs_in_term) {
         lease_election.outdated(now); // a new term brings new epochs
@@ -144,51 +147,51 @@
     plan.purpose = purpose;
     plan.epoch = lease_election.term() * epochs_in_term + ++last_group_number;
     plan.group = group_id{"g" + std::to_string(plan.epoch)};
-    plan.model = kind.model;
+    plan.model = model_pool.model;
     duration longest{0};
     for (const runner_view* member : members) {
         plan.members.push_back(member->row.id);
-        longest = std::max(longest, time_to_ready(*member, kind));
+        longest = std::max(longest, time_to_ready(*member, model_pool));
     }
     plan.deadline = now + 2 * longest + formation_slack;
     const group_key key{plan.group, plan.epoch};
     add_notice(log_level::info, purpose == group_purpose::serve ? "group_forming" : "spare_warming",
                plan.group.value(),
-               kind.name.value() + " of " + std::to_string(members.size()) + " in " +
+               model_pool.name.value() + " of " + std::to_string(members.size()) + " in " +
                    members.front()->row.fabric_domain.value());
     order_joins(plan, now);
     planned.emplace(key, std::move(plan));
 }
 
 /// Makes one group of `kind` whose members are all ready within `longest`; false if it can't.
-bool formation_manager::state::form_group(const fabric_domain_id& domain, const pool& kind,
+bool formation_manager::state::form_group(const fabric_domain_id& domain, const pool& model_pool,
                                           duration longest, time_point now)
 {
     std::vector<runner_view*> free = free_runners(domain, now);
-    std::erase_if(free,
-                  [&](const runner_view* view) { return time_to_ready(*view, kind) > longest; });
-    if (free.size() < kind.replica_vms)
+    std::erase_if(
+        free, [&](const runner_view* view) { return time_to_ready(*view, model_pool) > longest; });
+    if (free.size() < model_pool.replica_vms)
         return false;
     std::sort(free.begin(), free.end(), [&](const runner_view* a, const runner_view* b) {
-        const duration left = time_to_ready(*a, kind);
-        const duration right = time_to_ready(*b, kind);
+        const duration left = time_to_ready(*a, model_pool);
+        const duration right = time_to_ready(*b, model_pool);
         return left != right ? left < right : a->row.id < b->row.id;
     });
-    free.resize(kind.replica_vms);
-    start_group(kind, std::move(free), group_purpose::serve, now);
+    free.resize(model_pool.replica_vms);
+    start_group(model_pool, std::move(free), group_purpose::serve, now);
     return true;
 }
 
 /// Fills every fabric domain of the own failure domain as the allotment of the whole fleet says.
 void formation_manager::state::form_initial_groups(time_point now)
 {
-    const bool settled = now - known.last_joined() >= settings.settle_time ||
-                         now - known.first_joined() >= settings.max_settle_time;
+    const bool settled = now - registry.last_joined() >= settings.settle_time ||
+                         now - registry.first_joined() >= settings.max_settle_time;
     if (!settled)
         return;
-    if (!initial_allocation || known.last_joined() != allocated_at_join) {
-        initial_allocation = allocate_groups(pools, known.capacities());
-        allocated_at_join = known.last_joined();
+    if (!initial_allocation || registry.last_joined() != allocated_at_join) {
+        initial_allocation = allocate_groups(pools, registry.capacities());
+        allocated_at_join = registry.last_joined();
     }
     std::map<fabric_domain_id, std::map<std::string, std::uint32_t>> formed;
     for (const auto& [key, plan] : planned) {
@@ -200,9 +203,10 @@
         if (!by_fabric.contains(domain))
             continue;
         for (std::size_t index = 0; index < counts.size(); ++index) {
-            const pool& kind = pools[index];
-            for (std::uint32_t done = formed[domain][kind.model]; done < counts[index]; ++done)
-                form_group(domain, kind, kind.forming.load, now);
+            const pool& model_pool = pools[index];
+            for (std::uint32_t done = formed[domain][model_pool.model]; done < counts[index];
+                 ++done)
+                form_group(domain, model_pool, model_pool.forming.load, now);
         }
     }
 }
@@ -211,14 +215,14 @@
 const pool* formation_manager::state::largest_model(const fabric_domain_id& domain) const
 {
     const pool* largest = nullptr;
-    for (const pool& kind : pools) {
+    for (const pool& model_pool : pools) {
         const std::vector<runner_view*>& there = by_fabric.at(domain);
         const bool here = std::any_of(there.begin(), there.end(), [&](const runner_view* view) {
             return view->listed && view->row.group && view->row.group->rank == 0 &&
-                   view->row.model == kind.model && !is_warm_up(key_of(*view->row.group));
+                   view->row.model == model_pool.model && !is_warm_up(key_of(*view->row.group));
         });
-        if (here && (largest == nullptr || kind.replica_vms > largest->replica_vms))
-            largest = &kind;
+        if (here && (largest == nullptr || model_pool.replica_vms > largest->replica_vms))
+            largest = &model_pool;
     }
     return largest;
 }
@@ -247,14 +251,15 @@
     std::size_t fewest_missing = 0;
     double best_need = 0.0;
     double largest_need = 0.0;
-    for (const auto& [groups_per_share, kind] : ranked) {
-        if (kind == largest)
+    for (const auto& [groups_per_share, model_pool] : ranked) {
+        if (model_pool == largest)
             largest_need = groups_per_share;
         const auto have = static_cast<std::size_t>(std::count_if(
-            spare.begin(), spare.end(), [model = kind->model](const runner_view* view) {
+            spare.begin(), spare.end(), [model = model_pool->model](const runner_view* view) {
                 return view->staging == model || has_staged(*view, model);
             }));
-        const std::size_t runners_missing = kind->replica_vms - have % kind->replica_vms;
+        const std::size_t runners_missing =
+            model_pool->replica_vms - have % model_pool->replica_vms;
         // A model that has clearly fewer groups for its share goes first, however many runners its
         // next group still lacks; among models of about equal need the one that lacks the fewest.
         const bool needier = best != nullptr && groups_per_share > need_tolerance * best_need;
@@ -262,7 +267,7 @@
             runners_missing <= bare && (fewest_missing > bare || runners_missing < fewest_missing);
         if (best == nullptr || (!needier && nearer)) {
             best_need = best == nullptr ? groups_per_share : best_need;
-            best = kind;
+            best = model_pool;
             fewest_missing = runners_missing;
         }
     }
@@ -277,12 +282,12 @@
     for (runner_view* view : spare) {
         if (is_prepared(*view, pools))
             continue;
-        const pool* kind = model_to_stage(domain, spare, ranked);
-        if (kind == nullptr || !take_load_token(*kind, now))
+        const pool* model_pool = model_to_stage(domain, spare, ranked);
+        if (model_pool == nullptr || !take_load_token(*model_pool, now))
             return;
-        if (order(*view, stage_model{kind->model}, now)) {
-            view->staging = kind->model;
-            view->staging_until = now + 2 * kind->forming.load + formation_slack;
+        if (order(*view, stage_model{model_pool->model}, now)) {
+            view->staging = model_pool->model;
+            view->staging_until = now + 2 * model_pool->forming.load + formation_slack;
         }
     }
 }
@@ -293,11 +298,12 @@
 void formation_manager::state::warm_spares(const fabric_domain_id& domain, time_point now)
 {
     for (runner_view* view : free_runners(domain, now)) {
-        for (const pool& kind : pools) {
-            const bool alone_serves = kind.replica_vms < 2;
-            if (alone_serves || view->warm_model == kind.model || !has_staged(*view, kind.model))
+        for (const pool& model_pool : pools) {
+            const bool alone_serves = model_pool.replica_vms < 2;
+            if (alone_serves || view->warm_model == model_pool.model ||
+                !has_staged(*view, model_pool.model))
                 continue;
-            start_group(kind, {view}, group_purpose::warm_up, now);
+            start_group(model_pool, {view}, group_purpose::warm_up, now);
             break;
         }
     }
@@ -310,10 +316,11 @@
     const std::vector<model_need> ranked = models_by_need();
     for (const auto& [domain, members] : by_fabric) {
         for (const model_need& needed : ranked) {
-            while (form_group(domain, *needed.kind, needed.kind->forming.warm_up, now)) {
+            while (form_group(domain, *needed.model_pool, needed.model_pool->forming.warm_up, now))
+            {
             }
         }
-        if (traffic || now - known.first_joined() >= 2 * settings.max_settle_time) {
+        if (traffic || now - registry.first_joined() >= 2 * settings.max_settle_time) {
             stage_spares(domain, ranked, now);
             if (settings.mechanisms.has(mechanism::warm_spares))
                 warm_spares(domain, now);
--- a/groups/formation_state.h
+++ b/groups/formation_state.h
@@ -62,7 +62,7 @@
 /// A model with its groups for its share of the work.
 struct model_need {
     double groups_per_share = 0.0;
-    const pool* kind = nullptr;
+    const pool* model_pool = nullptr;
 };
 
 /// A composition as the registry shows it.
@@ -109,7 +109,7 @@
     void recheck_unresponsive(runner_view& view, time_point now);
     void run_election(time_point now);
     void expire_runners(time_point now);
-    [[nodiscard]] std::optional<duration> patience();
+    [[nodiscard]] std::optional<duration> claim_delay();
     [[nodiscard]] duration compute_claim_delay() const;
     void log_runner_use(time_point now);
     [[nodiscard]] std::string describe_use(const runner_view& view) const;
@@ -130,14 +130,14 @@
     [[nodiscard]] runner_view* head_of(const observed_group& observed);
     [[nodiscard]] const pool* pool_of(const observed_group& observed) const;
     [[nodiscard]] bool is_reachable(const runner_view& view) const;
-    [[nodiscard]] bool is_complete(const observed_group& observed, const pool& kind) const;
+    [[nodiscard]] bool is_complete(const observed_group& observed, const pool& model_pool) const;
     [[nodiscard]] bool still_forming(const group_key& key, time_point now) const;
     [[nodiscard]] std::optional<time_point> first_seen(const group_key& key) const;
     void resend_joins(time_point now);
 
     // formation_plan.cc: what is made of free runners
     void form_groups(time_point now);
-    bool form_group(const fabric_domain_id& domain, const pool& kind, duration longest,
+    bool form_group(const fabric_domain_id& domain, const pool& model_pool, duration longest,
                     time_point now);
     void form_initial_groups(time_point now);
     void stage_spares(const fabric_domain_id& domain, const std::vector<model_need>& ranked,
@@ -149,11 +149,11 @@
     [[nodiscard]] std::vector<runner_view*> free_runners(const fabric_domain_id& domain,
                                                          time_point now);
     [[nodiscard]] std::vector<model_need> models_by_need() const;
-    [[nodiscard]] duration time_to_ready(const runner_view& view, const pool& kind) const;
-    [[nodiscard]] bool take_load_token(const pool& kind, time_point now);
+    [[nodiscard]] duration time_to_ready(const runner_view& view, const pool& model_pool) const;
+    [[nodiscard]] bool take_load_token(const pool& model_pool, time_point now);
     void warm_spares(const fabric_domain_id& domain, time_point now);
-    void start_group(const pool& kind, std::vector<runner_view*> members, group_purpose purpose,
-                     time_point now);
+    void start_group(const pool& model_pool, std::vector<runner_view*> members,
+                     group_purpose purpose, time_point now);
     void order_joins(const planned_group& plan, time_point now);
 
     bool order(runner_view& view, member_order wanted, time_point now);
@@ -163,7 +163,7 @@
 
     formation_settings settings;
     election lease_election;
-    const runner_registry& known;
+    const runner_registry& registry;
     bool managing = false;                ///< holds the domain's key, and so the runners' views
     std::map<vm_id, runner_view> runners; ///< of the domain, while it manages
     /// The runners by fabric domain.
@@ -173,7 +173,7 @@
     std::map<group_key, planned_group> planned;
     /// Worked out anew when the peers change.
     std::optional<duration> delay_before_claim;
-    registry_status registry;
+    registry_status registry_state;
     bool traffic = false;
     bool was_leading = false;
     std::optional<group_allocation> initial_allocation; ///< once the registry has settled
