--- a/groups/fake_registry.cc
+++ b/groups/fake_registry.cc
@@ -69,22 +69,22 @@
     chosen.own_domain = m_peers[manager].failure_domain;
     chosen.domain = m_peers[manager].failure_domain;
     auto known = std::make_unique<runner_registry>();
-    formation core{chosen, *known};
+    formation_manager core{chosen, *known};
     return {std::move(known), std::move(core)};
 }
 
 void fake_registry::deliver_initial_state(std::size_t manager)
 {
-    deliver(manager, model_pools_seen{pools()});
-    deliver(manager, registry_current{true, manager});
+    deliver(manager, model_pools_updated{pools()});
+    deliver(manager, registry_status{true, manager});
     deliver(manager, peers_seen{m_peers});
     const kv_entry* key = m_store.find(formation_key("test", failure_domain_id{"f"}));
     deliver(manager,
-            manager_key_seen{key == nullptr ? std::optional<kv_entry>{} : std::optional{*key}});
+            manager_key_updated{key == nullptr ? std::optional<kv_entry>{} : std::optional{*key}});
     if (m_traffic)
-        deliver(manager, traffic_begun{});
+        deliver(manager, traffic_started{});
     for (const auto& [id, row] : m_published)
-        deliver(manager, runner_seen{row});
+        deliver(manager, runner_updated{row});
 }
 
 void fake_registry::start_manager(std::size_t index)
@@ -171,7 +171,7 @@
 void fake_registry::begin_traffic()
 {
     m_traffic = true;
-    broadcast(traffic_begun{});
+    broadcast(traffic_started{});
 }
 
 void fake_registry::kill_manager(std::size_t index)
@@ -181,7 +181,7 @@
 
 void fake_registry::report_unresponsive_group(const std::string& head)
 {
-    broadcast(group_silent{vm_id{head}});
+    broadcast(group_unresponsive{vm_id{head}});
 }
 
 void fake_registry::run(duration time)
@@ -219,7 +219,7 @@
         advance(row);
     while (!m_store_down && !m_delayed_entries.empty() && m_delayed_entries.front().first <= m_now)
     {
-        broadcast(runner_seen{m_delayed_entries.front().second});
+        broadcast(runner_updated{m_delayed_entries.front().second});
         m_delayed_entries.pop_front();
     }
     constexpr std::int64_t steps_in_tick = 5;
@@ -238,10 +238,10 @@
     if (!m_managers[manager].alive)
         return;
     runner_registry& known = *m_managers[manager].known;
-    if (const auto* seen = std::get_if<runner_seen>(&event))
-        known.take(seen->row, m_now);
-    else if (const auto* absent = std::get_if<runner_gone>(&event))
-        known.drop(absent->vm, m_now);
+    if (const auto* seen = std::get_if<runner_updated>(&event))
+        known.update(seen->row, m_now);
+    else if (const auto* absent = std::get_if<runner_removed>(&event))
+        known.remove(absent->vm, m_now);
     for (const formation_command& command : m_managers[manager].core.handle(event, m_now))
         carry_out(manager, command);
 }
@@ -257,21 +257,21 @@
             (void)m_store.keep_alive(renewal->lease, m_now);
         deliver(manager, lease_result{token, result<lease_id>{unreachable}});
     }
-    else if (const auto* asked = std::get_if<ask_runner>(&command)) {
+    else if (const auto* asked = std::get_if<request_runner_report>(&command)) {
         const fake_runner* at = find(asked->vm.value());
         if (at != nullptr && at->alive && at->reachable)
             deliver(manager, runner_reported{report_of(*at)});
     }
-    else if (const auto* shared = std::get_if<share_runner>(&command)) {
+    else if (const auto* shared = std::get_if<broadcast_runner>(&command)) {
         for (const fake_manager& other : m_managers)
             other.known->tell(shared->word, m_now);
     }
-    else if (std::holds_alternative<ask_about_outage>(command)) {
+    else if (std::holds_alternative<query_peers_about_outage>(command)) {
         if (!m_store_down || peers_reach_store)
             return;
         for (std::size_t other = 0; other < m_managers.size(); ++other) {
             if (other != manager)
-                deliver(other, outage_conceded{});
+                deliver(other, outage_reported{});
         }
         deliver(manager, outage_confirmed{m_now});
     }
@@ -297,8 +297,8 @@
         const fake_runner* at = find(asked->vm.value());
         deliver(manager, member_probed{asked->vm, at != nullptr && at->alive && at->reachable});
     }
-    else if (const auto* doubted = std::get_if<ask_peers>(&command)) {
-        deliver(manager, peers_word{doubted->vm, peers_reach_runner});
+    else if (const auto* doubted = std::get_if<probe_through_peers>(&command)) {
+        deliver(manager, peer_probe_result{doubted->vm, peers_reach_runner});
     }
 }
 
@@ -352,14 +352,14 @@
     if (m_entry_delay > duration{0})
         m_delayed_entries.emplace_back(m_now + m_entry_delay, row);
     else
-        broadcast(runner_seen{row});
+        broadcast(runner_updated{row});
 }
 
 void fake_registry::unlist(fake_runner& unlisted)
 {
     unlisted.listed = false;
     m_published.erase(unlisted.row.id.value());
-    broadcast(runner_gone{unlisted.row.id});
+    broadcast(runner_removed{unlisted.row.id});
 }
 
 void fake_registry::publish_key()
@@ -371,7 +371,8 @@
     if (revision == m_key_revision)
         return;
     m_key_revision = revision;
-    broadcast(manager_key_seen{key == nullptr ? std::optional<kv_entry>{} : std::optional{*key}});
+    broadcast(
+        manager_key_updated{key == nullptr ? std::optional<kv_entry>{} : std::optional{*key}});
 }
 
 std::size_t fake_registry::open_groups(const std::string& model) const
--- a/groups/manager.cc
+++ b/groups/manager.cc
@@ -178,7 +178,7 @@
         reread_record = true;
         return;
     }
-    lead.hear_platform(now);
+    lead.note_platform_answer(now);
     const kv_outcome& outcome = answer.outcome.value();
     if (call.kind == call_kind::write && outcome.succeeded) {
         ++writes;
@@ -195,7 +195,7 @@
         apply_entry(entry, now);
     }
     if (!ours)
-        lead.lose();
+        lead.step_down();
 }
 
 void domain_manager::state::write_record(domain_record next, time_point now)
@@ -244,7 +244,7 @@
 
 bool domain_manager::state::platform_unreachable(time_point now) const
 {
-    const time_point last_answer = std::max(lead.platform_heard(), started);
+    const time_point last_answer = std::max(lead.last_platform_answer(), started);
     return now - last_answer >= settings.platform_timeout;
 }
 
--- a/groups/orders.cc
+++ b/groups/orders.cc
@@ -38,7 +38,7 @@
 
 /// Whether another domain's record names `vm`: the list is wrong about where the VM is, and the
 /// domain that holds it goes on holding it.
-bool held_elsewhere(const vm_id& vm, const order_input& in)
+bool in_other_record(const vm_id& vm, const order_input& in)
 {
     const auto names = [&](const member& one) { return one.vm == vm; };
     return std::any_of(in.records.begin(), in.records.end(), [&](const auto& entry) {
@@ -108,7 +108,7 @@
             view.report->group.value().empty())
             continue;
         const auto at = named.find(vm);
-        if (at == named.end() && (view.ambiguous || held_elsewhere(vm, in)))
+        if (at == named.end() && (view.ambiguous || in_other_record(vm, in)))
             continue;
         if (at == named.end() || at->second != view.report->group)
             release(in, view, out);
@@ -144,9 +144,9 @@
     if (!reported.value().empty() && reported != group.group)
         return; // released first
     const auto bound = m_bound.find(view.id.vm);
-    const bool bound_long =
+    const bool bound_long_enough =
         bound != m_bound.end() && in.now - bound->second.second >= in.settings.order_horizon;
-    if (reported.value().empty() && !bound_long && !vms.assignable(view, in.now))
+    if (reported.value().empty() && !bound_long_enough && !vms.assignable(view, in.now))
         return;
 
     order_assign order;
