--- a/daemon/model_request.cc
+++ b/daemon/model_request.cc
@@ -29,7 +29,7 @@
 {
     std::vector<std::uint64_t> blocks;
     std::uint64_t chained = 0;
-    while (prompt.size() >= prefix_block_bytes && blocks.size() < most_prefix_blocks) {
+    while (prompt.size() >= prefix_block_bytes && blocks.size() < max_prefix_blocks) {
         chained = hash64(prompt.substr(0, prefix_block_bytes), chained);
         blocks.push_back(chained);
         prompt.remove_prefix(prefix_block_bytes);
--- a/daemon/model_request.h
+++ b/daemon/model_request.h
@@ -16,7 +16,7 @@
 namespace jaynotch {
 
 /// Hashes of prompt blocks that are worked out at most.
-inline constexpr std::size_t most_prefix_blocks = 64;
+inline constexpr std::size_t max_prefix_blocks = 64;
 /// Bytes of prompt text a block; about 64 tokens.
 inline constexpr std::size_t prefix_block_bytes = 256;
 
--- a/daemon/relay_parts_test.cc
+++ b/daemon/relay_parts_test.cc
@@ -91,7 +91,7 @@
     const auto right = blocks(common + std::string(prefix_block_bytes, 'r'));
     cr_assert_eq(left.size(), 3U);
     cr_assert(left[0] == right[0] && left[1] == right[1] && left[2] != right[2]);
-    cr_assert_eq(blocks(std::string(100'000, 'x')).size(), most_prefix_blocks);
+    cr_assert_eq(blocks(std::string(100'000, 'x')).size(), max_prefix_blocks);
 }
 
 // An engine answers 200 with an empty body, an error, or half a JSON text.
--- a/routing/adaptive_limit.cc
+++ b/routing/adaptive_limit.cc
@@ -1,7 +1,7 @@
 // The limit falls by a tenth in a window in which the targets queue: their reports show more than
-// `most_waiting` waiting for each one running, refusals and timeouts are more than a few, or first
-// tokens take more than `most_patience` of the route's timeout. It rises by a twentieth of the
-// whole while it holds requests back and none of these signs is there.
+// `max_queued_ratio` waiting for each one running, refusals and timeouts are more than a few, or
+// first tokens take more than `max_timeout_fraction` of the route's timeout. It rises by a
+// twentieth of the whole while it holds requests back and none of these signs is there.
 //
 // Not used as a sign: that the first token takes some multiple of its best time (TCP Vegas, the
 // gradient limits). A batching engine yields more the fuller its batch, and its first tokens slow
@@ -16,22 +16,22 @@
 namespace {
 
 constexpr std::chrono::milliseconds window{500};
-constexpr double most_waiting = 0.1;
-constexpr double most_patience = 0.3;
-constexpr double most_overloads = 0.05; ///< for each first token
+constexpr double max_queued_ratio = 0.1;
+constexpr double max_timeout_fraction = 0.3;
+constexpr double max_overload_ratio = 0.05; ///< for each first token
 constexpr double decrease = 0.9;
 constexpr double increase = 0.05;
-constexpr double least_part = 0.1;
+constexpr double min_fraction = 0.1;
 constexpr double smoothing = 0.3;
-constexpr double forgetting = 0.8; ///< of the typical time, each window without a sample
-constexpr std::uint32_t samples_to_act = 4;
+constexpr double idle_decay = 0.8; ///< of the typical time, each window without a sample
+constexpr std::uint32_t min_samples = 4;
 
 } // namespace
 
-void adaptive_limit::note_first_token(double took_s, double patience_s)
+void adaptive_limit::note_first_token(double took_s, double timeout_s)
 {
     m_sum_s += took_s;
-    m_sum_of_patience += patience_s > 0.0 ? took_s / patience_s : 0.0;
+    m_sum_of_timeout_fractions += timeout_s > 0.0 ? took_s / timeout_s : 0.0;
     ++m_samples;
 }
 
@@ -40,27 +40,28 @@
     ++m_overloads;
 }
 
-void adaptive_limit::tick(bool held_back, double waiting_part, time_point now)
+void adaptive_limit::tick(bool limit_reached, double queued_ratio, time_point now)
 {
     if (now - m_window_start < window)
         return;
     m_window_start = now;
     const double mean_s = m_samples == 0 ? 0.0 : m_sum_s / m_samples;
     if (m_samples == 0)
-        m_typical_s *= forgetting;
+        m_typical_s *= idle_decay;
     else if (m_typical_s == 0.0)
         m_typical_s = mean_s;
     else
         m_typical_s += smoothing * (mean_s - m_typical_s);
 
-    const bool slow = m_samples >= samples_to_act && m_sum_of_patience > most_patience * m_samples;
-    const bool refused = m_overloads > 1 && m_overloads > most_overloads * m_samples;
-    if (slow || refused || waiting_part > most_waiting)
-        m_part = std::max(least_part, m_part * decrease);
-    else if (held_back)
-        m_part = std::min(1.0, m_part + increase);
+    const bool slow =
+        m_samples >= min_samples && m_sum_of_timeout_fractions > max_timeout_fraction * m_samples;
+    const bool refused = m_overloads > 1 && m_overloads > max_overload_ratio * m_samples;
+    if (slow || refused || queued_ratio > max_queued_ratio)
+        m_fraction = std::max(min_fraction, m_fraction * decrease);
+    else if (limit_reached)
+        m_fraction = std::min(1.0, m_fraction + increase);
     m_sum_s = 0.0;
-    m_sum_of_patience = 0.0;
+    m_sum_of_timeout_fractions = 0.0;
     m_samples = 0;
     m_overloads = 0;
 }
--- a/routing/demand.cc
+++ b/routing/demand.cc
@@ -25,12 +25,12 @@
 std::uint32_t split_limit(std::uint32_t limit, std::span<const node_demand> others,
                           const node_demand& own)
 {
-    std::uint64_t others_want = 0;
+    std::uint64_t peer_demand = 0;
     for (const node_demand& other : others)
-        others_want += other.wanted;
-    const std::uint64_t total = others_want + own.wanted;
+        peer_demand += other.wanted;
+    const std::uint64_t total = peer_demand + own.wanted;
     if (total <= limit)
-        return static_cast<std::uint32_t>(limit - others_want);
+        return static_cast<std::uint32_t>(limit - peer_demand);
 
     const auto whole = [&](const node_demand& node) {
         return std::uint64_t{limit} * node.wanted / total;
@@ -53,13 +53,13 @@
 
 void demand_table::install(const node_id& node, const std::vector<demand_row>& rows, time_point now)
 {
-    if (!m_nodes.contains(node) && m_nodes.size() >= m_most_nodes)
+    if (!m_nodes.contains(node) && m_nodes.size() >= m_max_nodes)
         return;
     node_row& row = m_nodes[node];
     row.rows = rows;
-    if (row.rows.size() > most_rows_per_node)
-        row.rows.resize(most_rows_per_node);
-    row.heard = now;
+    if (row.rows.size() > max_rows_per_node)
+        row.rows.resize(max_rows_per_node);
+    row.received_at = now;
 }
 
 void demand_table::forget(const node_id& node)
@@ -69,10 +69,11 @@
 
 void demand_table::expire(time_point now)
 {
-    std::erase_if(m_nodes, [&](const auto& row) { return now - row.second.heard > m_keeping; });
+    std::erase_if(m_nodes,
+                  [&](const auto& row) { return now - row.second.received_at > m_retention; });
 }
 
-std::vector<node_demand> demand_table::of_pool(const pool_id& pool) const
+std::vector<node_demand> demand_table::pool_demand(const pool_id& pool) const
 {
     std::vector<node_demand> wanted;
     for (const auto& [node, row] : m_nodes) {
@@ -87,8 +88,8 @@
     return wanted;
 }
 
-std::vector<node_demand> demand_table::of_workspace(const pool_id& pool,
-                                                    const workspace_id& workspace) const
+std::vector<node_demand> demand_table::workspace_demand(const pool_id& pool,
+                                                        const workspace_id& workspace) const
 {
     std::vector<node_demand> wanted;
     for (const auto& [node, row] : m_nodes) {
--- a/routing/demand.h
+++ b/routing/demand.h
@@ -30,8 +30,8 @@
 /// The demand of the other entry VMs as they last told it.
 class demand_table {
 public:
-    demand_table(std::size_t most_nodes, duration keeping)
-        : m_most_nodes{most_nodes}, m_keeping{keeping}
+    demand_table(std::size_t max_nodes, duration retention)
+        : m_max_nodes{max_nodes}, m_retention{retention}
     {}
 
     void install(const node_id& node, const std::vector<demand_row>& rows, time_point now);
@@ -39,19 +39,19 @@
     /// Drops the demand of nodes that have been silent for too long.
     void expire(time_point now);
     /// What the others want of a pool, each node's workspaces added up.
-    [[nodiscard]] std::vector<node_demand> of_pool(const pool_id& pool) const;
+    [[nodiscard]] std::vector<node_demand> pool_demand(const pool_id& pool) const;
     /// What the others want of a pool for one workspace.
-    [[nodiscard]] std::vector<node_demand> of_workspace(const pool_id& pool,
-                                                        const workspace_id& workspace) const;
+    [[nodiscard]] std::vector<node_demand> workspace_demand(const pool_id& pool,
+                                                            const workspace_id& workspace) const;
 
 private:
-    static constexpr std::size_t most_rows_per_node = 1'024;
+    static constexpr std::size_t max_rows_per_node = 1'024;
     struct node_row {
         std::vector<demand_row> rows;
-        time_point heard;
+        time_point received_at;
     };
-    std::size_t m_most_nodes;
-    duration m_keeping;
+    std::size_t m_max_nodes;
+    duration m_retention;
     std::map<node_id, node_row> m_nodes;
 };
 
--- a/routing/engine_model.cc
+++ b/routing/engine_model.cc
@@ -12,7 +12,7 @@
 constexpr double tokens_in_unit = 1e3;
 
 /// Mean of max(x, 0) where x is normal.
-double mean_above_zero(double mean, double deviation)
+double mean_of_positive_part(double mean, double deviation)
 {
     if (deviation <= 0.0)
         return std::max(mean, 0.0);
@@ -24,10 +24,10 @@
 
 } // namespace
 
-double pass_ms(const engine_figures& figures, double writers)
+double pass_ms(const engine_figures& figures, double sequences)
 {
-    const double context = writers * (figures.usual_prompt + figures.usual_answer / 2.0);
-    const double step = figures.step_ms + figures.sequence_ms * writers +
+    const double context = sequences * (figures.usual_prompt + figures.usual_answer / 2.0);
+    const double step = figures.step_ms + figures.sequence_ms * sequences +
                         figures.context_ms_per_1k * context / tokens_in_unit;
     return figures.steps_in_pass * step * figures.pace;
 }
@@ -38,28 +38,29 @@
     return (tokens / figures.prompt_tokens_per_ms + pairs * figures.pairs_ms_per_1m) * figures.pace;
 }
 
-double answer_ms(const engine_figures& figures, double writers)
+double answer_ms(const engine_figures& figures, double sequences)
 {
     const double passes = std::ceil(figures.usual_answer / double(figures.steps_in_pass));
-    return passes * pass_ms(figures, writers);
+    return passes * pass_ms(figures, sequences);
 }
 
 double first_event_ms(const engine_figures& figures, double places, const engine_work& work,
                       double prompt_tokens)
 {
-    const double writers = std::min(work.running, places);
-    const double pass = pass_ms(figures, writers + 1.0);
+    const double sequences = std::min(work.running, places);
+    const double pass = pass_ms(figures, sequences + 1.0);
     // The pass under way is half done on average; the first event comes with a whole one.
     double ms = (work.running > 0.0 ? 1.5 : 1.0) * pass;
     ms += prompt_ms(figures, prompt_tokens) + prompt_ms(figures, work.pending_tokens);
     ms += work.waiting * prompt_ms(figures, figures.usual_prompt);
     // Until so many of the running ones have ended.
-    const double beyond = work.running + work.waiting + 1.0 - places;
-    ms += mean_above_zero(beyond, work.deviation) * answer_ms(figures, writers + 1.0) / places;
+    const double excess = work.running + work.waiting + 1.0 - places;
+    ms += mean_of_positive_part(excess, work.deviation) * answer_ms(figures, sequences + 1.0) /
+          places;
     return ms;
 }
 
-duration longest_pause(const engine_figures& figures, double places, double pending_tokens)
+duration max_event_gap(const engine_figures& figures, double places, double pending_tokens)
 {
     constexpr double others = 4.0; // usual prompts of other nodes that may wait besides
     const double in_one_pass = double(figures.steps_in_pass) * figures.chunk_tokens;
--- a/routing/engine_model.h
+++ b/routing/engine_model.h
@@ -22,11 +22,11 @@
 };
 
 /// One pass that writes for `writers` answers and reads nothing.
-double pass_ms(const engine_figures& figures, double writers);
+double pass_ms(const engine_figures& figures, double sequences);
 /// Reading a prompt.
 double prompt_ms(const engine_figures& figures, double tokens);
 /// A usual answer, in a batch of `writers`.
-double answer_ms(const engine_figures& figures, double writers);
+double answer_ms(const engine_figures& figures, double sequences);
 /// Mean from sending a request to its first event.
 double first_event_ms(const engine_figures& figures, double places, const engine_work& work,
                       double prompt_tokens);
@@ -34,6 +34,6 @@
 /// the prompts that wait, as far as one pass reads. A longer one means that it stands still, or is
 /// slower than it should be. `pending_tokens`: of the prompts known to wait; some more are allowed
 /// for.
-duration longest_pause(const engine_figures& figures, double places, double pending_tokens);
+duration max_event_gap(const engine_figures& figures, double places, double pending_tokens);
 
 } // namespace jaynotch
--- a/routing/fair_queue.cc
+++ b/routing/fair_queue.cc
@@ -12,49 +12,50 @@
 
 namespace {
 
-constexpr double pace_smoothing = 0.2;
+constexpr double interval_smoothing = 0.2;
 
 } // namespace
 
-fair_queue::flow_row* fair_queue::row_of(const flow_key& flow)
+fair_queue::flow_row* fair_queue::find_row(const flow_key& flow)
 {
     const auto found = std::find_if(m_flows.begin(), m_flows.end(),
                                     [&](const flow_row& row) { return row.key == flow; });
     return found == m_flows.end() ? nullptr : &*found;
 }
 
-fair_queue::flow_row* fair_queue::find_or_make(const flow_key& flow, double weight, bool always)
+fair_queue::flow_row* fair_queue::find_or_create(const flow_key& flow, double weight,
+                                                 bool ignore_limit)
 {
-    if (flow_row* known = row_of(flow); known != nullptr) {
+    if (flow_row* known = find_row(flow); known != nullptr) {
         known->weight = weight;
         return known;
     }
-    if (m_flows.size() >= most_flows)
+    if (m_flows.size() >= max_flows)
         drop_idle_flows();
-    if (m_flows.size() >= most_flows && !always)
+    if (m_flows.size() >= max_flows && !ignore_limit)
         return nullptr;
     flow_row& made = m_flows.emplace_back();
     made.key = flow;
     made.weight = weight;
-    made.start = m_virtual_time;
-    made.finish = m_virtual_time;
+    made.start_tag = m_virtual_time;
+    made.finish_tag = m_virtual_time;
     return &made;
 }
 
 void fair_queue::drop_idle_flows()
 {
     std::erase_if(m_flows, [&](const flow_row& row) {
-        return row.waiting.empty() && row.finish <= m_virtual_time;
+        return row.waiting.empty() && row.finish_tag <= m_virtual_time;
     });
 }
 
 bool fair_queue::push(const flow_key& flow, double weight, queued_request added, queue_end end)
 {
-    flow_row* row = find_or_make(flow, weight);
-    if (row == nullptr || row->waiting.size() >= m_most_per_flow)
+    flow_row* row = find_or_create(flow, weight);
+    if (row == nullptr || row->waiting.size() >= m_max_per_flow)
         return false;
     if (row->waiting.empty())
-        row->start = std::max(m_virtual_time, row->finish);
+        row->start_tag = std::max(m_virtual_time, row->finish_tag);
     if (end == queue_end::front)
         row->waiting.push_front(added);
     else
@@ -65,8 +66,9 @@
 
 void fair_queue::push_front(const flow_key& flow, double weight, queued_request added)
 {
-    flow_row* row = find_or_make(flow, weight, true);
-    row->start = std::min(row->waiting.empty() ? m_virtual_time : row->start, m_virtual_time);
+    flow_row* row = find_or_create(flow, weight, true);
+    row->start_tag =
+        std::min(row->waiting.empty() ? m_virtual_time : row->start_tag, m_virtual_time);
     row->waiting.push_front(added);
     ++m_size;
 }
@@ -78,7 +80,7 @@
         return std::nullopt;
     flow_row* next = nullptr;
     for (flow_row& row : m_flows) {
-        if (row.waiting.empty() || (next != nullptr && row.start >= next->start))
+        if (row.waiting.empty() || (next != nullptr && row.start_tag >= next->start_tag))
             continue;
         if (eligible(row.key))
             next = &row;
@@ -88,21 +90,21 @@
     const queued_request taken = next->waiting.front();
     next->waiting.pop_front();
     --m_size;
-    m_virtual_time = std::max(m_virtual_time, next->start);
-    next->finish = next->start + taken.cost / next->weight;
-    next->start = next->finish;
+    m_virtual_time = std::max(m_virtual_time, next->start_tag);
+    next->finish_tag = next->start_tag + taken.cost / next->weight;
+    next->start_tag = next->finish_tag;
     if (next->backlogged) {
-        const double since_s = std::chrono::duration<double>(now - next->served).count();
-        next->interval_s += pace_smoothing * (since_s - next->interval_s);
+        const double since_s = std::chrono::duration<double>(now - next->last_served).count();
+        next->interval_s += interval_smoothing * (since_s - next->interval_s);
     }
-    next->served = now;
+    next->last_served = now;
     next->backlogged = !next->waiting.empty();
     return taken;
 }
 
 bool fair_queue::remove(const flow_key& flow, request_id request)
 {
-    flow_row* row = row_of(flow);
+    flow_row* row = find_row(flow);
     if (row == nullptr)
         return false;
     const auto found =
@@ -115,7 +117,7 @@
     return true;
 }
 
-double fair_queue::ahead_of(const flow_key& flow, double weight) const
+double fair_queue::requests_ahead(const flow_key& flow, double weight) const
 {
     const auto own = std::find_if(m_flows.begin(), m_flows.end(),
                                   [&](const flow_row& row) { return row.key == flow; });
@@ -131,7 +133,7 @@
     return ahead;
 }
 
-double fair_queue::backlog_s(const flow_key& flow) const
+double fair_queue::backlog_wait_s(const flow_key& flow) const
 {
     const auto own = std::find_if(m_flows.begin(), m_flows.end(),
                                   [&](const flow_row& row) { return row.key == flow; });
--- a/routing/fair_queue.h
+++ b/routing/fair_queue.h
@@ -37,12 +37,12 @@
     front, ///< newest first
 };
 
-/// Start-time fair queueing over at most `most_flows` flows with work.
+/// Start-time fair queueing over at most `max_flows` flows with work.
 class fair_queue {
 public:
-    static constexpr std::size_t most_flows = 4'096;
+    static constexpr std::size_t max_flows = 4'096;
 
-    explicit fair_queue(std::size_t most_per_flow) : m_most_per_flow{most_per_flow} {}
+    explicit fair_queue(std::size_t max_per_flow) : m_max_per_flow{max_per_flow} {}
 
     /// False if the flow, or the table of flows, is full.
     bool push(const flow_key& flow, double weight, queued_request added,
@@ -55,10 +55,10 @@
     /// Takes a request out wherever it stands; false if it isn't there.
     bool remove(const flow_key& flow, request_id request);
     /// About how many requests would be served before one pushed to `flow` now.
-    [[nodiscard]] double ahead_of(const flow_key& flow, double weight) const;
+    [[nodiscard]] double requests_ahead(const flow_key& flow, double weight) const;
     /// How long the flow's own backlog would take at the pace at which it was served of late,
-    /// seconds. Unlike ahead_of it sees that other flows go on arriving.
-    [[nodiscard]] double backlog_s(const flow_key& flow) const;
+    /// seconds. Unlike requests_ahead it sees that other flows go on arriving.
+    [[nodiscard]] double backlog_wait_s(const flow_key& flow) const;
     [[nodiscard]] std::size_t size() const { return m_size; }
     [[nodiscard]] std::size_t size_of(const workspace_id& workspace) const;
 
@@ -66,19 +66,19 @@
     struct flow_row {
         flow_key key;
         double weight = 1.0;
-        double start = 0.0;      ///< virtual time at which the head may start
-        double finish = 0.0;     ///< virtual time at which the last served one ends
+        double start_tag = 0.0;  ///< virtual time at which the head may start
+        double finish_tag = 0.0; ///< virtual time at which the last served one ends
         double interval_s = 0.0; ///< between two servings while backlogged, moving average
-        time_point served;       ///< valid if `backlogged`
+        time_point last_served;  ///< valid if `backlogged`
         bool backlogged = false; ///< some waited on after the last serving
         std::deque<queued_request> waiting;
     };
 
-    flow_row* row_of(const flow_key& flow);
-    flow_row* find_or_make(const flow_key& flow, double weight, bool always = false);
+    flow_row* find_row(const flow_key& flow);
+    flow_row* find_or_create(const flow_key& flow, double weight, bool ignore_limit = false);
     void drop_idle_flows();
 
-    std::size_t m_most_per_flow;
+    std::size_t m_max_per_flow;
     std::size_t m_size = 0;
     double m_virtual_time = 0.0;
     std::vector<flow_row> m_flows;
--- a/routing/modelled_fixture.h
+++ b/routing/modelled_fixture.h
@@ -27,7 +27,7 @@
     return made;
 }
 
-inline configuration store_tables()
+inline configuration modelled_tables()
 {
     configuration tables;
     tables.deployment = "test";
@@ -108,7 +108,7 @@
     return made;
 }
 
-inline core_settings shared_settings()
+inline core_settings modelled_settings()
 {
     core_settings settings = fixture::default_settings();
     settings.retry_share = 0.2;
@@ -121,8 +121,8 @@
 /// A core with the operators' tables and `groups` groups of the model.
 class modelled_world : public fixture {
 public:
-    explicit modelled_world(int groups, core_settings settings = shared_settings())
-        : fixture{std::move(settings), 0, 1, store_tables()}
+    explicit modelled_world(int groups, core_settings settings = modelled_settings())
+        : fixture{std::move(settings), 0, 1, modelled_tables()}
     {
         std::vector<target> all;
         for (int number = 1; number <= groups; ++number)
@@ -132,9 +132,9 @@
         commands.clear();
     }
 
-    command_list ask(const std::string& path = "/chat/x", const std::string& host = "a.example",
-                     const std::string& key = "key-1", std::uint32_t tokens = 1'000,
-                     std::optional<duration> patience = std::nullopt)
+    command_list submit(const std::string& path = "/chat/x", const std::string& host = "a.example",
+                        const std::string& key = "key-1", std::uint32_t tokens = 1'000,
+                        std::optional<duration> patience = std::nullopt)
     {
         request_info info;
         info.id = request_id{++m_last};
@@ -160,7 +160,7 @@
         return out;
     }
 
-    command_list refuse_it(const send_attempt& order)
+    command_list refuse_attempt(const send_attempt& order)
     {
         send(attempt_sent{order.request, order.attempt});
         attempt_head head = head_of(order, 503);
@@ -168,7 +168,7 @@
         return send(head);
     }
 
-    command_list lose(const send_attempt& order, attempt_failure why = attempt_failure::cut)
+    command_list fail_attempt(const send_attempt& order, attempt_failure why = attempt_failure::cut)
     {
         return send(attempt_failed{order.request, order.attempt, why});
     }
@@ -190,7 +190,7 @@
 
 /// The last command of a kind.
 template <class Command>
-std::optional<Command> only(const command_list& list)
+std::optional<Command> last_command(const command_list& list)
 {
     std::optional<Command> found;
     for (const command& one : list) {
--- a/routing/modelled_pick.cc
+++ b/routing/modelled_pick.cc
@@ -10,12 +10,12 @@
 /// Prompts of this node that may wait at one group. With four nodes doing so a pass is lengthened
 /// by about the pause that streams still bear (200 ms); a single longer prompt is let through
 /// alone.
-constexpr double most_pending_ms = 60.0;
+constexpr double max_pending_prompt_ms = 60.0;
 /// Of a group's places, kept from requests that begin late anyway (trunk reservation).
-constexpr double part_left_free = 0.35;
+constexpr double reserved_fraction = 0.35;
 /// What a target in another failure domain has to be sooner by: the way there and back, and that
 /// bytes between failure domains are paid for.
-constexpr double far_ms = 4.0;
+constexpr double remote_penalty_ms = 4.0;
 
 double places_of(const target_row& row, const pool& kind)
 {
@@ -51,19 +51,19 @@
 }
 
 /// This node's sure part of the places.
-double own_part(const target_row& row, const pool& kind, std::size_t nodes)
+double guaranteed_places(const target_row& row, const pool& kind, std::size_t nodes)
 {
     return places_of(row, kind) / static_cast<double>(std::max<std::size_t>(1, nodes));
 }
 
 /// This node's sure part of all places of the pool.
-double own_part_of_pool(const target_table& targets, const pool_view& view, const pool& kind,
-                        std::size_t nodes)
+double guaranteed_places_of_pool(const target_table& targets, const pool_view& view,
+                                 const pool& kind, std::size_t nodes)
 {
     double sum = 0.0;
     for (const target_row_index at : view.targets) {
         if (targets.at(at).may_be_picked())
-            sum += own_part(targets.at(at), kind, nodes);
+            sum += guaranteed_places(targets.at(at), kind, nodes);
     }
     return std::max(1.0, sum);
 }
@@ -72,28 +72,28 @@
 /// group has places, a node's part of one group is less than a place, and rounded down by group it
 /// would be none at all: all groups once told to be full, the node would send nothing, so hear
 /// nothing of them, and believe them full for ever.
-bool has_sure_place(const target_row& row, const pool& kind, std::size_t nodes, double own_in_pool,
-                    double sure_in_pool)
+bool has_guaranteed_place(const target_row& row, const pool& kind, std::size_t nodes,
+                          double own_in_pool, double guaranteed_in_pool)
 {
-    return row.own + 1.0 <= std::max(1.0, own_part(row, kind, nodes)) &&
-           own_in_pool + 1.0 <= sure_in_pool;
+    return row.own + 1.0 <= std::max(1.0, guaranteed_places(row, kind, nodes)) &&
+           own_in_pool + 1.0 <= guaranteed_in_pool;
 }
 
 /// Places that a request leaves free at a group beside its own.
-double left_free(const target_row& row, const pool& kind, bool gives_way)
+double reserved_places(const target_row& row, const pool& kind, bool gives_way)
 {
-    return gives_way ? std::ceil(part_left_free * places_of(row, kind)) : 0.0;
+    return gives_way ? std::ceil(reserved_fraction * places_of(row, kind)) : 0.0;
 }
 
 bool has_room(const target_row& row, const pool& kind, const engine_work& work,
-              const modelled_request& wanted, bool sure_place)
+              const modelled_request& wanted, bool guaranteed_place)
 {
-    const double left = left_free(row, kind, wanted.gives_way);
+    const double left = reserved_places(row, kind, wanted.gives_way);
     const bool full = work.running + 1.0 + left > places_of(row, kind);
-    if (full && !sure_place)
+    if (full && !guaranteed_place)
         return false;
     return row.pending_tokens == 0 || !wanted.mechanisms.has(mechanism::prompt_limit) ||
-           prompt_ms(kind.engine, row.pending_tokens) < most_pending_ms;
+           prompt_ms(kind.engine, row.pending_tokens) < max_pending_prompt_ms;
 }
 
 } // namespace
@@ -101,7 +101,7 @@
 target_row_index pick_modelled(const target_table& targets, const pool_view& view, const pool& kind,
                                const modelled_request& wanted, time_point now)
 {
-    const double sure_in_pool = own_part_of_pool(targets, view, kind, wanted.nodes);
+    const double guaranteed_in_pool = guaranteed_places_of_pool(targets, view, kind, wanted.nodes);
     target_row_index best = no_target;
     double best_ms = 0.0;
     for (std::size_t step = 0; step < view.targets.size(); ++step) {
@@ -113,15 +113,16 @@
         if (tried || !row.may_be_picked())
             continue;
         const engine_work work = work_at(row, others_at(targets, view, position, now), kind, now);
-        const bool sure = !wanted.gives_way && wanted.mechanisms.has(mechanism::sure_places) &&
-                          has_sure_place(row, kind, wanted.nodes, view.own, sure_in_pool);
-        if (!has_room(row, kind, work, wanted, sure))
+        const bool guaranteed =
+            !wanted.gives_way && wanted.mechanisms.has(mechanism::sure_places) &&
+            has_guaranteed_place(row, kind, wanted.nodes, view.own, guaranteed_in_pool);
+        if (!has_room(row, kind, work, wanted, guaranteed))
             continue;
         double ms = first_event_ms(kind.engine, places_of(row, kind), work, wanted.prompt_tokens);
         ms *= row.health.slowness;
-        const bool far = row.info.failure_domain != wanted.near;
-        if (far && wanted.mechanisms.has(mechanism::far_penalty))
-            ms += far_ms;
+        const bool remote = row.info.failure_domain != wanted.local_domain;
+        if (remote && wanted.mechanisms.has(mechanism::far_penalty))
+            ms += remote_penalty_ms;
         if (best == no_target || ms < best_ms) {
             best = at;
             best_ms = ms;
@@ -149,7 +150,7 @@
             continue;
         const double running = row.own + others_at(targets, view, position, now);
         const double left = places_of(row, kind) - running;
-        sum += std::max({0.0, left, own_part(row, kind, nodes) - row.own});
+        sum += std::max({0.0, left, guaranteed_places(row, kind, nodes) - row.own});
     }
     return sum;
 }
--- a/routing/modelled_pick.h
+++ b/routing/modelled_pick.h
@@ -26,8 +26,8 @@
 struct modelled_request {
     double prompt_tokens = 0.0;
     std::span<const target_row_index> tried;
-    failure_domain_id near; ///< preferred at about equal times
-    std::size_t nodes = 1;  ///< that share the groups
+    failure_domain_id local_domain; ///< preferred at about equal times
+    std::size_t nodes = 1;          ///< that share the groups
     mechanism_set mechanisms;
     bool gives_way = false; ///< begins late anyway: takes only what others can spare
     /// Which of the targets is looked at first. Nodes that know as little as one another must not
--- a/routing/modelled_test.cc
+++ b/routing/modelled_test.cc
@@ -30,43 +30,45 @@
     cr_assert_lt(idle, 100.0);
 }
 
-Test(engine_model, a_sound_pause_is_never_longer_than_one_full_pass)
+Test(engine_model, a_healthy_event_gap_is_at_most_one_full_pass)
 {
     const engine_figures figures = dense_model();
-    const duration most = longest_pause(figures, 26, 1e9);
+    const duration most = max_event_gap(figures, 26, 1e9);
     cr_assert_lt(most, 450ms);
-    cr_assert_gt(most, longest_pause(figures, 26, 0));
+    cr_assert_gt(most, max_event_gap(figures, 26, 0));
 }
 
-Test(modelled, the_host_and_the_longest_prefix_decide)
+Test(modelled, routes_match_by_host_and_longest_prefix)
 {
-    world here{1};
-    cr_assert_eq(only<send_attempt>(here.ask("/chat/x"))->target.value(), "g1");
-    cr_assert_eq(only<send_attempt>(here.ask("/chat/deep/x"))->target.value(), "app-1");
-    cr_assert_eq(only<refuse>(here.ask("/chat/x", "c.example"))->failure.kind,
+    world sim{1};
+    cr_assert_eq(last_command<send_attempt>(sim.submit("/chat/x"))->target.value(), "g1");
+    cr_assert_eq(last_command<send_attempt>(sim.submit("/chat/deep/x"))->target.value(), "app-1");
+    cr_assert_eq(last_command<refuse>(sim.submit("/chat/x", "c.example"))->failure.kind,
                  error_kind::not_found);
-    cr_assert_eq(only<refuse>(here.ask("/other/x"))->failure.kind, error_kind::not_found);
+    cr_assert_eq(last_command<refuse>(sim.submit("/other/x"))->failure.kind, error_kind::not_found);
 }
 
-Test(modelled, a_key_proves_the_workspace_unless_the_route_is_open)
+Test(modelled, a_key_identifies_the_workspace_unless_the_route_is_open)
 {
-    world here{1};
-    cr_assert_eq(only<send_attempt>(here.ask())->workspace.value(), "farm");
-    cr_assert_eq(only<refuse>(here.ask("/chat/x", "a.example", "no"))->failure.kind,
+    world sim{1};
+    cr_assert_eq(last_command<send_attempt>(sim.submit())->workspace.value(), "farm");
+    cr_assert_eq(last_command<refuse>(sim.submit("/chat/x", "a.example", "no"))->failure.kind,
                  error_kind::unauthorized);
-    cr_assert_eq(only<send_attempt>(here.ask("/chat/x", "b.example", "no"))->workspace.value(), "");
+    cr_assert_eq(
+        last_command<send_attempt>(sim.submit("/chat/x", "b.example", "no"))->workspace.value(),
+        "");
 }
 
 Test(modelled, requests_spread_over_the_groups)
 {
-    world here{4};
+    world sim{4};
     std::map<std::string, int> sent;
     for (int index = 0; index < 16; ++index) {
-        const command_list out = here.ask();
-        const auto order = only<send_attempt>(out);
+        const command_list out = sim.submit();
+        const auto order = last_command<send_attempt>(out);
         cr_assert(order);
         ++sent[order->target.value()];
-        here.begin(*order);
+        sim.begin(*order);
     }
     for (const auto& [target, number] : sent)
         cr_assert_eq(number, 4, "%s got %d", target.c_str(), number);
@@ -76,13 +78,14 @@
 // before its caller gives up.
 Test(modelled, a_full_pool_refuses_in_time)
 {
-    world here{1};
+    world sim{1};
     for (int index = 0; index < 8; ++index)
-        here.begin(*only<send_attempt>(here.ask()));
-    const command_list asked = here.ask();
-    cr_assert(!only<send_attempt>(asked));
-    const command_list later = here.pass(1'300ms);
-    const auto refused = only<refuse>(asked) ? only<refuse>(asked) : only<refuse>(later);
+        sim.begin(*last_command<send_attempt>(sim.submit()));
+    const command_list asked = sim.submit();
+    cr_assert(!last_command<send_attempt>(asked));
+    const command_list later = sim.pass(1'300ms);
+    const auto refused =
+        last_command<refuse>(asked) ? last_command<refuse>(asked) : last_command<refuse>(later);
     cr_assert(refused);
     cr_assert_eq(refused->ran, ran_state::no);
     cr_assert(refused->retry_after && *refused->retry_after >= 100ms);
@@ -90,44 +93,45 @@
 
 // A server answers a stream with 500, the next one ends in its middle: both have run it, and the
 // route allows two. A third sending would run it on a server too many.
-Test(modelled, a_failed_answer_uses_up_a_server)
+Test(modelled, a_failed_response_counts_as_a_server_used)
 {
-    world here{3};
-    const send_attempt first = *only<send_attempt>(here.ask());
-    here.send(attempt_sent{first.request, first.attempt});
-    const auto second = only<send_attempt>(here.send(head_of(first, 500)));
+    world sim{3};
+    const send_attempt first = *last_command<send_attempt>(sim.submit());
+    sim.send(attempt_sent{first.request, first.attempt});
+    const auto second = last_command<send_attempt>(sim.send(head_of(first, 500)));
     cr_assert(second);
-    here.begin(*second);
-    cr_assert(!only<send_attempt>(here.lose(*second)));
+    sim.begin(*second);
+    cr_assert(!last_command<send_attempt>(sim.fail_attempt(*second)));
 }
 
 // The other nodes fill every group. A node that took only what they leave would never get a place.
-Test(modelled, each_node_has_its_part_of_a_full_group)
+Test(modelled, each_node_has_guaranteed_places_in_a_full_group)
 {
-    world here{1};
-    here.send(fleet_size_seen{4});
-    here.send(load_seen{target_id{"g1"}, {8, 3, 0.0}, {}});
-    here.begin(*only<send_attempt>(here.ask()));
-    cr_assert(only<send_attempt>(here.ask()), "two of eight places are ours");
-    cr_assert(!only<send_attempt>(here.ask()));
+    world sim{1};
+    sim.send(fleet_size_seen{4});
+    sim.send(load_seen{target_id{"g1"}, {8, 3, 0.0}, {}});
+    sim.begin(*last_command<send_attempt>(sim.submit()));
+    cr_assert(last_command<send_attempt>(sim.submit()), "two of eight places are ours");
+    cr_assert(!last_command<send_attempt>(sim.submit()));
 }
 
 // 35 nodes before six groups of eight places: a node's part of one group is less than a place. All
 // groups were full a moment ago, and their answers went to other nodes, so nothing tells this one
 // that they are idle now. It has one place of the 48 for sure, and hears with it how things stand.
-Test(modelled, a_part_of_less_than_a_place_does_not_shut_a_node_out)
+Test(modelled, a_guarantee_below_one_place_still_admits_requests)
 {
-    world here{6};
-    here.send(fleet_size_seen{35});
+    world sim{6};
+    sim.send(fleet_size_seen{35});
     for (int number = 1; number <= 6; ++number)
-        here.send(load_seen{target_id{"g" + std::to_string(number)}, {8, 3, 0.0}, {}});
-    const auto first = only<send_attempt>(here.ask());
+        sim.send(load_seen{target_id{"g" + std::to_string(number)}, {8, 3, 0.0}, {}});
+    const auto first = last_command<send_attempt>(sim.submit());
     cr_assert(first);
-    here.begin(*first);
-    cr_assert(!only<send_attempt>(here.ask()), "the rest waits for news");
-    const command_list out = here.send(load_seen{first->target, {1, 0, 0.0}, {}});
-    const command_list later = here.pass(50ms);
-    cr_assert(only<send_attempt>(out) || only<send_attempt>(later), "which it has now");
+    sim.begin(*first);
+    cr_assert(!last_command<send_attempt>(sim.submit()), "the rest waits for news");
+    const command_list out = sim.send(load_seen{first->target, {1, 0, 0.0}, {}});
+    const command_list later = sim.pass(50ms);
+    cr_assert(last_command<send_attempt>(out) || last_command<send_attempt>(later),
+              "which it has now");
 }
 
 namespace {
@@ -137,41 +141,40 @@
 /// A node of domain "a" before six groups there and six in "b".
 modelled_world beside_another_domain()
 {
-    core_settings settings = shared_settings();
+    core_settings settings = modelled_settings();
     settings.failure_domain = failure_domain_id{"a"};
-    modelled_world here{0, settings};
+    modelled_world sim{0, settings};
     std::vector<target> all;
     for (int number = 1; number <= 12; ++number) {
         all.push_back(group(number));
         all.back().failure_domain = failure_domain_id{number <= 6 ? "a" : "b"};
     }
-    here.send(groups_changed{all});
-    here.send(fleet_size_seen{100});
-    return here;
+    sim.send(groups_changed{all});
+    sim.send(fleet_size_seen{100});
+    return sim;
 }
 
-void report(modelled_world& here, int from, int to, std::uint32_t running)
+void report(modelled_world& sim, int from, int to, std::uint32_t running)
 {
     for (int number = from; number <= to; ++number)
-        here.send(
-            load_seen{target_id{"g" + std::to_string(number)}, {running, 0, 0.0}, report_age});
-    here.pass(10ms);
+        sim.send(load_seen{target_id{"g" + std::to_string(number)}, {running, 0, 0.0}, report_age});
+    sim.pass(10ms);
 }
 
 /// How many of 50 requests go to domain "b", whose groups answer with their load if it is told.
-int sent_to_b(modelled_world& here, std::optional<std::uint32_t> running_there)
+int sent_to_b(modelled_world& sim, std::optional<std::uint32_t> running_there)
 {
     int sent = 0;
     for (int round = 0; round < 50; ++round) {
-        report(here, 1, 6, 7);
-        const auto order = only<send_attempt>(here.ask());
+        report(sim, 1, 6, 7);
+        const auto order = last_command<send_attempt>(sim.submit());
         cr_assert(order);
         const bool there = std::stoi(order->target.value().substr(1)) > 6;
         sent += there ? 1 : 0;
         if (there && running_there)
-            here.send(load_seen{order->target, {*running_there, 0, 0.0}, report_age});
-        here.begin(*order);
-        here.send(attempt_finished{order->request, order->attempt, {}});
+            sim.send(load_seen{order->target, {*running_there, 0, 0.0}, report_age});
+        sim.begin(*order);
+        sim.send(attempt_finished{order->request, order->attempt, {}});
     }
     return sent;
 }
@@ -180,32 +183,32 @@
 
 // Guards against a node whose own domain is nearly full and that never hears that another is idle.
 // Pattern: many nodes before groups of several failure domains, unequal traffic.
-Test(modelled, an_idle_domain_that_was_not_heard_of_gets_requests)
+Test(modelled, an_idle_domain_without_load_reports_gets_requests)
 {
-    modelled_world here = beside_another_domain();
-    report(here, 1, 6, 7);
-    cr_assert_geq(sent_to_b(here, 1), 45);
+    modelled_world sim = beside_another_domain();
+    report(sim, 1, 6, 7);
+    cr_assert_geq(sent_to_b(sim, 1), 45);
 }
 
 // Guards against a node that keeps trying another domain though it is no less busy than its own.
-Test(modelled, a_domain_that_is_as_busy_gets_no_more_than_trials)
+Test(modelled, an_equally_busy_domain_gets_few_requests)
 {
-    modelled_world here = beside_another_domain();
-    report(here, 1, 6, 7);
-    const int sent = sent_to_b(here, 7);
+    modelled_world sim = beside_another_domain();
+    report(sim, 1, 6, 7);
+    const int sent = sent_to_b(sim, 7);
     cr_assert_leq(sent, 10, "%d", sent);
 }
 
 // Guards against nodes that all choose the same of several groups of which they know nothing.
-Test(modelled, equal_groups_are_not_taken_in_the_same_order_by_all)
+Test(modelled, nodes_do_not_all_choose_the_same_of_equal_groups)
 {
     std::set<std::string> chosen;
     for (std::uint64_t seed = 1; seed <= 20; ++seed) {
-        fixture here{shared_settings(), 0, seed, store_tables()};
+        fixture sim{modelled_settings(), 0, seed, modelled_tables()};
         std::vector<target> all;
         for (int number = 1; number <= 6; ++number)
             all.push_back(group(number));
-        here.send(groups_changed{all});
+        sim.send(groups_changed{all});
         request_info info;
         info.id = request_id{1};
         info.method = "POST";
@@ -213,56 +216,56 @@
         info.host = "a.example";
         info.credential = "key-1";
         info.model = "m";
-        chosen.insert(only<send_attempt>(here.send(request_arrived{info}))->target.value());
+        chosen.insert(last_command<send_attempt>(sim.send(request_arrived{info}))->target.value());
     }
     cr_assert_geq(chosen.size(), 4U);
 }
 
 // A stream that a full server refused, and that then broke in its middle at another, ended for its
 // caller though a third group was free: the refusal had used up its second server.
-Test(modelled, a_refusal_uses_up_none_of_a_streams_servers)
+Test(modelled, a_refusal_does_not_count_as_a_server_used)
 {
-    world here{3};
-    const send_attempt first = *only<send_attempt>(here.ask());
-    const send_attempt second = *only<send_attempt>(here.refuse_it(first));
-    here.begin(second);
-    const auto third = only<send_attempt>(here.lose(second));
+    world sim{3};
+    const send_attempt first = *last_command<send_attempt>(sim.submit());
+    const send_attempt second = *last_command<send_attempt>(sim.refuse_attempt(first));
+    sim.begin(second);
+    const auto third = last_command<send_attempt>(sim.fail_attempt(second));
     cr_assert(third);
     cr_assert(third->resume);
 }
 
 Test(modelled, a_stream_runs_on_no_more_servers_than_its_route_allows)
 {
-    world here{4};
-    const send_attempt first = *only<send_attempt>(here.ask());
-    here.begin(first);
-    const send_attempt second = *only<send_attempt>(here.lose(first));
-    here.begin(second);
-    const command_list end = here.lose(second);
-    cr_assert(!only<send_attempt>(end));
-    cr_assert(only<end_truncated>(end));
+    world sim{4};
+    const send_attempt first = *last_command<send_attempt>(sim.submit());
+    sim.begin(first);
+    const send_attempt second = *last_command<send_attempt>(sim.fail_attempt(first));
+    sim.begin(second);
+    const command_list end = sim.fail_attempt(second);
+    cr_assert(!last_command<send_attempt>(end));
+    cr_assert(last_command<end_truncated>(end));
 }
 
 // A group has lost a member: it takes requests and moves nothing, for seconds. All its streams
 // pause at once. They go on elsewhere before their callers leave, the managers are told, and
 // nothing new goes there but one request now and then.
-Test(modelled, a_silent_group_is_left)
+Test(modelled, streams_move_away_from_a_silent_group)
 {
-    world here{2};
+    world sim{2};
     std::vector<send_attempt> at_first;
     std::vector<send_attempt> at_second;
     for (int index = 0; index < 6; ++index) {
-        const send_attempt order = *only<send_attempt>(here.ask());
-        here.begin(order);
+        const send_attempt order = *last_command<send_attempt>(sim.submit());
+        sim.begin(order);
         (order.target.value() == "g1" ? at_first : at_second).push_back(order);
     }
     command_list out;
     for (int step = 0; step < 60 && count<target_silent>(out) == 0; ++step) {
         for (const send_attempt& order : at_second)
-            here.send(attempt_progress{order.request, order.attempt, 1});
-        out = here.pass(10ms);
+            sim.send(attempt_progress{order.request, order.attempt, 1});
+        out = sim.pass(10ms);
     }
-    const auto silent = only<target_silent>(out);
+    const auto silent = last_command<target_silent>(out);
     cr_assert(silent);
     cr_assert_eq(silent->instance.value(), "i-1");
     cr_assert_eq(count<send_attempt>(out), at_first.size());
@@ -270,88 +273,88 @@
         if (const auto* moved = std::get_if<send_attempt>(&one))
             cr_assert(moved->resume && moved->target.value() == "g2");
     }
-    cr_assert_neq(only<send_attempt>(here.ask())->target.value(), "g1");
+    cr_assert_neq(last_command<send_attempt>(sim.submit())->target.value(), "g1");
 }
 
 // An engineer sees a request sent twice and can't tell why, or how often it may still be sent.
-Test(modelled, a_move_tells_its_reason_and_the_servers_used)
+Test(modelled, a_move_records_its_reason_and_the_servers_used)
 {
-    world here{2};
-    const send_attempt first = *only<send_attempt>(here.ask());
+    world sim{2};
+    const send_attempt first = *last_command<send_attempt>(sim.submit());
     cr_assert_eq(first.basis.servers_used, 0U);
     cr_assert_eq(first.basis.most_servers, 2U);
-    here.begin(first);
-    const command_list out = here.pass(600ms);
-    cr_assert_eq(only<cancel_attempt>(out)->reason, cancel_reason::target_silent);
-    cr_assert_eq(only<send_attempt>(out)->basis.servers_used, 1U);
+    sim.begin(first);
+    const command_list out = sim.pass(600ms);
+    cr_assert_eq(last_command<cancel_attempt>(out)->reason, cancel_reason::target_silent);
+    cr_assert_eq(last_command<send_attempt>(out)->basis.servers_used, 1U);
 }
 
 // A stream has used both servers that it may run on when its group falls silent. Most groups that
 // stand still go on after a second. Nobody else could take it over, so ending it at the first sign
 // would only lose the caller what may still come.
-Test(modelled, what_can_go_nowhere_else_stays_with_a_silent_group)
+Test(modelled, streams_without_another_server_stay_with_a_silent_group)
 {
-    world here{2};
-    const send_attempt first = *only<send_attempt>(here.ask());
-    here.begin(first);
-    const send_attempt second = *only<send_attempt>(here.lose(first));
-    here.begin(second);
-    const command_list out = here.pass(600ms);
+    world sim{2};
+    const send_attempt first = *last_command<send_attempt>(sim.submit());
+    sim.begin(first);
+    const send_attempt second = *last_command<send_attempt>(sim.fail_attempt(first));
+    sim.begin(second);
+    const command_list out = sim.pass(600ms);
     cr_assert_eq(count<target_silent>(out), 1U);
     cr_assert_eq(count<cancel_attempt>(out), 0U);
     cr_assert_eq(count<end_truncated>(out), 0U);
-    here.send(attempt_progress{second.request, second.attempt, 1});
-    cr_assert(only<complete>(
-        here.send(attempt_finished{second.request, second.attempt, true, std::nullopt})));
+    sim.send(attempt_progress{second.request, second.attempt, 1});
+    cr_assert(last_command<complete>(
+        sim.send(attempt_finished{second.request, second.attempt, true, std::nullopt})));
 }
 
 // The only group pauses. Its requests have nowhere else to go and stay where they are.
 Test(modelled, a_silent_group_without_another_keeps_its_requests)
 {
-    world here{1};
-    here.begin(*only<send_attempt>(here.ask()));
-    const command_list out = here.pass(600ms);
+    world sim{1};
+    sim.begin(*last_command<send_attempt>(sim.submit()));
+    const command_list out = sim.pass(600ms);
     cr_assert_eq(count<target_silent>(out), 1U);
     cr_assert_eq(count<cancel_attempt>(out), 0U);
 }
 
 // A sound group under a full load pauses for as long as a pass with many prompts takes. That is no
 // silence: moving its streams would double the load that makes it slow.
-Test(modelled, a_busy_group_is_not_taken_for_silent)
+Test(modelled, a_busy_group_is_not_detected_as_silent)
 {
-    world here{2};
+    world sim{2};
     std::vector<send_attempt> orders;
     for (int index = 0; index < 8; ++index) {
-        orders.push_back(*only<send_attempt>(here.ask()));
-        here.begin(orders.back());
+        orders.push_back(*last_command<send_attempt>(sim.submit()));
+        sim.begin(orders.back());
     }
     for (int pass = 0; pass < 20; ++pass) {
-        cr_assert_eq(count<target_silent>(here.pass(250ms)), 0U);
+        cr_assert_eq(count<target_silent>(sim.pass(250ms)), 0U);
         for (const send_attempt& order : orders)
-            here.send(attempt_progress{order.request, order.attempt, 1});
+            sim.send(attempt_progress{order.request, order.attempt, 1});
     }
 }
 
 // Servers fail everything. The retries of all nodes together must stay within the fleet's budget.
-Test(modelled, retries_stay_within_the_nodes_part_of_the_fleets_budget)
+Test(modelled, retries_stay_within_the_nodes_share_of_the_fleet_budget)
 {
-    core_settings settings = shared_settings();
+    core_settings settings = modelled_settings();
     settings.retry_extra = 40.0;
     settings.retry_extra_shared = true;
-    world here{4, settings};
-    here.send(fleet_size_seen{4});
+    world sim{4, settings};
+    sim.send(fleet_size_seen{4});
     std::size_t firsts = 0;
     std::size_t repeats = 0;
     for (int index = 0; index < 200; ++index) {
-        here.pass(20ms);
-        command_list out = here.ask();
-        auto order = only<send_attempt>(out);
+        sim.pass(20ms);
+        command_list out = sim.submit();
+        auto order = last_command<send_attempt>(out);
         firsts += order ? 1 : 0;
         while (order) {
             const send_attempt copy = *order;
-            here.send(attempt_sent{copy.request, copy.attempt});
-            out = here.lose(copy);
-            order = only<send_attempt>(out);
+            sim.send(attempt_sent{copy.request, copy.attempt});
+            out = sim.fail_attempt(copy);
+            order = last_command<send_attempt>(out);
             repeats += order ? 1 : 0;
         }
     }
--- a/routing/outliers.cc
+++ b/routing/outliers.cc
@@ -16,24 +16,24 @@
 namespace {
 
 constexpr std::uint32_t failures_to_eject = 3;
-constexpr std::size_t one_in = 3; ///< at most this part of a pool is out
-constexpr std::chrono::seconds first_ejection{2};
-constexpr std::uint32_t most_doublings = 4;
+constexpr std::size_t max_ejected_divisor = 3; ///< at most this part of a pool is out
+constexpr std::chrono::seconds base_ejection_time{2};
+constexpr std::uint32_t max_doublings = 4;
 /// About how long the watchers take to withdraw the ticket of a group that changes its members.
-constexpr std::chrono::milliseconds refusal_rest{500};
+constexpr std::chrono::milliseconds refusal_cooldown{500};
 constexpr double smoothing = 0.15;
-constexpr std::uint32_t samples_to_judge = 8;
+constexpr std::uint32_t min_slowness_samples = 8;
 constexpr double dead_band = 1.5;
-constexpr double most_slowness = 8.0;
+constexpr double max_slowness = 8.0;
 
-void let_back(target_health& health, time_point now)
+void end_ejection(target_health& health, time_point now)
 {
     if (!health.ejected || now < health.ejected_until)
         return;
     health.ejected = false;
     health.on_trial = true;
     // One more failure ejects it again.
-    health.failures_in_row = failures_to_eject - 1;
+    health.consecutive_failures = failures_to_eject - 1;
 }
 
 void eject(target_health& health, time_point now)
@@ -41,7 +41,7 @@
     health.ejected = true;
     health.on_trial = false;
     health.ejected_until =
-        now + first_ejection * (1U << std::min(health.ejections, most_doublings));
+        now + base_ejection_time * (1U << std::min(health.ejections, max_doublings));
     ++health.ejections;
 }
 
@@ -49,20 +49,20 @@
 
 void note_success(target_health& health)
 {
-    health.failures_in_row = 0;
+    health.consecutive_failures = 0;
     health.ejections = 0;
     health.on_trial = false;
 }
 
 void note_failure(target_health& health)
 {
-    ++health.failures_in_row;
+    ++health.consecutive_failures;
 }
 
 void note_refusal(target_health& health, time_point now)
 {
     health.refusing = true;
-    health.refusing_until = now + refusal_rest;
+    health.refusing_until = now + refusal_cooldown;
 }
 
 void note_first_token(target_health& health, double seconds)
@@ -81,7 +81,7 @@
     std::size_t usable = 0;
     for (const target_row_index row : pool) {
         target_row& judged = targets.at(row);
-        let_back(judged.health, now);
+        end_ejection(judged.health, now);
         judged.health.refusing = judged.health.refusing && now < judged.health.refusing_until;
         if (judged.leaving())
             continue;
@@ -93,9 +93,9 @@
         target_row& judged = targets.at(row);
         if (judged.leaving() || judged.health.ejected)
             continue;
-        if (judged.health.failures_in_row < failures_to_eject)
+        if (judged.health.consecutive_failures < failures_to_eject)
             continue;
-        if (out + 1 > usable / one_in && !(usable == 2 && out == 0))
+        if (out + 1 > usable / max_ejected_divisor && !(usable == 2 && out == 0))
             break;
         eject(judged.health, now);
         ++out;
@@ -104,12 +104,12 @@
     return ejected;
 }
 
-void judge_slowness(target_table& targets, std::span<const target_row_index> pool)
+void update_slowness(target_table& targets, std::span<const target_row_index> pool)
 {
     std::vector<double> times;
     for (const target_row_index row : pool) {
         const target_health& health = targets.at(row).health;
-        if (health.first_token_samples >= samples_to_judge)
+        if (health.first_token_samples >= min_slowness_samples)
             times.push_back(health.first_token_s);
     }
     if (times.size() < 3)
@@ -118,9 +118,9 @@
     std::nth_element(times.begin(), middle, times.end());
     for (const target_row_index row : pool) {
         target_health& health = targets.at(row).health;
-        const bool judged = health.first_token_samples >= samples_to_judge && *middle > 0.0;
+        const bool judged = health.first_token_samples >= min_slowness_samples && *middle > 0.0;
         const double ratio = judged ? health.first_token_s / *middle : 1.0;
-        health.slowness = ratio < dead_band ? 1.0 : std::min(ratio, most_slowness);
+        health.slowness = ratio < dead_band ? 1.0 : std::min(ratio, max_slowness);
     }
 }
 
--- a/routing/outliers.h
+++ b/routing/outliers.h
@@ -29,6 +29,6 @@
                            time_point now);
 
 /// Sets each target's slowness against the median of its pool.
-void judge_slowness(target_table& targets, std::span<const target_row_index> pool);
+void update_slowness(target_table& targets, std::span<const target_row_index> pool);
 
 } // namespace jaynotch
--- a/routing/overload_test.cc
+++ b/routing/overload_test.cc
@@ -17,25 +17,25 @@
 /// Nodes before the same groups, and callers who come at random and don't come back. A group runs
 /// as many requests as it has places, the rest wait inside it, first come first served; the nodes
 /// learn of each other's requests only by what the groups tell with their first events.
-class rush {
+class overload_simulation {
 public:
-    struct shape {
+    struct parameters {
         std::vector<double> parts{1.0}; ///< of the callers, by node
         int groups = 1;
-        duration pace = 20ms;    ///< between two callers, on average
-        duration answer = 400ms; ///< from the first event to the end, on average
-        duration unpredicted{0}; ///< of a first event, beyond what the engine's figures say
+        duration pace = 20ms;         ///< between two callers, on average
+        duration answer = 400ms;      ///< from the first event to the end, on average
+        duration unmodelled_delay{0}; ///< of a first event, beyond what the engine's figures say
         std::uint64_t seed = 1;
         std::uint32_t prompt = 200; ///< tokens
     };
 
-    explicit rush(shape given)
-        : m_shape{std::move(given)}, m_random{m_shape.seed},
-          m_groups(static_cast<std::size_t>(m_shape.groups))
+    explicit overload_simulation(parameters given)
+        : m_parameters{std::move(given)}, m_random{m_parameters.seed},
+          m_groups(static_cast<std::size_t>(m_parameters.groups))
     {
-        for (std::size_t node = 0; node < m_shape.parts.size(); ++node) {
-            m_nodes.push_back(std::make_unique<world>(m_shape.groups));
-            m_nodes.back()->send(fleet_size_seen{m_shape.parts.size()});
+        for (std::size_t node = 0; node < m_parameters.parts.size(); ++node) {
+            m_nodes.push_back(std::make_unique<world>(m_parameters.groups));
+            m_nodes.back()->send(fleet_size_seen{m_parameters.parts.size()});
         }
     }
 
@@ -44,13 +44,14 @@
         const time_point until = now() + time;
         time_point next = now();
         while (now() < until) {
-            for (; now() >= next; next += drawn(m_shape.pace)) {
-                const std::size_t node = drawn_node();
+            for (; now() >= next; next += exponential(m_parameters.pace)) {
+                const std::size_t node = random_node();
                 ++asked;
-                take(node, m_nodes[node]->ask("/chat/x", "a.example", "key-1", m_shape.prompt));
+                handle_commands(node, m_nodes[node]->submit("/chat/x", "a.example", "key-1",
+                                                            m_parameters.prompt));
             }
             for (std::size_t node = 0; node < m_nodes.size(); ++node)
-                take(node, m_nodes[node]->pass(10ms));
+                handle_commands(node, m_nodes[node]->pass(10ms));
             run_groups();
         }
     }
@@ -71,7 +72,7 @@
 
     [[nodiscard]] time_point now() const { return m_nodes.front()->now; }
 
-    void take(std::size_t node, const command_list& out)
+    void handle_commands(std::size_t node, const command_list& out)
     {
         for (const command& one : out) {
             const auto* order = std::get_if<send_attempt>(&one);
@@ -103,9 +104,10 @@
         if (one.begins != time_point::max())
             return;
         const std::chrono::duration<double, std::milli> predicted{
-            first_event_ms(dense_model(), double(places), {}, m_shape.prompt)};
-        one.begins = now() + std::chrono::duration_cast<duration>(predicted) + m_shape.unpredicted;
-        one.ends = one.begins + drawn(m_shape.answer);
+            first_event_ms(dense_model(), double(places), {}, m_parameters.prompt)};
+        one.begins =
+            now() + std::chrono::duration_cast<duration>(predicted) + m_parameters.unmodelled_delay;
+        one.ends = one.begins + exponential(m_parameters.answer);
     }
 
     void begin_due(std::deque<job>& jobs)
@@ -122,7 +124,7 @@
         const auto waiting = static_cast<std::uint32_t>(jobs.size()) - running;
         for (const job& one : begun) {
             m_nodes[one.node]->send(load_seen{one.order.target, {running, waiting, 0.0}, {}});
-            take(one.node, m_nodes[one.node]->begin(one.order));
+            handle_commands(one.node, m_nodes[one.node]->begin(one.order));
         }
     }
 
@@ -135,8 +137,9 @@
             return one.ends <= now();
         });
         for (const job& one : ended)
-            take(one.node, m_nodes[one.node]->send(attempt_finished{
-                               one.order.request, one.order.attempt, true, std::nullopt}));
+            handle_commands(one.node,
+                            m_nodes[one.node]->send(attempt_finished{
+                                one.order.request, one.order.attempt, true, std::nullopt}));
     }
 
     void write_events()
@@ -153,19 +156,19 @@
         }
     }
 
-    std::size_t drawn_node()
+    std::size_t random_node()
     {
         double left = m_random.unit();
-        for (std::size_t node = 0; node + 1 < m_shape.parts.size(); ++node) {
-            left -= m_shape.parts[node];
+        for (std::size_t node = 0; node + 1 < m_parameters.parts.size(); ++node) {
+            left -= m_parameters.parts[node];
             if (left < 0.0)
                 return node;
         }
-        return m_shape.parts.size() - 1;
+        return m_parameters.parts.size() - 1;
     }
 
     /// Exponentially distributed, as what comes from many callers independently is.
-    duration drawn(duration mean)
+    duration exponential(duration mean)
     {
         const double times = -std::log(1.0 - m_random.unit());
         return std::chrono::duration_cast<duration>(times * mean);
@@ -173,7 +176,7 @@
 
     static constexpr std::size_t places = 8; ///< of a group
 
-    shape m_shape;
+    parameters m_parameters;
     random_source m_random;
     std::vector<std::unique_ptr<world>> m_nodes;
     std::vector<std::deque<job>> m_groups;
@@ -184,36 +187,36 @@
 
 // A request waits beyond the time that makes it worth its full. All that can still make theirs go
 // first, and each of the others gets its turn as soon as the group has room for more than it.
-Test(modelled, what_can_still_be_in_time_goes_first)
+Test(modelled, requests_that_can_meet_their_target_go_first)
 {
-    world here{1};
+    world sim{1};
     std::vector<send_attempt> running;
     for (int index = 0; index < 8; ++index) {
-        running.push_back(*only<send_attempt>(here.ask()));
-        here.begin(running.back());
+        running.push_back(*last_command<send_attempt>(sim.submit()));
+        sim.begin(running.back());
     }
     for (int index = 0; index < 4; ++index)
-        here.ask(); // wait, and are late after these passes of the engine
+        sim.submit(); // wait, and are late after these passes of the engine
     for (int event = 2; event < 7; ++event) {
-        here.pass(80ms);
+        sim.pass(80ms);
         for (const send_attempt& order : running)
-            here.send(attempt_progress{order.request, order.attempt, 1});
+            sim.send(attempt_progress{order.request, order.attempt, 1});
     }
     constexpr std::uint64_t last_late = 12;
     for (int index = 0; index < 4; ++index)
-        here.ask(); // could still be in time
+        sim.submit(); // could still be in time
     std::vector<std::uint64_t> turns;
     for (std::size_t index = 0; index < running.size(); ++index) {
         const send_attempt ended = running[index];
         const command_list out =
-            here.send(attempt_finished{ended.request, ended.attempt, true, std::nullopt});
+            sim.send(attempt_finished{ended.request, ended.attempt, true, std::nullopt});
         for (const command& one : out) {
             const auto* next = std::get_if<send_attempt>(&one);
             if (next == nullptr)
                 continue;
             turns.push_back(next->request.value());
             running.push_back(*next);
-            here.begin(running.back());
+            sim.begin(running.back());
         }
     }
     cr_assert_eq(turns.size(), 8U, "none of them starves");
@@ -223,43 +226,44 @@
 
 // Groups are full, and a caller who was refused a second ago comes back with what is left of its
 // eight seconds. Newest first would have it take the next place from one who can still be in time.
-Test(modelled, who_comes_back_lets_those_go_first_who_can_be_in_time)
+Test(modelled, returning_requests_yield_to_those_that_can_meet_their_target)
 {
-    world here{1};
-    const auto ask = [&](duration patience) {
-        return here.ask("/chat/x", "a.example", "key-1", 200, patience);
+    world sim{1};
+    const auto submit = [&](duration patience) {
+        return sim.submit("/chat/x", "a.example", "key-1", 200, patience);
     };
     std::vector<send_attempt> running;
     for (int index = 0; index < 8; ++index) {
-        running.push_back(*only<send_attempt>(ask(std::chrono::milliseconds{7'500 + 60 * index})));
-        here.begin(running.back());
+        running.push_back(
+            *last_command<send_attempt>(submit(std::chrono::milliseconds{7'500 + 60 * index})));
+        sim.begin(running.back());
     }
-    ask(7'400ms);
-    ask(5'900ms);
-    constexpr std::uint64_t fresh = 9;
-    const auto next = only<send_attempt>(
-        here.send(attempt_finished{running[0].request, running[0].attempt, true, std::nullopt}));
+    submit(7'400ms);
+    submit(5'900ms);
+    constexpr std::uint64_t new_request = 9;
+    const auto next = last_command<send_attempt>(
+        sim.send(attempt_finished{running[0].request, running[0].attempt, true, std::nullopt}));
     cr_assert(next);
-    cr_assert_eq(next->request.value(), fresh);
+    cr_assert_eq(next->request.value(), new_request);
 }
 
 // Groups are full and stay so. A request that can't begin in time any more is told within half a
 // second, truthfully and with a time to come back, not when its caller has no time left.
-Test(modelled, what_has_become_late_is_told_soon)
+Test(modelled, late_requests_are_refused_promptly)
 {
-    world here{1};
+    world sim{1};
     std::vector<send_attempt> running;
     for (int index = 0; index < 8; ++index) {
-        running.push_back(*only<send_attempt>(here.ask()));
-        here.begin(running.back());
+        running.push_back(*last_command<send_attempt>(sim.submit()));
+        sim.begin(running.back());
     }
-    here.ask();
+    sim.submit();
     std::optional<refuse> told;
     duration waited{0};
     for (; !told && waited < 2s; waited += 10ms) {
-        told = only<refuse>(here.pass(10ms));
+        told = last_command<refuse>(sim.pass(10ms));
         for (const send_attempt& order : running)
-            here.send(attempt_progress{order.request, order.attempt, 1});
+            sim.send(attempt_progress{order.request, order.attempt, 1});
     }
     cr_assert(told);
     cr_assert_leq(waited.count(), duration{500ms}.count());
@@ -270,31 +274,31 @@
 // Callers ask two and a half times as much as the groups can do, for seconds. First come, first
 // served would have everyone wait until the first event is just too late, and nobody would be
 // served in time. The pattern is that of a burst while groups are being repaired.
-Test(modelled, under_overload_most_of_those_served_are_in_time)
+Test(modelled, most_served_requests_meet_their_target_under_overload)
 {
-    rush here{{.prompt = 1'000}};
-    here.run(4s);
-    cr_assert_gt(here.sent, 60U, "%zu: the group is kept at work", here.sent);
-    cr_assert_geq(here.in_time * 10, here.sent * 6, "%zu of %zu", here.in_time, here.sent);
+    overload_simulation sim{{.prompt = 1'000}};
+    sim.run(4s);
+    cr_assert_gt(sim.sent, 60U, "%zu: the group is kept at work", sim.sent);
+    cr_assert_geq(sim.in_time * 10, sim.sent * 6, "%zu of %zu", sim.in_time, sim.sent);
 }
 
 // Groups have been lost, and those left can hardly do what is asked, for many seconds; each node
 // sees only part of what the others send. What has waited too long takes its place for as long as
 // an answer lasts. Let in as soon as a place seems free, it makes the next ones wait in turn, and a
 // quarter of all callers hear their first event late where a tenth need to.
-Test(modelled, a_small_shortage_makes_few_callers_late)
+Test(modelled, a_small_capacity_shortage_delays_few_callers)
 {
     std::size_t asked = 0;
     std::size_t in_time = 0;
     for (std::uint64_t seed = 1; seed <= 4; ++seed) {
-        rush here{{.parts = {0.4, 0.15, 0.25, 0.2},
-                   .groups = 8,
-                   .pace = 9ms,
-                   .unpredicted = 105ms,
-                   .seed = seed}};
-        here.run(10s);
-        asked += here.asked;
-        in_time += here.in_time;
+        overload_simulation sim{{.parts = {0.4, 0.15, 0.25, 0.2},
+                                 .groups = 8,
+                                 .pace = 9ms,
+                                 .unmodelled_delay = 105ms,
+                                 .seed = seed}};
+        sim.run(10s);
+        asked += sim.asked;
+        in_time += sim.in_time;
     }
     cr_assert_geq(in_time * 100, asked * 83, "%zu of %zu asked", in_time, asked);
 }
--- a/routing/picker.cc
+++ b/routing/picker.cc
@@ -26,12 +26,12 @@
 constexpr double load_slack = 2.0;
 /// A failure domain that this node sends nothing to is not heard of. It counts as less busy than
 /// those that are, or a node whose own domain is full would never find out that others are not.
-constexpr double unheard_part = 0.75; ///< of the mean that is heard of
-constexpr double unheard_worth = 0.1; ///< of that guess, in reports made this moment
-constexpr std::size_t holders_looked_at = 4;
-constexpr std::size_t most_homes = 4;
+constexpr double unreported_load_factor = 0.75; ///< of the mean that is heard of
+constexpr double prior_weight = 0.1;            ///< of that guess, in reports made this moment
+constexpr std::size_t max_holders = 4;
+constexpr std::size_t max_homes = 4;
 
-bool fits(const target_row& row, const pick_request& wanted)
+bool eligible(const target_row& row, const pick_request& wanted)
 {
     if (!row.may_be_picked())
         return false;
@@ -69,10 +69,10 @@
     {
         if (m_pool.targets.empty())
             return no_target;
-        const target_row_index first = random_fitting(no_target);
+        const target_row_index first = random_usable(no_target);
         if (first == no_target)
             return no_target;
-        const target_row_index second = random_fitting(first);
+        const target_row_index second = random_usable(first);
         return second == no_target || score(first) <= score(second) ? first : second;
     }
 
@@ -98,10 +98,10 @@
         return least;
     }
 
-    picked by_prefix(prefix_index& prefixes)
+    pick_result by_prefix(prefix_index& prefixes)
     {
-        std::array<prefix_match, holders_looked_at> holders{};
-        const std::size_t found = prefixes.longest(m_wanted.blocks, holders);
+        std::array<prefix_match, max_holders> holders{};
+        const std::size_t found = prefixes.longest_matches(m_wanted.blocks, holders);
         const std::span known{holders.data(), found};
         // Among equally long matches the less loaded one.
         std::sort(known.begin(), known.end(), [&](const auto& a, const auto& b) {
@@ -114,13 +114,13 @@
             // A match that is no longer than what everybody holds says nothing about where to go.
             if (holder.blocks <= found_home.shared_blocks)
                 break;
-            if (is_of_now(holder.slot) && takes(holder.slot.row))
+            if (is_current(holder.slot) && within_load_bound(holder.slot.row))
                 return {holder.slot.row, holder.blocks};
         }
-        if (found_home.row != no_target && takes(found_home.row))
-            return {found_home.row, held_at(found_home.row, known)};
+        if (found_home.row != no_target && within_load_bound(found_home.row))
+            return {found_home.row, cached_blocks_at(found_home.row, known)};
         const target_row_index row = two_choices();
-        return {row, held_at(row, known)};
+        return {row, cached_blocks_at(row, known)};
     }
 
 private:
@@ -131,10 +131,10 @@
 
     bool usable(target_row_index row) const
     {
-        return fits(m_targets.at(row), m_wanted) && !was_tried(m_wanted, row);
+        return eligible(m_targets.at(row), m_wanted) && !was_tried(m_wanted, row);
     }
 
-    bool is_of_now(target_slot slot) const
+    bool is_current(target_slot slot) const
     {
         return slot.row < m_targets.size() &&
                m_targets.at(slot.row).generation == slot.generation &&
@@ -148,23 +148,23 @@
     }
 
     /// Whether affinity may put one more on this target.
-    bool takes(target_row_index row) const
+    bool within_load_bound(target_row_index row) const
     {
         if (!usable(row))
             return false;
         const auto count = static_cast<double>(m_pool.targets.size());
         const double mean = m_pool.own / count + m_pool.mean_others;
-        const double bound = std::min(load_bound * mean + load_slack, m_pool.cap + 0.0);
+        const double bound = std::min(load_bound * mean + load_slack, m_pool.max_per_target + 0.0);
         return score(row) <= bound + 1.0;
     }
 
-    target_row_index random_fitting(target_row_index other_than)
+    target_row_index random_usable(target_row_index excluded)
     {
         const std::size_t count = m_pool.targets.size();
         const std::size_t from = m_random.index(count);
         for (std::size_t step = 0; step < count; ++step) {
             const target_row_index row = m_pool.targets[(from + step) % count];
-            if (row != other_than && usable(row))
+            if (row != excluded && usable(row))
                 return row;
         }
         return no_target;
@@ -175,17 +175,17 @@
         home found;
         prefixes.count_request();
         const auto count = static_cast<double>(m_pool.targets.size());
-        const double most_for_homes = std::max(1.0, std::min(count / 2.0, most_homes + 0.0));
-        const std::size_t depth = std::min(m_wanted.blocks.size(), most_prefix_blocks);
+        const double max_home_targets = std::max(1.0, std::min(count / 2.0, max_homes + 0.0));
+        const std::size_t depth = std::min(m_wanted.blocks.size(), max_prefix_blocks);
         for (std::size_t at = 0; at < depth; ++at) {
             const std::uint64_t block = m_wanted.blocks[at];
-            const double targets_needed = prefixes.note_request(block) * count;
-            if (targets_needed > most_for_homes) {
+            const double targets_needed = prefixes.count_block_request(block) * count;
+            if (targets_needed > max_home_targets) {
                 found.shared_blocks = static_cast<std::uint32_t>(at + 1);
                 continue;
             }
             const auto homes = static_cast<std::size_t>(std::ceil(targets_needed));
-            found.row = least_loaded_home(block, std::clamp<std::size_t>(homes, 1, most_homes));
+            found.row = least_loaded_home(block, std::clamp<std::size_t>(homes, 1, max_homes));
             return found;
         }
         return found;
@@ -198,12 +198,12 @@
             std::uint64_t rank = 0;
             target_row_index row = no_target;
         };
-        std::array<ranked, most_homes> best{};
+        std::array<ranked, max_homes> best{};
         for (std::size_t at = 0; at < m_pool.targets.size(); ++at) {
             const target_row_index row = m_pool.targets[at];
             if (!usable(row))
                 continue;
-            ranked added{rank_of(block, m_pool.names[at]), row};
+            ranked added{rank_of(block, m_pool.id_hashes[at]), row};
             for (std::size_t place = 0; place < homes; ++place) {
                 if (best[place].row == no_target || added.rank > best[place].rank)
                     std::swap(added, best[place]);
@@ -217,10 +217,11 @@
         return chosen;
     }
 
-    std::uint32_t held_at(target_row_index row, std::span<const prefix_match> holders) const
+    std::uint32_t cached_blocks_at(target_row_index row,
+                                   std::span<const prefix_match> holders) const
     {
         for (const prefix_match& holder : holders) {
-            if (holder.slot.row == row && is_of_now(holder.slot))
+            if (holder.slot.row == row && is_current(holder.slot))
                 return holder.blocks;
         }
         return 0;
@@ -235,16 +236,16 @@
 
 } // namespace
 
-void list_targets(pool_view& view, const target_table& targets, const pool_id& pool)
+void rebuild_targets(pool_view& view, const target_table& targets, const pool_id& pool)
 {
-    view.targets = targets.of_pool(pool);
-    view.names.clear();
-    view.domains.clear();
+    view.targets = targets.targets_of_pool(pool);
+    view.id_hashes.clear();
+    view.domain_indexes.clear();
     std::map<failure_domain_id, std::size_t> indexes;
     for (const target_row_index row : view.targets) {
         const target& info = targets.at(row).info;
-        view.names.push_back(hash64(info.id.value()));
-        view.domains.push_back(
+        view.id_hashes.push_back(hash64(info.id.value()));
+        view.domain_indexes.push_back(
             indexes.try_emplace(info.failure_domain, indexes.size()).first->second);
     }
     view.mean_others_by_domain.assign(indexes.size(), 0.0);
@@ -252,7 +253,7 @@
 
 double expected_others(const pool_view& pool, std::size_t position)
 {
-    return pool.mean_others_by_domain[pool.domains[position]];
+    return pool.mean_others_by_domain[pool.domain_indexes[position]];
 }
 
 double estimated_load(const target_row& row, const pool_view& pool, time_point now)
@@ -260,41 +261,42 @@
     return row.own + row.load.others(pool.mean_others, now);
 }
 
-void refresh(pool_view& pool, const target_table& targets, time_point now)
+void refresh_view(pool_view& pool, const target_table& targets, time_point now)
 {
-    struct heard {
+    struct weighted_sum {
         double sum = 0.0;
-        double worth = 0.0;
+        double freshness = 0.0;
 
         void add(double others, double weight)
         {
             sum += weight * others;
-            worth += weight;
+            freshness += weight;
         }
     };
-    heard all;
-    std::vector<heard> by_domain(pool.mean_others_by_domain.size());
+    weighted_sum all;
+    std::vector<weighted_sum> by_domain(pool.mean_others_by_domain.size());
     pool.own = 0;
     for (std::size_t position = 0; position < pool.targets.size(); ++position) {
         const target_row& counted = targets.at(pool.targets[position]);
-        const double weight = counted.load.worth(now);
+        const double weight = counted.load.freshness(now);
         all.add(counted.load.reported_others(), weight);
-        by_domain[pool.domains[position]].add(counted.load.reported_others(), weight);
+        by_domain[pool.domain_indexes[position]].add(counted.load.reported_others(), weight);
         pool.own += counted.own;
     }
-    pool.mean_others = all.worth > 0.0 ? all.sum / all.worth : 0.0;
-    const double unheard = unheard_part * pool.mean_others;
+    pool.mean_others = all.freshness > 0.0 ? all.sum / all.freshness : 0.0;
+    const double prior = unreported_load_factor * pool.mean_others;
     for (std::size_t domain = 0; domain < by_domain.size(); ++domain) {
-        const heard& told = by_domain[domain];
+        const weighted_sum& told = by_domain[domain];
         pool.mean_others_by_domain[domain] =
-            (told.sum + unheard_worth * unheard) / (told.worth + unheard_worth);
+            (told.sum + prior_weight * prior) / (told.freshness + prior_weight);
     }
 }
 
-picked pick(const target_table& targets, pool_view& pool, prefix_index& prefixes,
-            pick_policy policy, const pick_request& wanted, random_source& random, time_point now)
+pick_result pick(const target_table& targets, pool_view& pool, prefix_index& prefixes,
+                 pick_policy policy, const pick_request& wanted, random_source& random,
+                 time_point now)
 {
-    const auto choose = [&](const pick_request& request) -> picked {
+    const auto choose = [&](const pick_request& request) -> pick_result {
         chooser choice{targets, pool, request, random, now};
         switch (policy) {
         case pick_policy::round_robin:
@@ -308,7 +310,7 @@
             return {choice.two_choices(), 0};
         return choice.by_prefix(prefixes);
     };
-    picked chosen = choose(wanted);
+    pick_result chosen = choose(wanted);
     if (chosen.row == no_target && !wanted.tried.empty()) {
         pick_request again = wanted;
         again.tried = {};
--- a/routing/policy_engine.h
+++ b/routing/policy_engine.h
@@ -44,31 +44,31 @@
 public:
     explicit block_cache(std::size_t most) : m_most{most} {}
 
-    [[nodiscard]] std::uint32_t match(const std::vector<std::uint64_t>& blocks) const
+    [[nodiscard]] std::uint32_t matched_blocks(const std::vector<std::uint64_t>& blocks) const
     {
         std::uint32_t held = 0;
-        while (held < blocks.size() && m_places.contains(blocks[held]))
+        while (held < blocks.size() && m_entries.contains(blocks[held]))
             ++held;
         return held;
     }
 
     /// Keeps the blocks and returns the events that an engine would publish.
-    std::vector<prefix_event> keep(const std::vector<std::uint64_t>& blocks)
+    std::vector<prefix_event> store(const std::vector<std::uint64_t>& blocks)
     {
         std::vector<prefix_event> events;
         for (auto block = blocks.rbegin(); block != blocks.rend(); ++block) {
-            const auto known = m_places.find(*block);
-            if (known != m_places.end()) {
+            const auto known = m_entries.find(*block);
+            if (known != m_entries.end()) {
                 m_order.splice(m_order.begin(), m_order, known->second);
                 continue;
             }
             m_order.push_front(*block);
-            m_places[*block] = m_order.begin();
+            m_entries[*block] = m_order.begin();
             events.push_back({*block, false});
         }
         while (m_order.size() > m_most) {
             events.push_back({m_order.back(), true});
-            m_places.erase(m_order.back());
+            m_entries.erase(m_order.back());
             m_order.pop_back();
         }
         return events;
@@ -77,7 +77,7 @@
 private:
     std::size_t m_most;
     std::list<std::uint64_t> m_order;
-    std::unordered_map<std::uint64_t, std::list<std::uint64_t>::iterator> m_places;
+    std::unordered_map<std::uint64_t, std::list<std::uint64_t>::iterator> m_entries;
 };
 
 /// What a step gave.
@@ -130,7 +130,7 @@
         while (m_running.size() < m_model.batch && !m_waiting.empty()) {
             sequence next = std::move(m_waiting.front());
             m_waiting.pop_front();
-            const std::uint32_t held = m_cache.match(next.blocks);
+            const std::uint32_t held = m_cache.matched_blocks(next.blocks);
             prompt_blocks += next.blocks.size();
             prompt_blocks_held += held;
             next.prompt_left =
@@ -149,7 +149,7 @@
                     going_on.push_back(std::move(each));
                     continue;
                 }
-                const auto events = m_cache.keep(each.blocks);
+                const auto events = m_cache.store(each.blocks);
                 m_events.insert(m_events.end(), events.begin(), events.end());
                 result.first_tokens.push_back(each);
             }
--- a/routing/policy_main.cc
+++ b/routing/policy_main.cc
@@ -91,7 +91,7 @@
                                        {"first_p50_s", got.first_p50_s},
                                        {"first_p95_s", got.first_p95_s},
                                        {"first_p99_s", got.first_p99_s},
-                                       {"small_p95_s", got.worst_wait_of_small_s},
+                                       {"small_p95_s", got.small_workspaces_p95_s},
                                        {"gap_p95_s", got.gap_p95_s},
                                        {"hit_share", got.hit_share},
                                        {"retries", got.retries},
@@ -105,7 +105,7 @@
             "ms | %.0f ms | %.0f ms | %.1f%% |\n",
             label.c_str(), policy.name.c_str(), got.offered, got.goodput, got.refused * 100,
             got.late * 100, got.refused_after_s * 1'000, got.first_p50_s * 1'000,
-            got.first_p95_s * 1'000, got.first_p99_s * 1'000, got.worst_wait_of_small_s * 1'000,
+            got.first_p95_s * 1'000, got.first_p99_s * 1'000, got.small_workspaces_p95_s * 1'000,
             got.gap_p95_s * 1'000, got.hit_share * 100);
     }
     std::fflush(stdout);
@@ -198,21 +198,21 @@
         run_options options = base();
         options.groups = groups;
         options.offered = capacity_of(options) * groups * 0.7;
-        run_options knowing = options;
-        knowing.all_knowing = true;
+        run_options ideal = options;
+        ideal.ideal_router = true;
         run_options without = options;
         without.use_prefixes = false;
         run_options no_events = options;
         no_events.cache_events = false;
         const std::string label = std::to_string(groups) + " groups";
-        print_row(label, {"all-knowing", knowing});
+        print_row(label, {"all-knowing", ideal});
         print_row(label, {"jaynotch", options});
         print_row(label, {"without cache events", no_events});
         print_row(label, {"without prefixes", without});
         if (groups != 6)
             continue;
-        knowing.offered = options.offered = capacity_of(options) * groups * 2.0;
-        print_row("6 groups, 2.0x", {"all-knowing", knowing});
+        ideal.offered = options.offered = capacity_of(options) * groups * 2.0;
+        print_row("6 groups, 2.0x", {"all-knowing", ideal});
         print_row("6 groups, 2.0x", {"jaynotch", options});
     }
 }
--- a/routing/policy_run.cc
+++ b/routing/policy_run.cc
@@ -13,10 +13,10 @@
 namespace {
 
 constexpr double one_way_s = 0.001;
-constexpr double most_gap_s = 0.1; ///< between tokens, for an answer to count
+constexpr double max_gap_s = 0.1; ///< between tokens, for an answer to count
 constexpr double tick_s = 0.02;
 constexpr std::uint32_t tokens_per_progress = 16;
-constexpr double tail_s = 25.0; ///< whose requests may not have ended at the end of a run
+constexpr double excluded_tail_s = 25.0; ///< whose requests may not have ended at the end of a run
 
 duration to_duration(double seconds)
 {
@@ -64,7 +64,7 @@
         schedule_arrivals();
         every(tick_s, [this] {
             for (int node = 0; node < m_options.nodes; ++node)
-                tell(node, tick{});
+                dispatch(node, tick{});
         });
         every(0.5, [this] { report_loads(); });
         if (m_options.cache_events)
@@ -175,30 +175,31 @@
         request_info seen = made.info;
         if (!m_options.use_prefixes)
             seen.prefix_blocks.clear();
-        tell(node, request_arrived{std::move(seen)});
+        dispatch(node, request_arrived{std::move(seen)});
     }
 
     [[nodiscard]] bool counts(const caller& each) const
     {
         // The last seconds' requests may not have ended yet.
-        return each.arrived_s >= m_options.warm_up && each.arrived_s < m_options.seconds - tail_s;
+        return each.arrived_s >= m_options.warm_up &&
+               each.arrived_s < m_options.seconds - excluded_tail_s;
     }
 
-    void tell(int node, const event& happened)
+    void dispatch(int node, const event& happened)
     {
         command_list out;
         m_cores[static_cast<std::size_t>(node)].handle(happened, now(), out);
         for (const command& each : out)
-            obey(node, each);
+            execute(node, each);
     }
 
-    void obey(int node, const command& each)
+    void execute(int node, const command& each)
     {
         if (const auto* sent = std::get_if<send_attempt>(&each))
             send(node, *sent);
         else if (const auto* stopped = std::get_if<cancel_attempt>(&each))
             at(m_now_s + one_way_s, [this, stopped = *stopped] {
-                m_engines[place(stopped.attempt, stopped.target)].cancel(stopped.attempt);
+                m_engines[engine_of(stopped.attempt, stopped.target)].cancel(stopped.attempt);
             });
         else if (const auto* whole = std::get_if<complete>(&each))
             end(whole->request, true);
@@ -210,25 +211,26 @@
             at(m_now_s + 0.1, [this, node, rows = shared->rows] {
                 for (int peer = 0; peer < m_options.nodes; ++peer) {
                     if (peer != node)
-                        tell(peer, peer_demand_seen{node_id{"node-" + std::to_string(node)}, rows});
+                        dispatch(peer,
+                                 peer_demand_seen{node_id{"node-" + std::to_string(node)}, rows});
                 }
             });
     }
 
-    [[nodiscard]] std::size_t place(attempt_id attempt, const target_id& target) const
+    [[nodiscard]] std::size_t engine_of(attempt_id attempt, const target_id& target) const
     {
-        const auto moved = m_moved.find(attempt);
-        if (moved != m_moved.end())
+        const auto moved = m_placements.find(attempt);
+        if (moved != m_placements.end())
             return moved->second;
         return static_cast<std::size_t>(std::stoi(target.value().substr(1)));
     }
 
     void send(int node, const send_attempt& sent)
     {
-        if (m_options.all_knowing)
-            m_moved[sent.attempt] = best_engine(m_callers[sent.request.value()].info);
-        const std::size_t index = place(sent.attempt, sent.target);
-        tell(node, attempt_sent{sent.request, sent.attempt});
+        if (m_options.ideal_router)
+            m_placements[sent.attempt] = best_engine(m_callers[sent.request.value()].info);
+        const std::size_t index = engine_of(sent.attempt, sent.target);
+        dispatch(node, attempt_sent{sent.request, sent.attempt});
         at(m_now_s + one_way_s, [this, node, sent, index] {
             if (m_dead[index])
                 return;
@@ -259,7 +261,8 @@
             const auto load = static_cast<double>(m_engines[each].load());
             const bool bounded = load <= 1.25 * mean + 2.0;
             const double score =
-                (bounded ? 1'000.0 * m_engines[each].cache().match(info.prefix_blocks) : -1e6) -
+                (bounded ? 1'000.0 * m_engines[each].cache().matched_blocks(info.prefix_blocks)
+                         : -1e6) -
                 load;
             if (score > best_score) {
                 best_score = score;
@@ -279,28 +282,28 @@
             m_stepping[index] = false;
             if (m_dead[index])
                 return;
-            give(index, *result);
+            deliver_step(index, *result);
             step_if_idle(index);
         });
     }
 
-    void give(std::size_t index, const step_result& result)
+    void deliver_step(std::size_t index, const step_result& result)
     {
         for (const sequence& each : result.first_tokens)
-            answer(each, true, false);
+            send_event(each, true, false);
         for (const sequence& each : m_engines[index].running()) {
             const auto found = m_callers.find(each.request.value());
             if (found == m_callers.end())
                 continue;
             found->second.given = std::max(found->second.given, each.given);
             if (each.given > 0 && each.given % tokens_per_progress == 0)
-                answer(each, false, false);
+                send_event(each, false, false);
         }
         for (const sequence& each : result.ended)
-            answer(each, false, true);
+            send_event(each, false, true);
     }
 
-    void answer(const sequence& from, bool first, bool last)
+    void send_event(const sequence& from, bool first, bool last)
     {
         at(m_now_s + one_way_s,
            [this, node = from.node, request = from.request, attempt = from.attempt, first, last] {
@@ -308,11 +311,11 @@
                    const auto found = m_callers.find(request.value());
                    if (found != m_callers.end() && found->second.first_s < 0.0)
                        found->second.first_s = m_now_s;
-                   tell(node, attempt_head{request, attempt, 200, attempt, false, "1"});
+                   dispatch(node, attempt_head{request, attempt, 200, attempt, false, "1"});
                }
-               tell(node, attempt_progress{request, attempt, 1});
+               dispatch(node, attempt_progress{request, attempt, 1});
                if (last)
-                   tell(node, attempt_finished{request, attempt, true, {}});
+                   dispatch(node, attempt_finished{request, attempt, true, {}});
            });
     }
 
@@ -321,7 +324,7 @@
         const auto found = m_callers.find(request.value());
         if (found == m_callers.end())
             return;
-        if (ask_again(found->second))
+        if (resubmit(found->second))
             return;
         if (counts(found->second)) {
             (ran == ran_state::no ? m_refused : m_late) += 1;
@@ -331,7 +334,7 @@
     }
 
     /// A caller without patience: the same request again at once, under a new id.
-    bool ask_again(const caller& failed)
+    bool resubmit(const caller& failed)
     {
         if (failed.asked >= m_options.client_retries)
             return false;
@@ -344,7 +347,7 @@
         at(m_now_s + one_way_s, [this, id] {
             const int node =
                 static_cast<int>(m_random.index(static_cast<std::size_t>(m_options.nodes)));
-            tell(node, request_arrived{m_callers[id].info});
+            dispatch(node, request_arrived{m_callers[id].info});
         });
         return true;
     }
@@ -358,7 +361,7 @@
         const double first_s = done.first_s - done.arrived_s;
         const double gap_s =
             (m_now_s - done.first_s) / std::max<double>(1.0, done.info.answer_tokens);
-        const bool good = whole && first_s <= m_options.deadline_s && gap_s <= most_gap_s;
+        const bool good = whole && first_s <= m_options.deadline_s && gap_s <= max_gap_s;
         if (whole)
             m_load.answered(request.value(), done.info.prefix_blocks);
         if (good)
@@ -383,7 +386,7 @@
                 static_cast<std::int64_t>(m_options.report_lag_s * 1'000)};
             at(m_now_s + m_options.report_lag_s, [this, load, id, lag] {
                 for (int node = 0; node < m_options.nodes; ++node)
-                    tell(node, load_seen{id, load, lag});
+                    dispatch(node, load_seen{id, load, lag});
             });
         }
     }
@@ -397,7 +400,7 @@
             const target_id id{"g" + std::to_string(each)};
             at(m_now_s + m_options.events_lag_s, [this, events, id] {
                 for (int node = 0; node < m_options.nodes; ++node)
-                    tell(node, cache_events_seen{id, events, false});
+                    dispatch(node, cache_events_seen{id, events, false});
             });
         }
     }
@@ -412,8 +415,8 @@
             m_engines[index].clear();
             at(m_now_s + noticed_s, [this, index] {
                 for (int node = 0; node < m_options.nodes; ++node) {
-                    tell(node, group_broken{target_id{"g" + std::to_string(index)}});
-                    tell(node, groups_changed{alive()});
+                    dispatch(node, group_broken{target_id{"g" + std::to_string(index)}});
+                    dispatch(node, groups_changed{alive()});
                 }
             });
         }
@@ -422,7 +425,7 @@
     run_report report()
     {
         run_report made;
-        const double measured_s = m_options.seconds - m_options.warm_up - tail_s;
+        const double measured_s = m_options.seconds - m_options.warm_up - excluded_tail_s;
         const double counted = std::max(1.0, static_cast<double>(m_counted));
         made.offered = counted / measured_s;
         made.goodput = static_cast<double>(m_good) / measured_s;
@@ -433,7 +436,7 @@
         made.first_p95_s = percentile(m_first, 0.95);
         made.first_p99_s = percentile(m_first, 0.99);
         made.gap_p95_s = percentile(m_gaps, 0.95);
-        made.worst_wait_of_small_s = percentile(m_first_of_small, 0.95);
+        made.small_workspaces_p95_s = percentile(m_first_of_small, 0.95);
         std::uint64_t blocks = 0;
         std::uint64_t held = 0;
         for (const engine& each : m_engines) {
@@ -462,7 +465,7 @@
     std::vector<bool> m_dead;
     std::vector<request_core> m_cores;
     std::unordered_map<std::uint64_t, caller> m_callers;
-    std::map<attempt_id, std::size_t> m_moved; ///< attempts that the all-knowing one placed
+    std::map<attempt_id, std::size_t> m_placements; ///< attempts that the all-knowing one placed
     std::uint64_t m_counted = 0;
     std::uint64_t m_good = 0;
     std::uint64_t m_refused = 0;
--- a/routing/policy_run.h
+++ b/routing/policy_run.h
@@ -26,9 +26,9 @@
     bool retry_budget = true;
     bool adaptive = true;
     std::uint32_t retries = 1;
-    int client_retries = 0;   ///< a caller that gets no answer asks again at once, this often
-    bool all_knowing = false; ///< true caches and true loads, no lag
-    bool use_prefixes = true; ///< cores see the prompt's blocks
+    int client_retries = 0;    ///< a caller that gets no answer asks again at once, this often
+    bool ideal_router = false; ///< true caches and true loads, no lag
+    bool use_prefixes = true;  ///< cores see the prompt's blocks
     bool cache_events = true;
     int lost_groups = 0; ///< at `fault_at`
     int stragglers = 0;  ///< three times as slow, from the start
@@ -56,7 +56,7 @@
     std::uint64_t retries = 0;
     std::uint64_t resumes = 0;
     std::uint64_t ejections = 0;
-    double worst_wait_of_small_s = 0.0; ///< 95 in 100 first tokens of the smallest workspaces
+    double small_workspaces_p95_s = 0.0; ///< 95 in 100 first tokens of the smallest workspaces
 };
 
 /// Requests a second that one engine completes with `in_flight` at all times.
--- a/routing/policy_test.cc
+++ b/routing/policy_test.cc
@@ -53,21 +53,21 @@
 
 // The turns of a conversation meet their cached prompt whichever entry node they come by, with
 // cache events that are late and have gaps.
-Test(policy, prefix_hits_are_near_those_of_an_all_knowing_router)
+Test(policy, prefix_hits_are_near_those_of_an_ideal_router)
 {
     for (const int groups : {3, 6, 50}) {
         run_options options;
         options.groups = groups;
         options.offered = closed_loop_rate(options.engine, 48) * groups * 0.7;
         const double own = run(options).hit_share;
-        options.all_knowing = true;
+        options.ideal_router = true;
         cr_assert_geq(own, 0.9 * run(options).hit_share, "%d groups", groups);
     }
 }
 
 // One group of six is three times as slow as the others; callers must not see a sixth of their
 // answers late.
-Test(policy, a_straggler_is_worked_around)
+Test(policy, a_straggler_does_not_delay_its_share_of_requests)
 {
     run_options options = at_load(0.6);
     options.stragglers = 1;
@@ -86,7 +86,7 @@
 
 // Four entry nodes see load reports that are most of a second old. They must not all run for the
 // group that looked idle: first tokens at one and at sixteen nodes are alike.
-Test(policy, lagged_reports_do_not_make_a_herd)
+Test(policy, lagged_load_reports_cause_no_herding)
 {
     run_options options = at_load(0.8);
     options.nodes = 1;
--- a/routing/policy_workload.h
+++ b/routing/policy_workload.h
@@ -13,8 +13,8 @@
 
 constexpr int workspaces = 10;
 constexpr int system_blocks = 8;
-constexpr std::size_t longest_prompt = 40;
-constexpr double share_that_goes_on = 0.75;
+constexpr std::size_t max_prompt_blocks = 40;
+constexpr double follow_up_share = 0.75;
 constexpr int conversations_per_group = 250;
 constexpr double mean_answer_tokens = 100.0;
 
@@ -40,13 +40,13 @@
         info.model = "m";
         info.stream = true;
         const std::size_t place = pick_conversation();
-        const conversation& talk = m_recent[place];
-        m_asked[id] = {place, talk.id};
-        info.prefix_blocks = talk.blocks;
-        const auto grows = static_cast<std::size_t>(m_random.between(2, 5));
-        for (std::size_t added = 0; added < grows; ++added)
+        const conversation& current = m_recent[place];
+        m_asked[id] = {place, current.id};
+        info.prefix_blocks = current.blocks;
+        const auto growth = static_cast<std::size_t>(m_random.between(2, 5));
+        for (std::size_t added = 0; added < growth; ++added)
             info.prefix_blocks.push_back(m_random.bits() | 1U);
-        info.workspace = workspace_id{"ws-" + std::to_string(talk.workspace)};
+        info.workspace = workspace_id{"ws-" + std::to_string(current.workspace)};
         info.prompt_tokens = static_cast<std::uint32_t>(info.prefix_blocks.size()) * block_tokens;
         const double tokens = m_random.exponential(mean_answer_tokens);
         info.answer_tokens = static_cast<std::uint32_t>(std::clamp(tokens, 8.0, 300.0));
@@ -59,9 +59,9 @@
         const auto asked = m_asked.find(id);
         if (asked == m_asked.end())
             return;
-        conversation& talk = m_recent[asked->second.place];
-        if (talk.id == asked->second.conversation && talk.blocks.size() < blocks.size())
-            talk.blocks = blocks;
+        conversation& current = m_recent[asked->second.place];
+        if (current.id == asked->second.conversation && current.blocks.size() < blocks.size())
+            current.blocks = blocks;
         m_asked.erase(asked);
     }
 
@@ -73,22 +73,22 @@
 
     std::size_t pick_conversation()
     {
-        if (!m_recent.empty() && m_random.chance(share_that_goes_on)) {
+        if (!m_recent.empty() && m_random.chance(follow_up_share)) {
             const std::size_t place = m_random.index(m_recent.size());
-            if (m_recent[place].blocks.size() >= longest_prompt)
-                m_recent[place] = fresh();
+            if (m_recent[place].blocks.size() >= max_prompt_blocks)
+                m_recent[place] = new_conversation();
             return place;
         }
         if (m_recent.size() < m_conversations) {
-            m_recent.push_back(fresh());
+            m_recent.push_back(new_conversation());
             return m_recent.size() - 1;
         }
         const std::size_t oldest = m_next++ % m_recent.size();
-        m_recent[oldest] = fresh();
+        m_recent[oldest] = new_conversation();
         return oldest;
     }
 
-    conversation fresh()
+    conversation new_conversation()
     {
         // A few large workspaces: the share falls as 1, 1/2, 1/3 ...
         double mass = 0.0;
--- a/routing/pool_table.cc
+++ b/routing/pool_table.cc
@@ -15,12 +15,12 @@
 
 constexpr double smoothing = 0.1;
 /// Not every place of a pool is given out, so that affinity has some choice when the pool is full.
-constexpr double part_without_slack = 0.9;
+constexpr double max_utilisation = 0.9;
 constexpr std::size_t plain_prefix_entries = 1; ///< plain requests have no prompt
 
 /// How much more a higher priority gets of a contended pool; a finite factor, so that no priority
 /// starves another.
-double factor_of(priority_class priority)
+double priority_factor(priority_class priority)
 {
     switch (priority) {
     case priority_class::batch:
@@ -45,17 +45,18 @@
 
 double pool_row::capacity() const
 {
-    const double slack = usable_targets > 1 ? part_without_slack : 1.0;
-    return std::max(1.0, std::floor(usable_targets * view.cap * limit.part() * slack));
+    const double slack = usable_targets > 1 ? max_utilisation : 1.0;
+    return std::max(1.0,
+                    std::floor(usable_targets * view.max_per_target * limit.fraction() * slack));
 }
 
-std::uint32_t pool_row::allowed() const
+std::uint32_t pool_row::allowed_in_flight() const
 {
-    const double own = in_flight - departing + static_cast<double>(queue.size());
-    const double all = own + others_want;
+    const double own = in_flight - in_flight_leaving + static_cast<double>(queue.size());
+    const double all = own + peer_demand;
     if (all <= capacity())
-        return static_cast<std::uint32_t>(capacity() - others_want);
-    return static_cast<std::uint32_t>(std::floor(capacity() * own / all + luck));
+        return static_cast<std::uint32_t>(capacity() - peer_demand);
+    return static_cast<std::uint32_t>(std::floor(capacity() * own / all + rounding_draw));
 }
 
 double pool_row::weight_of(const workspace_id& workspace, priority_class priority) const
@@ -66,7 +67,7 @@
         if (row.workspace == workspace)
             weight = row.weight;
     }
-    return std::max(weight, least_weight) * factor_of(priority);
+    return std::max(weight, least_weight) * priority_factor(priority);
 }
 
 std::uint32_t pool_row::limit_of(const workspace_id& workspace) const
@@ -86,7 +87,7 @@
     workspace_use& made = uses[workspace];
     made.limit = limit_of(workspace);
     if (made.limit > 0)
-        made.others = peers.of_workspace(info.name, workspace);
+        made.others = peers.workspace_demand(info.name, workspace);
     return made;
 }
 
@@ -114,27 +115,28 @@
 double pool_row::estimated_wait_s(const flow_key& flow, double weight) const
 {
     if (modelled()) {
-        if (free > static_cast<double>(queue.size()))
+        if (available_places > static_cast<double>(queue.size()))
             return 0.0;
-        const double places = std::max(1.0, free + in_flight);
-        return (queue.ahead_of(flow, weight) + 1.0) * service_s / places;
+        const double places = std::max(1.0, available_places + in_flight);
+        return (queue.requests_ahead(flow, weight) + 1.0) * service_s / places;
     }
-    const double slots = std::max(1U, allowed());
-    const double free_slots = slots - (in_flight - departing) - static_cast<double>(queue.size());
+    const double slots = std::max(1U, allowed_in_flight());
+    const double free_slots =
+        slots - (in_flight - in_flight_leaving) - static_cast<double>(queue.size());
     if (free_slots >= 1.0)
         return 0.0;
-    const double by_all = (queue.ahead_of(flow, weight) + 1.0) * service_s / slots;
-    return std::max(by_all, queue.backlog_s(flow));
+    const double by_all = (queue.requests_ahead(flow, weight) + 1.0) * service_s / slots;
+    return std::max(by_all, queue.backlog_wait_s(flow));
 }
 
-double pool_row::waiting_part(const target_table& targets, time_point now) const
+double pool_row::queued_ratio(const target_table& targets, time_point now) const
 {
-    constexpr double least_worth = 0.25; ///< older reports say nothing about now
+    constexpr double min_freshness = 0.25; ///< older reports say nothing about now
     double waiting = 0.0;
     double running = 1.0;
     for (const target_row_index row : view.targets) {
         const load_estimate& load = targets.at(row).load;
-        if (load.worth(now) < least_worth)
+        if (load.freshness(now) < min_freshness)
             continue;
         waiting += load.waiting();
         running += load.running();
@@ -148,33 +150,34 @@
     const bool had_target = usable_targets > 0;
     if (view_version != targets.version()) {
         view_version = targets.version();
-        list_targets(view, targets, info.name);
+        rebuild_targets(view, targets, info.name);
     }
-    view.cap = std::max(1U, info.kind == pool_kind::model ? info.max_in_flight_per_replica
-                                                          : info.max_in_flight_per_server);
+    view.max_per_target =
+        std::max(1U, info.kind == pool_kind::model ? info.max_in_flight_per_replica
+                                                   : info.max_in_flight_per_server);
     usable_targets = 0;
-    std::uint32_t staying = 0;
+    std::uint32_t in_flight_staying = 0;
     for (const target_row_index row : view.targets) {
         const target_row& counted = targets.at(row);
-        staying += counted.leaving() ? 0 : counted.own;
+        in_flight_staying += counted.leaving() ? 0 : counted.own;
         usable_targets += counted.leaving() || counted.health.ejected ? 0 : 1;
     }
-    departing = in_flight - staying;
+    in_flight_leaving = in_flight - in_flight_staying;
     if (usable_targets == 0 && had_target)
-        without_target_since = now;
-    refresh(view, targets, now);
+        no_target_since = now;
+    refresh_view(view, targets, now);
     if (modelled()) {
-        free = free_places(targets, view, info, nodes, now);
+        available_places = free_places(targets, view, info, nodes, now);
         return; // the groups' own words tell what the other nodes have there
     }
 
-    others_want = 0;
-    for (const node_demand& other : peers.of_pool(info.name))
-        others_want += other.wanted;
+    peer_demand = 0;
+    for (const node_demand& other : peers.pool_demand(info.name))
+        peer_demand += other.wanted;
     for (auto& [workspace, use] : uses) {
         use.limit = limit_of(workspace);
         if (use.limit > 0)
-            use.others = peers.of_workspace(info.name, workspace);
+            use.others = peers.workspace_demand(info.name, workspace);
     }
 }
 
@@ -204,7 +207,7 @@
         *unused = pool_row{written, settings};
 }
 
-pool_index pool_table::of_service(std::string_view service, std::string_view model) const
+pool_index pool_table::find_for_service(std::string_view service, std::string_view model) const
 {
     for (pool_index index = 0; index < size(); ++index) {
         const pool_row& row = m_rows[index];
--- a/routing/prefix_index.cc
+++ b/routing/prefix_index.cc
@@ -47,7 +47,7 @@
     return nullptr;
 }
 
-prefix_index::entry& prefix_index::find_or_make(std::uint64_t block)
+prefix_index::entry& prefix_index::find_or_create(std::uint64_t block)
 {
     entry* set = &m_entries[set_of(block)];
     entry* oldest = set;
@@ -69,7 +69,7 @@
 
 void prefix_index::note_stored(std::uint64_t block, target_slot slot)
 {
-    auto& slots = find_or_make(block).slots;
+    auto& slots = find_or_create(block).slots;
     const auto known = std::find(slots.begin(), slots.end(), slot);
     const auto last = known == slots.end() ? slots.end() - 1 : known;
     std::rotate(slots.begin(), last, last + 1);
@@ -80,34 +80,34 @@
 {
     if (find(block) == nullptr)
         return;
-    auto& slots = find_or_make(block).slots;
+    auto& slots = find_or_create(block).slots;
     std::replace(slots.begin(), slots.end(), slot, target_slot{});
 }
 
 void prefix_index::count_request()
 {
     m_requests += 1.0F;
-    if (m_requests < counted_requests)
+    if (m_requests < epoch_requests)
         return;
-    m_before = (m_before + m_requests) / 2;
+    m_earlier_requests = (m_earlier_requests + m_requests) / 2;
     m_requests = 0.0F;
     ++m_epoch;
 }
 
-double prefix_index::note_request(std::uint64_t block)
+double prefix_index::count_block_request(std::uint64_t block)
 {
-    entry& counted = find_or_make(block);
+    entry& counted = find_or_create(block);
     const auto passed = static_cast<int>(std::min<std::uint32_t>(m_epoch - counted.epoch, 32));
     counted.requests = std::ldexp(counted.requests, -passed) + 1.0F;
     counted.epoch = m_epoch;
-    return counted.requests / (m_requests + m_before + unseen_requests);
+    return counted.requests / (m_requests + m_earlier_requests + prior_requests);
 }
 
-std::size_t prefix_index::longest(std::span<const std::uint64_t> blocks,
-                                  std::span<prefix_match> best) const
+std::size_t prefix_index::longest_matches(std::span<const std::uint64_t> blocks,
+                                          std::span<prefix_match> best) const
 {
     std::size_t found = 0;
-    std::size_t depth = std::min(blocks.size(), most_prefix_blocks);
+    std::size_t depth = std::min(blocks.size(), max_prefix_blocks);
     for (; depth > 0 && found < best.size(); --depth) {
         const entry* known = find(blocks[depth - 1]);
         if (known == nullptr)
--- a/routing/prefix_index.h
+++ b/routing/prefix_index.h
@@ -31,7 +31,7 @@
 };
 
 /// Only this many blocks of a prompt are looked at, so that the work on one request is bounded.
-constexpr std::size_t most_prefix_blocks = 64;
+constexpr std::size_t max_prefix_blocks = 64;
 
 /// Bounded: sets of entries; within a full set the entry that was used least recently goes.
 class prefix_index {
@@ -45,19 +45,19 @@
     void note_evicted(std::uint64_t block, target_slot slot);
     /// Counts a request that goes through `block` and returns its share of the recent requests,
     /// 0..1, as this node sees them.
-    double note_request(std::uint64_t block);
+    double count_block_request(std::uint64_t block);
     /// The targets with the longest matches, longest first; returns how many were found.
-    [[nodiscard]] std::size_t longest(std::span<const std::uint64_t> blocks,
-                                      std::span<prefix_match> best) const;
+    [[nodiscard]] std::size_t longest_matches(std::span<const std::uint64_t> blocks,
+                                              std::span<prefix_match> best) const;
     /// Halves the counts of requests once in a while, so that popularity is recent.
     void count_request();
 
 private:
     static constexpr std::size_t ways = 4; ///< entries of a set
     static constexpr std::size_t slots_per_entry = 4;
-    static constexpr float counted_requests = 2'048.0F; ///< window of popularity
+    static constexpr float epoch_requests = 2'048.0F; ///< window of popularity
     /// Added to the total, so that the first requests don't each pass for all the traffic there is.
-    static constexpr float unseen_requests = 32.0F;
+    static constexpr float prior_requests = 32.0F;
 
     struct entry {
         std::uint64_t block = 0; ///< 0 is empty
@@ -68,15 +68,15 @@
     };
 
     [[nodiscard]] const entry* find(std::uint64_t block) const;
-    entry& find_or_make(std::uint64_t block);
+    entry& find_or_create(std::uint64_t block);
     [[nodiscard]] std::size_t set_of(std::uint64_t block) const;
 
     std::vector<entry> m_entries;
     std::size_t m_set_mask = 0;
     std::uint32_t m_clock = 0;
     std::uint32_t m_epoch = 0;
-    float m_requests = 0.0F; ///< of the present epoch
-    float m_before = 0.0F;   ///< of the epochs before, halved at each
+    float m_requests = 0.0F;         ///< of the present epoch
+    float m_earlier_requests = 0.0F; ///< of the epochs before, halved at each
 };
 
 } // namespace jaynotch
--- a/routing/rate_limits.cc
+++ b/routing/rate_limits.cc
@@ -21,14 +21,15 @@
 namespace {
 
 /// A member that is not heard of may still send.
-constexpr std::chrono::seconds keep_silent_member{15};
+constexpr std::chrono::seconds silent_member_retention{15};
 /// Least that a limit counts as, requests a second: without any request nobody would hear that it
 /// is lifted.
-constexpr double least_per_second = 0.2;
-constexpr double part_base = 2.0; ///< parts of a limit of less than one request a second
+constexpr double min_per_second = 0.2;
+constexpr double base_parts = 2.0; ///< parts of a limit of less than one request a second
 constexpr std::chrono::milliseconds refresh_interval{2'000};
-constexpr std::chrono::milliseconds change_interval{250}; ///< between two words on a changing limit
-constexpr std::chrono::seconds trial_silence{10};
+constexpr std::chrono::milliseconds change_refresh_interval{
+    250}; ///< between two words on a changing limit
+constexpr std::chrono::seconds trial_delay{10};
 constexpr double trial_spacing = 4.0; ///< between the trials of two ranks, in requests of the limit
 
 duration from_seconds(double span)
@@ -41,13 +42,14 @@
     return std::chrono::duration<double>(span).count();
 }
 
-double counted(double per_second)
+double effective_limit(double per_second)
 {
-    return std::max(per_second, least_per_second);
+    return std::max(per_second, min_per_second);
 }
 
 /// Place of `self` among `names`.
-std::size_t place_of(const std::string& self, std::string_view key, std::vector<std::string> names)
+std::size_t rendezvous_rank(const std::string& self, std::string_view key,
+                            std::vector<std::string> names)
 {
     const std::vector<std::size_t> order = rendezvous(key, names, names.size());
     const auto found = std::find_if(order.begin(), order.end(),
@@ -70,7 +72,7 @@
         if (one.live)
             m_last_live[one.node] = now;
         const auto last = m_last_live.find(one.node);
-        if (last != m_last_live.end() && now - last->second <= keep_silent_member)
+        if (last != m_last_live.end() && now - last->second <= silent_member_retention)
             sharers[one.node] = one.failure_domain;
     }
     std::erase_if(m_last_live, [&](const auto& entry) { return !sharers.contains(entry.first); });
@@ -78,127 +80,129 @@
         return;
     m_sharers = std::move(sharers);
     for (auto& [server, row] : m_servers) {
-        fill(row, now);
-        split(server, row);
+        refill(row, now);
+        update_share(server, row);
     }
 }
 
-bool rate_limits::answered(const vm_id& server, const failure_domain_id& where,
-                           std::optional<double> per_second, time_point now)
+bool rate_limits::server_report(const vm_id& server, const failure_domain_id& server_domain,
+                                std::optional<double> per_second, time_point now)
 {
     if (!per_second)
         return m_servers.erase(server) > 0;
     const auto known = m_servers.find(server);
     const bool first = known == m_servers.end();
     const bool changed = !first && known->second.per_second != *per_second;
-    server_row* row = install(server, where, *per_second, now);
+    server_row* row = install(server, server_domain, *per_second, now);
     if (row == nullptr)
         return false;
-    row->heard = now;
-    const duration since = now - row->told;
-    const bool due = first || since >= refresh_interval || (changed && since >= change_interval);
+    row->last_named_at = now;
+    const duration since = now - row->peer_report;
+    const bool due =
+        first || since >= refresh_interval || (changed && since >= change_refresh_interval);
     if (due)
-        row->told = now;
+        row->peer_report = now;
     return due;
 }
 
-void rate_limits::told(const vm_id& server, const failure_domain_id& where,
-                       std::optional<double> per_second, time_point observed, time_point now)
+void rate_limits::peer_report(const vm_id& server, const failure_domain_id& server_domain,
+                              std::optional<double> per_second, time_point observed, time_point now)
 {
     const auto known = m_servers.find(server);
-    if (known != m_servers.end() && known->second.heard >= observed)
+    if (known != m_servers.end() && known->second.last_named_at >= observed)
         return;
     if (!per_second) {
         m_servers.erase(server);
         return;
     }
-    server_row* row = install(server, where, *per_second, now);
+    server_row* row = install(server, server_domain, *per_second, now);
     if (row == nullptr)
         return;
-    row->heard = observed;
-    row->told = observed;
+    row->last_named_at = observed;
+    row->peer_report = observed;
 }
 
-rate_limits::server_row* rate_limits::install(const vm_id& server, const failure_domain_id& where,
+rate_limits::server_row* rate_limits::install(const vm_id& server,
+                                              const failure_domain_id& server_domain,
                                               double per_second, time_point now)
 {
     auto known = m_servers.find(server);
     const bool first = known == m_servers.end();
-    if (first && m_servers.size() >= most_servers)
+    if (first && m_servers.size() >= max_servers)
         return nullptr;
     if (first)
-        known = m_servers.emplace(server, server_row{.tried = now, .filled = now}).first;
+        known = m_servers.emplace(server, server_row{.last_trial = now, .refilled_at = now}).first;
     server_row& row = known->second;
-    if (!first && row.per_second == per_second && row.where == where)
+    if (!first && row.per_second == per_second && row.server_domain == server_domain)
         return &row;
-    fill(row, now);
+    refill(row, now);
     row.per_second = per_second;
-    row.where = where;
-    split(server, row);
+    row.server_domain = server_domain;
+    update_share(server, row);
     return &row;
 }
 
-void rate_limits::split(const vm_id& server, server_row& row) const
+void rate_limits::update_share(const vm_id& server, server_row& row) const
 {
-    const double limit = counted(row.per_second);
+    const double limit = effective_limit(row.per_second);
     const auto nodes = static_cast<double>(m_sharers.size());
-    const double parts = std::min(nodes, part_base + std::floor(limit));
-    row.rank = rank_at(server, row.where);
+    const double parts = std::min(nodes, base_parts + std::floor(limit));
+    row.rank = rank_for(server, row.server_domain);
     row.share = static_cast<double>(row.rank) < parts ? limit / parts : 0.0;
-    row.most_saved = std::max(1.0, (part_base + limit) / parts);
-    row.saved = std::min(row.saved, row.share > 0.0 ? row.most_saved : 0.0);
+    row.bucket_size = std::max(1.0, (base_parts + limit) / parts);
+    row.tokens = std::min(row.tokens, row.share > 0.0 ? row.bucket_size : 0.0);
 }
 
-std::size_t rate_limits::rank_at(const vm_id& server, const failure_domain_id& where) const
+std::size_t rate_limits::rank_for(const vm_id& server, const failure_domain_id& server_domain) const
 {
-    std::vector<std::string> near;
-    std::vector<std::string> far;
+    std::vector<std::string> same_domain;
+    std::vector<std::string> other_domains;
     for (const auto& [node, domain] : m_sharers)
-        (domain == where ? near : far).push_back(node.value());
-    const std::size_t place = place_of(m_self.value(), server.value(), near);
-    if (place < near.size())
+        (domain == server_domain ? same_domain : other_domains).push_back(node.value());
+    const std::size_t place = rendezvous_rank(m_self.value(), server.value(), same_domain);
+    if (place < same_domain.size())
         return place;
-    return near.size() + place_of(m_self.value(), server.value(), far);
+    return same_domain.size() + rendezvous_rank(m_self.value(), server.value(), other_domains);
 }
 
-double rate_limits::saved_at(const server_row& row, time_point now)
+double rate_limits::tokens_at(const server_row& row, time_point now)
 {
-    return std::min(row.most_saved, row.saved + row.share * seconds(now - row.filled));
+    return std::min(row.bucket_size, row.tokens + row.share * seconds(now - row.refilled_at));
 }
 
-void rate_limits::fill(server_row& row, time_point now)
+void rate_limits::refill(server_row& row, time_point now)
 {
-    row.saved = saved_at(row, now);
-    row.filled = now;
+    row.tokens = tokens_at(row, now);
+    row.refilled_at = now;
 }
 
 void rate_limits::tick(time_point now)
 {
     for (auto& [server, row] : m_servers) {
-        const double turn_s =
-            static_cast<double>(row.rank) * trial_spacing / counted(row.per_second);
-        const duration silence = trial_silence + from_seconds(turn_s);
-        if (row.share > 0.0 || now - std::max(row.heard, row.tried) < silence)
+        const double rank_delay_s =
+            static_cast<double>(row.rank) * trial_spacing / effective_limit(row.per_second);
+        const duration silence = trial_delay + from_seconds(rank_delay_s);
+        if (row.share > 0.0 || now - std::max(row.last_named_at, row.last_trial) < silence)
             continue;
-        row.tried = now;
-        row.saved = 1.0;
-        row.filled = now;
+        row.last_trial = now;
+        row.tokens = 1.0;
+        row.refilled_at = now;
     }
 }
 
 bool rate_limits::may_send(const vm_id& server, time_point now) const
 {
     const auto known = m_servers.find(server);
-    return known == m_servers.end() || saved_at(known->second, now) >= 1.0;
+    return known == m_servers.end() || tokens_at(known->second, now) >= 1.0;
 }
 
-void rate_limits::take(const vm_id& server, time_point now)
+void rate_limits::consume(const vm_id& server, time_point now)
 {
     const auto known = m_servers.find(server);
     if (known == m_servers.end())
         return;
-    fill(known->second, now);
-    known->second.saved -= 1.0;
+    refill(known->second, now);
+    known->second.tokens -= 1.0;
 }
 
 duration rate_limits::wait(const vm_id& server, time_point now) const
@@ -207,7 +211,7 @@
     if (known == m_servers.end())
         return duration{0};
     const server_row& row = known->second;
-    const double missing = 1.0 - saved_at(row, now);
+    const double missing = 1.0 - tokens_at(row, now);
     if (missing <= 0.0)
         return duration{0};
     return row.share > 0.0 ? from_seconds(missing / row.share) : duration::max();
--- a/routing/rate_limits_test.cc
+++ b/routing/rate_limits_test.cc
@@ -79,10 +79,10 @@
 
 private:
     static constexpr duration step_time = 20ms;
-    static constexpr duration knowing = 500ms;
+    static constexpr duration settling_time = 500ms;
     static constexpr duration answer_time = 200ms;
     static constexpr duration rumor_time = 300ms;
-    static constexpr duration death_seen = 5s;
+    static constexpr duration failure_detection_time = 5s;
     static constexpr duration view_interval = 1s;
 
     struct node {
@@ -94,7 +94,7 @@
         int island = 0;
         double wanted = 0.0;
         std::map<std::size_t, time_point> seen; ///< others, when last heard
-        time_point viewed{};
+        time_point view_updated_at{};
         std::optional<time_point> named; ///< when an answer first named the limit to it
     };
     struct answer {
@@ -120,15 +120,15 @@
     void step()
     {
         m_now += step_time;
-        hand_out_answers();
-        hand_out_rumors();
+        deliver_answers();
+        deliver_rumors();
         for (std::size_t index = 0; index < m_nodes.size(); ++index) {
             if (m_nodes[index].running)
                 act(index);
         }
     }
 
-    void hand_out_answers()
+    void deliver_answers()
     {
         for (; !m_answers.empty() && m_answers.front().due <= m_now; m_answers.pop_front()) {
             const answer& arrived = m_answers.front();
@@ -136,12 +136,12 @@
             if (!one.running)
                 continue;
             one.named = one.named.value_or(m_now);
-            if (one.limits->answered(server, home, arrived.limit, m_now))
+            if (one.limits->server_report(server, home, arrived.limit, m_now))
                 m_rumors.push_back({m_now + rumor_time, arrived.to, arrived.limit, m_now});
         }
     }
 
-    void hand_out_rumors()
+    void deliver_rumors()
     {
         for (; !m_rumors.empty() && m_rumors.front().due <= m_now; m_rumors.pop_front()) {
             const rumor& spread = m_rumors.front();
@@ -149,7 +149,7 @@
                 node& one = m_nodes[to];
                 const bool reached = one.running && one.island == m_nodes[spread.from].island;
                 if (to != spread.from && reached)
-                    one.limits->told(server, home, spread.limit, spread.observed, m_now);
+                    one.limits->peer_report(server, home, spread.limit, spread.observed, m_now);
             }
         }
     }
@@ -157,14 +157,14 @@
     void act(std::size_t index)
     {
         node& one = m_nodes[index];
-        if (m_now - one.viewed >= view_interval)
-            look_around(one);
+        if (m_now - one.view_updated_at >= view_interval)
+            update_view(one);
         one.limits->tick(m_now);
         const double step_s = std::chrono::duration<double>(step_time).count();
         one.wanted = std::min(3.0, one.wanted + m_demand * step_s * 2.0 * m_random.unit());
         for (; one.wanted >= 1.0 && one.limits->may_send(server, m_now); one.wanted -= 1.0) {
-            one.limits->take(server, m_now);
-            if (one.named && m_now - *one.named >= knowing)
+            one.limits->consume(server, m_now);
+            if (one.named && m_now - *one.named >= settling_time)
                 m_arrivals.push_back(m_now);
             const std::optional<double> named =
                 m_limited ? std::optional{m_per_second} : std::nullopt;
@@ -172,9 +172,9 @@
         }
     }
 
-    void look_around(node& one)
+    void update_view(node& one)
     {
-        one.viewed = m_now;
+        one.view_updated_at = m_now;
         std::vector<fleet_member> members;
         for (std::size_t index = 0; index < m_nodes.size(); ++index) {
             const node& other = m_nodes[index];
@@ -182,7 +182,8 @@
                 one.seen[index] = m_now;
             const auto last = one.seen.find(index);
             if (last != one.seen.end())
-                members.push_back({other.name, other.domain, m_now - last->second < death_seen});
+                members.push_back(
+                    {other.name, other.domain, m_now - last->second < failure_detection_time});
         }
         one.limits->fleet_seen(members, m_now);
     }
@@ -201,7 +202,7 @@
 
 constexpr duration window = 4s;
 /// For nodes to learn of a limit.
-constexpr duration learning = 3s;
+constexpr duration learning_time = 3s;
 constexpr std::array sizes{1U, 4U, 35U, 117U, 410U};
 constexpr std::array limits{0.3, 1.4, 1.9, 7.5, 40.0};
 
@@ -214,50 +215,50 @@
 } // namespace
 
 // Guards against parts that each round up to a request, or that leave the server unused.
-Test(rate_limits, the_sum_over_all_nodes_keeps_to_the_limit_at_every_size)
+Test(rate_limits, total_rate_stays_within_the_limit_at_every_fleet_size)
 {
     constexpr double demand = 20.0;
     for (const std::size_t nodes : sizes) {
         for (const double limit : limits) {
-            fleet here{nodes, limit, demand, 1};
-            here.run(20s);
-            cr_assert_leq(here.most_in(window, learning), allowed(limit), "%zu nodes, %.1f", nodes,
-                          limit);
+            fleet sim{nodes, limit, demand, 1};
+            sim.run(20s);
+            cr_assert_leq(sim.most_in(window, learning_time), allowed(limit), "%zu nodes, %.1f",
+                          nodes, limit);
             const double wanted = std::min(limit, demand * static_cast<double>(nodes));
             const auto least = static_cast<std::size_t>(20.0 * wanted * 0.75);
-            cr_assert_geq(here.arrivals(), least, "%zu nodes, %.1f", nodes, limit);
+            cr_assert_geq(sim.arrivals(), least, "%zu nodes, %.1f", nodes, limit);
         }
     }
 }
 
 // Guards against parts that are given out twice while nodes disagree on who is there.
-Test(rate_limits, the_sum_holds_while_nodes_join_die_freeze_and_are_cut_off)
+Test(rate_limits, total_rate_stays_within_the_limit_during_faults)
 {
     for (const std::size_t nodes : {4U, 35U, 117U}) {
         for (const double limit : limits) {
             const std::uint64_t seeds = nodes > 100 ? 2 : 8;
             for (std::uint64_t seed = 1; seed <= seeds; ++seed) {
-                fleet here{nodes, limit, 6.0, seed};
+                fleet sim{nodes, limit, 6.0, seed};
                 random_source random{seed};
-                here.run(5s);
+                sim.run(5s);
                 for (int trouble = 0; trouble < 6; ++trouble) {
-                    const std::size_t one = random.index(here.size());
-                    const std::size_t other = random.index(here.size());
-                    here.kill(one);
-                    here.freeze(other);
-                    here.run(std::chrono::milliseconds{random.between(500, 4'000)});
-                    here.restart(one);
-                    here.wake(other);
-                    here.join();
+                    const std::size_t one = random.index(sim.size());
+                    const std::size_t other = random.index(sim.size());
+                    sim.kill(one);
+                    sim.freeze(other);
+                    sim.run(std::chrono::milliseconds{random.between(500, 4'000)});
+                    sim.restart(one);
+                    sim.wake(other);
+                    sim.join();
                     const std::string cut = "zone-" + std::to_string(random.index(3));
-                    for (std::size_t at = 0; at < here.size(); ++at)
-                        here.set_island(at, here.domain(at).value() == cut ? 1 : 0);
-                    here.run(std::chrono::milliseconds{random.between(1'000, 9'000)});
-                    for (std::size_t at = 0; at < here.size(); ++at)
-                        here.set_island(at, 0);
-                    here.run(std::chrono::milliseconds{random.between(100, 3'000)});
+                    for (std::size_t at = 0; at < sim.size(); ++at)
+                        sim.set_island(at, sim.domain(at).value() == cut ? 1 : 0);
+                    sim.run(std::chrono::milliseconds{random.between(1'000, 9'000)});
+                    for (std::size_t at = 0; at < sim.size(); ++at)
+                        sim.set_island(at, 0);
+                    sim.run(std::chrono::milliseconds{random.between(100, 3'000)});
                 }
-                cr_assert_leq(here.most_in(window, learning), allowed(limit),
+                cr_assert_leq(sim.most_in(window, learning_time), allowed(limit),
                               "%zu nodes, %.1f, seed %zu", nodes, limit,
                               static_cast<std::size_t>(seed));
             }
@@ -266,18 +267,18 @@
 }
 
 // Guards against nodes that go on with a limit that the server no longer names.
-Test(rate_limits, a_lifted_limit_is_known_to_all_soon)
+Test(rate_limits, a_lifted_limit_reaches_all_nodes_promptly)
 {
-    fleet here{117, 1.9, 6.0, 3};
-    here.run(8s);
-    here.lift();
-    here.run(2s);
-    for (std::size_t at = 0; at < here.size(); ++at)
-        cr_assert(here.at(at).empty(), "node %zu", at);
+    fleet sim{117, 1.9, 6.0, 3};
+    sim.run(8s);
+    sim.lift();
+    sim.run(2s);
+    for (std::size_t at = 0; at < sim.size(); ++at)
+        cr_assert(sim.at(at).empty(), "node %zu", at);
 }
 
 // Guards against a node without a part that waits for ever for a word that nobody is left to send.
-Test(rate_limits, a_node_that_hears_nothing_tries_again_by_itself)
+Test(rate_limits, a_node_without_updates_sends_trial_requests)
 {
     const node_id self{"node-0"};
     rate_limits limits{self};
@@ -289,7 +290,7 @@
     limits.fleet_seen(members, now);
     for (int index = 0; limits.share(refused).value_or(1.0) > 0.0; ++index) {
         refused = vm_id{"i-" + std::to_string(index)};
-        limits.told(refused, home, 1.0, now, now);
+        limits.peer_report(refused, home, 1.0, now, now);
     }
     cr_assert(!limits.may_send(refused, now + 9s));
     cr_assert_eq(limits.wait(refused, now), duration::max());
@@ -298,7 +299,7 @@
         limits.fleet_seen(members, now);
         limits.tick(now);
         if (limits.may_send(refused, now)) {
-            limits.take(refused, now);
+            limits.consume(refused, now);
             ++trials;
         }
     }
@@ -307,17 +308,17 @@
 }
 
 // Guards against a limit that an old rumor brings back after the server's own answer lifted it.
-Test(rate_limits, the_newest_word_on_a_server_wins)
+Test(rate_limits, the_latest_observation_of_a_server_wins)
 {
     rate_limits limits{node_id{"node-0"}};
     const time_point now{1h};
-    cr_assert(limits.answered(server, home, 2.0, now));
-    cr_assert(!limits.answered(server, home, 2.0, now + 100ms), "no news");
-    limits.told(server, home, std::nullopt, now, now + 200ms);
+    cr_assert(limits.server_report(server, home, 2.0, now));
+    cr_assert(!limits.server_report(server, home, 2.0, now + 100ms), "no news");
+    limits.peer_report(server, home, std::nullopt, now, now + 200ms);
     cr_assert(limits.share(server));
-    limits.told(server, home, std::nullopt, now + 300ms, now + 400ms);
+    limits.peer_report(server, home, std::nullopt, now + 300ms, now + 400ms);
     cr_assert(!limits.share(server));
-    cr_assert(limits.answered(server, home, 2.0, now + 1s));
-    cr_assert(limits.answered(server, home, std::nullopt, now + 2s));
+    cr_assert(limits.server_report(server, home, 2.0, now + 1s));
+    cr_assert(limits.server_report(server, home, std::nullopt, now + 2s));
     cr_assert(limits.may_send(server, now + 2s));
 }
--- a/routing/request_arrival.cc
+++ b/routing/request_arrival.cc
@@ -90,7 +90,7 @@
             break;
         }
     }
-    return pools.of_service(chosen->service, info.model);
+    return pools.find_for_service(chosen->service, info.model);
 }
 
 bool request_core::state::refuse_unroutable(const request_info& info, const route* taken,
--- a/routing/request_attempt.cc
+++ b/routing/request_attempt.cc
@@ -147,7 +147,7 @@
 void request_core::state::note_heard(request_row& row, time_point now)
 {
     target_row& target = targets.at(row.attempt.target);
-    target.heard = now;
+    target.last_activity = now;
     target.health.silent = false;
     drop_pending(row);
 }
@@ -319,8 +319,8 @@
     pool_row& pool = pools.at(row.terms.pool);
     pool.view.own -= pool.view.own > 0 ? 1 : 0;
     --pool.in_flight;
-    if (targets.at(row.attempt.target).leaving() && pool.departing > 0)
-        --pool.departing;
+    if (targets.at(row.attempt.target).leaving() && pool.in_flight_leaving > 0)
+        --pool.in_flight_leaving;
     --pool.use_of(row.info.workspace, peers).in_flight;
     pool.drop_if_unused(row.info.workspace);
 }
--- a/routing/request_core.cc
+++ b/routing/request_core.cc
@@ -75,7 +75,7 @@
     if (at == no_target)
         return false;
     const target_row& row = targets.at(at);
-    return row.own > 0 && !row.health.silent && now - row.heard < moment;
+    return row.own > 0 && !row.health.silent && now - row.last_activity < moment;
 }
 
 std::vector<target_status> request_core::targets() const
@@ -100,7 +100,7 @@
         const pool_row& row = m_state->pools.at(index);
         if (row.present)
             all.push_back({row.info.name, row.in_flight,
-                           static_cast<std::uint32_t>(row.queue.size()), row.allowed(),
+                           static_cast<std::uint32_t>(row.queue.size()), row.allowed_in_flight(),
                            row.budget.left()});
     }
     return all;
@@ -135,7 +135,7 @@
         }
         void operator()(const servers_changed& e) const
         {
-            core.targets.list_servers(e.servers, now);
+            core.targets.set_discovered_servers(e.servers, now);
             core.refresh_pools(now);
             core.dispatch_all(now, out);
         }
@@ -216,7 +216,7 @@
         for (const std::string& key : workspace.keys)
             workspaces_by_key[key] = workspace;
     }
-    targets.replace_servers(tables, now);
+    targets.set_configured_servers(tables, now);
     refresh_pools(now);
     std::vector<request_id> orphans;
     for (const auto& [request, row] : requests) {
@@ -254,11 +254,11 @@
         if (settings.mechanisms.has(mechanism::outlier_ejection))
             counters.ejections += eject_outliers(targets, pool.view.targets, now);
         if (settings.mechanisms.has(mechanism::slowness))
-            judge_slowness(targets, pool.view.targets);
+            update_slowness(targets, pool.view.targets);
         if (settings.mechanisms.has(mechanism::adaptive_limit) && !pool.modelled())
-            pool.limit.tick(pool.held_back, pool.waiting_part(targets, now), now);
-        pool.held_back = false;
-        pool.luck = random.unit();
+            pool.limit.tick(pool.limit_reached, pool.queued_ratio(targets, now), now);
+        pool.limit_reached = false;
+        pool.rounding_draw = random.unit();
         pool.refresh_all(targets, peers, fleet_size, now);
     }
     if (settings.mechanisms.has(mechanism::silence_detection))
@@ -312,7 +312,7 @@
     const target_row_index at = targets.find(group);
     if (at == no_target)
         return;
-    targets.lose(at);
+    targets.mark_lost(at);
     refresh_pools(now);
     move_requests(at, now, out);
     say_released(out);
@@ -383,17 +383,17 @@
             if (row.health.silent && now >= row.health.next_trial) {
                 row.health.silent = false;
                 row.health.on_trial = true;
-                row.heard = now;
+                row.last_activity = now;
                 continue;
             }
             const duration usual = std::chrono::duration_cast<duration>(
                 std::chrono::duration<double, std::milli>{times_usual * row.health.gap_ms});
             const duration sound =
-                longest_pause(pool.info.engine, row.info.places,
+                max_event_gap(pool.info.engine, row.info.places,
                               static_cast<double>(fleet_size) * row.pending_tokens);
             const duration most =
                 std::min<duration>(std::max<duration>({sound * 3 / 2, usual, shortest}), longest);
-            if (row.own == 0 || row.health.silent || now - row.heard <= most)
+            if (row.own == 0 || row.health.silent || now - row.last_activity <= most)
                 continue;
             row.health.silent = true;
             row.health.silent_since = now;
--- a/routing/request_dispatch.cc
+++ b/routing/request_dispatch.cc
@@ -39,8 +39,9 @@
     while (pools.at(index).queue.size() > 0) {
         pool_row& pool = pools.at(index);
         if (settings.admission && !pool.modelled() &&
-            pool.in_flight - pool.departing >= pool.allowed()) {
-            pool.held_back = true;
+            pool.in_flight - pool.in_flight_leaving >= pool.allowed_in_flight())
+        {
+            pool.limit_reached = true;
             return;
         }
         const std::optional<queued_request> next = pool.queue.pop(eligible, now);
@@ -95,18 +96,18 @@
         return pick_modelled(targets, pool.view, pool.info, wanted, now);
     }
     const std::span<const std::uint64_t> blocks{
-        row.info.prefix_blocks.data(), std::min(row.info.prefix_blocks.size(), most_prefix_blocks)};
+        row.info.prefix_blocks.data(), std::min(row.info.prefix_blocks.size(), max_prefix_blocks)};
     const pick_request wanted{
         blocks, row.terms.adapter,
         row.head_given ? std::string_view{row.given_version} : std::string_view{}, row.tried};
-    const picked chosen =
+    const pick_result chosen =
         pick(targets, pool.view, pool.prefixes, settings.pick, wanted, random, now);
     if (chosen.row == no_target)
         return no_target;
     for (const std::uint64_t block : blocks)
         pool.prefixes.note_stored(block, targets.at(chosen.row).slot(chosen.row));
     counters.prefix_blocks += blocks.size();
-    counters.prefix_blocks_held += chosen.blocks_held;
+    counters.prefix_blocks_held += chosen.cached_blocks;
     return chosen.row;
 }
 
@@ -120,13 +121,13 @@
     }
     target_row& target = targets.at(chosen);
     if (target.own == 0)
-        target.heard = now;
+        target.last_activity = now;
     use_limit(target, now);
     ++target.own;
     ++pool.view.own;
     ++pool.in_flight;
     ++pool.use_of(row.info.workspace, peers).in_flight;
-    pool.free = std::max(0.0, pool.free - 1.0);
+    pool.available_places = std::max(0.0, pool.available_places - 1.0);
 
     ++counters.attempts;
     if (row.sendings == 0)
--- a/routing/request_limits.cc
+++ b/routing/request_limits.cc
@@ -17,36 +17,38 @@
 
 } // namespace
 
-void request_core::state::take_limit(const limit_answered& answered, time_point now,
+void request_core::state::take_limit(const limit_answered& server_report, time_point now,
                                      command_list& out)
 {
-    const target_row_index at = targets.find(answered.target);
+    const target_row_index at = targets.find(server_report.target);
     if (at == no_target || targets.at(at).info.instance.value().empty())
         return;
     target_row& target = targets.at(at);
     const vm_id& server = target.info.instance;
-    const bool tell = limits.answered(server, target.info.failure_domain, answered.per_second, now);
-    target.limit_used_up = !limits.may_send(server, now);
+    const bool tell =
+        limits.server_report(server, target.info.failure_domain, server_report.per_second, now);
+    target.rate_limit_reached = !limits.may_send(server, now);
     if (!tell)
         return;
     const double share = limits.share(server).value_or(0.0);
-    out.emplace_back(share_limit{server, answered.per_second, share});
+    out.emplace_back(share_limit{server, server_report.per_second, share});
 }
 
-void request_core::state::take_limit(const limit_told& told, time_point now)
+void request_core::state::take_limit(const limit_told& peer_report, time_point now)
 {
-    const target_row_index at = targets.find_instance(told.server);
+    const target_row_index at = targets.find_instance(peer_report.server);
     const failure_domain_id where =
         at == no_target ? failure_domain_id{} : targets.at(at).info.failure_domain;
-    limits.told(told.server, where, told.per_second, now - told.age, now);
+    limits.peer_report(peer_report.server, where, peer_report.per_second, now - peer_report.age,
+                       now);
 }
 
 void request_core::state::use_limit(target_row& target, time_point now)
 {
     if (limits.empty())
         return;
-    limits.take(target.info.instance, now);
-    target.limit_used_up = !limits.may_send(target.info.instance, now);
+    limits.consume(target.info.instance, now);
+    target.rate_limit_reached = !limits.may_send(target.info.instance, now);
 }
 
 void request_core::state::take_fleet(const fleet_seen& seen, time_point now)
@@ -68,7 +70,7 @@
     limits.tick(now);
     for (std::size_t at = 0; at < targets.size(); ++at) {
         target_row& row = targets.at(static_cast<target_row_index>(at));
-        row.limit_used_up = !limits.may_send(row.info.instance, now);
+        row.rate_limit_reached = !limits.may_send(row.info.instance, now);
     }
 }
 
--- a/routing/request_limits_test.cc
+++ b/routing/request_limits_test.cc
@@ -42,7 +42,7 @@
 {
     servers all{limits, {}};
     for (const time_point until = here.now + span; here.now < until;) {
-        all.answer(here, here.ask());
+        all.answer(here, here.submit());
         all.answer(here, here.pass(duration{1s} / per_second));
     }
     return all.got;
@@ -78,10 +78,10 @@
     servers all{{{"g1", 0.3}}, {}};
     int refused = 0;
     for (int round = 0; round < 40; ++round) {
-        const command_list out = here.ask();
+        const command_list out = here.submit();
         all.answer(here, out);
         all.answer(here, here.pass(100ms));
-        if (const auto no = only<refuse>(out)) {
+        if (const auto no = last_command<refuse>(out)) {
             ++refused;
             cr_assert(no->ran == ran_state::no);
             cr_assert(no->retry_after);
--- a/routing/servers_limit_test.cc
+++ b/routing/servers_limit_test.cc
@@ -12,7 +12,7 @@
 
 using world = modelled_world;
 
-constexpr std::size_t most_servers = 2; // of the routes in store_tables()
+constexpr std::size_t most_servers = 2; // of the routes in modelled_tables()
 
 enum class step {
     sent,
@@ -30,7 +30,7 @@
 
 constexpr auto step_count = static_cast<std::size_t>(step::count);
 
-struct seen_sending {
+struct observed_sending {
     send_attempt order;
     bool sent = false;
     bool repeated = false;    ///< sent to the same server once more
@@ -41,25 +41,28 @@
 /// Slow reference: looks at every sending anew before each further one.
 class sending_history {
 public:
-    sending_history(world& here, const command_list& asked) : m_world{here} { take(asked); }
+    sending_history(world& sim, const command_list& asked) : m_world{sim}
+    {
+        handle_commands(asked);
+    }
 
-    void play(step next)
+    void apply(step next)
     {
         if (m_over || m_sendings.empty())
             return;
-        seen_sending& now = m_sendings.back();
+        observed_sending& now = m_sendings.back();
         const bool leaves = next != step::not_connected && next != step::cut &&
                             next != step::silence && next != step::group_lost;
         now.repeated = now.repeated || (next == step::sent && now.sent);
         now.sent = now.sent || leaves;
         now.did_not_run = now.did_not_run || (next == step::refused && !now.delivered);
-        take(carry_out(next, now.order));
+        handle_commands(execute(next, now.order));
     }
 
-    [[nodiscard]] bool broken() const { return m_broken; }
+    [[nodiscard]] bool violated() const { return m_violated; }
 
 private:
-    command_list carry_out(step next, const send_attempt& order)
+    command_list execute(step next, const send_attempt& order)
     {
         constexpr std::uint32_t ok = 200;
         constexpr std::uint32_t server_error = 500;
@@ -81,9 +84,9 @@
         case step::overloaded:
             return m_world.send(head_of(order, unavailable));
         case step::cut:
-            return m_world.lose(order);
+            return m_world.fail_attempt(order);
         case step::not_connected:
-            return m_world.lose(order, attempt_failure::not_connected);
+            return m_world.fail_attempt(order, attempt_failure::not_connected);
         case step::silence:
             return m_world.pass(700ms);
         case step::group_lost:
@@ -94,11 +97,11 @@
         return {};
     }
 
-    void take(const command_list& said)
+    void handle_commands(const command_list& said)
     {
         for (const command& each : said) {
             if (const auto* order = std::get_if<send_attempt>(&each)) {
-                m_broken = m_broken || servers_used() >= most_servers;
+                m_violated = m_violated || servers_used() >= most_servers;
                 m_sendings.push_back({*order});
             }
             if (std::holds_alternative<deliver>(each))
@@ -112,21 +115,21 @@
     [[nodiscard]] std::size_t servers_used() const
     {
         const auto used =
-            std::count_if(m_sendings.begin(), m_sendings.end(), [](const seen_sending& each) {
+            std::count_if(m_sendings.begin(), m_sendings.end(), [](const observed_sending& each) {
                 return each.sent && (each.repeated || !each.did_not_run);
             });
         return static_cast<std::size_t>(used);
     }
 
     world& m_world;
-    std::vector<seen_sending> m_sendings;
+    std::vector<observed_sending> m_sendings;
     bool m_over = false;
-    bool m_broken = false;
+    bool m_violated = false;
 };
 
 core_settings small_settings()
 {
-    core_settings settings = shared_settings();
+    core_settings settings = modelled_settings();
     settings.prefix_index_entries = 4;
     return settings;
 }
@@ -142,20 +145,20 @@
 }
 
 /// Plays every history of `length` steps and returns how many ran on too many servers.
-std::size_t count_broken(const std::string& path, std::size_t length)
+std::size_t count_violations(const std::string& path, std::size_t length)
 {
     std::size_t histories = 1;
     for (std::size_t at = 0; at < length; ++at)
         histories *= step_count;
-    std::size_t broken = 0;
+    std::size_t violated = 0;
     for (std::size_t number = 0; number < histories; ++number) {
-        world here = make_world();
-        sending_history told{here, here.ask(path)};
+        world sim = make_world();
+        sending_history told{sim, sim.submit(path)};
         for (std::size_t at = 0, rest = number; at < length; ++at, rest /= step_count)
-            told.play(static_cast<step>(rest % step_count));
-        broken += told.broken() ? 1 : 0;
+            told.apply(static_cast<step>(rest % step_count));
+        violated += told.violated() ? 1 : 0;
     }
-    return broken;
+    return violated;
 }
 
 } // namespace
@@ -167,67 +170,67 @@
 // Cause: a sending that ended without any part of an answer was taken for one that no server ran.
 // Proof: the log of each sending told servers_used=0 after a move by target_silent, and the server
 // that had been left was still working on the stream.
-Test(servers_limit, a_stream_that_left_a_silent_group_has_used_a_server)
+Test(servers_limit, a_stream_moved_from_a_silent_group_has_used_a_server)
 {
-    world here = make_world();
-    const send_attempt first = *only<send_attempt>(here.ask());
-    here.send(attempt_sent{first.request, first.attempt});
-    const auto second = only<send_attempt>(here.pass(700ms));
+    world sim = make_world();
+    const send_attempt first = *last_command<send_attempt>(sim.submit());
+    sim.send(attempt_sent{first.request, first.attempt});
+    const auto second = last_command<send_attempt>(sim.pass(700ms));
     cr_assert(second, "another group is free");
-    here.begin(*second);
-    cr_assert(!only<send_attempt>(here.pass(4s)), "a third server");
+    sim.begin(*second);
+    cr_assert(!last_command<send_attempt>(sim.pass(4s)), "a third server");
 }
 
 // Guards against a third server after a connection that a live server closed before any answer.
-Test(servers_limit, a_connection_cut_before_any_answer_uses_up_a_server)
+Test(servers_limit, a_connection_cut_before_any_response_counts_as_a_server_used)
 {
-    world here = make_world();
-    const send_attempt first = *only<send_attempt>(here.ask());
-    here.send(attempt_sent{first.request, first.attempt});
-    const auto second = only<send_attempt>(here.lose(first));
+    world sim = make_world();
+    const send_attempt first = *last_command<send_attempt>(sim.submit());
+    sim.send(attempt_sent{first.request, first.attempt});
+    const auto second = last_command<send_attempt>(sim.fail_attempt(first));
     cr_assert(second, "one more server is allowed");
-    here.begin(*second);
-    cr_assert(!only<send_attempt>(here.lose(*second)), "a third server");
+    sim.begin(*second);
+    cr_assert(!last_command<send_attempt>(sim.fail_attempt(*second)), "a third server");
 }
 
 // Guards against repeats of the HTTP client's own that the pool's retries don't bound.
 Test(servers_limit, a_repeat_to_the_same_server_is_charged)
 {
-    const auto retries_left = [](const world& here) {
+    const auto retries_left = [](const world& sim) {
         double sum = 0.0;
-        for (const pool_status& pool : here.core.pools())
+        for (const pool_status& pool : sim.core.pools())
             sum += pool.retries_left;
         return sum;
     };
-    world here = make_world();
-    const send_attempt first = *only<send_attempt>(here.ask());
-    here.send(attempt_sent{first.request, first.attempt});
-    const double before = retries_left(here);
-    here.send(attempt_sent{first.request, first.attempt});
-    cr_assert_float_eq(retries_left(here), before - 1.0, 1e-9);
+    world sim = make_world();
+    const send_attempt first = *last_command<send_attempt>(sim.submit());
+    sim.send(attempt_sent{first.request, first.attempt});
+    const double before = retries_left(sim);
+    sim.send(attempt_sent{first.request, first.attempt});
+    cr_assert_float_eq(retries_left(sim), before - 1.0, 1e-9);
 }
 
 // Guards against "it did not run" when the server says so of a repeat and may have run the first.
-Test(servers_limit, a_refusal_of_a_repeat_says_nothing_of_the_first)
+Test(servers_limit, a_refused_repeat_does_not_prove_that_the_first_did_not_run)
 {
-    world here{1, small_settings()};
-    const send_attempt order = *only<send_attempt>(here.ask());
-    here.send(attempt_sent{order.request, order.attempt});
-    command_list said = here.refuse_it(order);
-    const command_list later = here.pass(10s);
+    world sim{1, small_settings()};
+    const send_attempt order = *last_command<send_attempt>(sim.submit());
+    sim.send(attempt_sent{order.request, order.attempt});
+    command_list said = sim.refuse_attempt(order);
+    const command_list later = sim.pass(10s);
     said.insert(said.end(), later.begin(), later.end());
-    cr_assert_eq(only<refuse>(said)->ran, ran_state::unknown);
+    cr_assert_eq(last_command<refuse>(said)->ran, ran_state::unknown);
 }
 
 // Guards against any other way to one server too many: every short history of a stream and of a
 // read.
-Test(servers_limit, every_short_history_of_a_stream)
+Test(servers_limit, no_short_stream_history_exceeds_the_server_limit)
 {
-    const std::size_t broken = count_broken("/chat/x", 5);
-    cr_assert_eq(broken, 0U, "%zu histories", broken);
+    const std::size_t violated = count_violations("/chat/x", 5);
+    cr_assert_eq(violated, 0U, "%zu histories", violated);
 }
-Test(servers_limit, every_short_history_of_a_read)
+Test(servers_limit, no_short_read_history_exceeds_the_server_limit)
 {
-    const std::size_t broken = count_broken("/chat/deep/x", 4);
-    cr_assert_eq(broken, 0U, "%zu histories", broken);
+    const std::size_t violated = count_violations("/chat/deep/x", 4);
+    cr_assert_eq(violated, 0U, "%zu histories", violated);
 }
--- a/routing/target_table.cc
+++ b/routing/target_table.cc
@@ -13,7 +13,7 @@
 namespace {
 
 /// A report is worth half after this long: about two reports of an engine that tells each second.
-constexpr std::chrono::milliseconds half_worth{2'000};
+constexpr std::chrono::milliseconds report_half_life{2'000};
 
 double seconds(duration span)
 {
@@ -25,10 +25,10 @@
 void load_estimate::report(const target_load& load, std::chrono::milliseconds age, time_point now)
 {
     const time_point made = now - age;
-    if (m_known && made < m_made)
+    if (m_known && made < m_reported_at)
         return;
     m_known = true;
-    m_made = made;
+    m_reported_at = made;
     m_waiting = load.waiting;
     m_running = load.running;
     const double all = load.running + load.waiting;
@@ -38,7 +38,7 @@
 void load_estimate::report_now(const target_load& load, std::uint32_t own, time_point now)
 {
     m_known = true;
-    m_made = now;
+    m_reported_at = now;
     m_waiting = load.waiting;
     m_running = load.running;
     m_others = std::max(0.0, static_cast<double>(load.running + load.waiting) - own);
@@ -46,9 +46,9 @@
 
 void load_estimate::sample_own(std::uint32_t own, time_point now)
 {
-    if (now - m_sampled < sample_interval)
+    if (now - m_sampled_at < sample_interval)
         return;
-    m_sampled = now;
+    m_sampled_at = now;
     m_own[m_next_sample] = static_cast<std::uint16_t>(std::min<std::uint32_t>(own, UINT16_MAX));
     m_next_sample = (m_next_sample + 1) % samples;
 }
@@ -57,21 +57,21 @@
 {
     // A report of a second ago counts what we had a second ago; taking off what we have now would
     // credit our newest requests to it and make the target look free of others.
-    const auto back = std::max<duration>(m_sampled - then, duration::zero()) / sample_interval;
+    const auto back = std::max<duration>(m_sampled_at - then, duration::zero()) / sample_interval;
     const auto steps = std::min<std::size_t>(static_cast<std::size_t>(back), samples - 1);
     return m_own[(m_next_sample + samples - 1 - steps) % samples];
 }
 
-double load_estimate::worth(time_point now) const
+double load_estimate::freshness(time_point now) const
 {
     if (!m_known)
         return 0.0;
-    return std::exp2(-seconds(now - m_made) / seconds(half_worth));
+    return std::exp2(-seconds(now - m_reported_at) / seconds(report_half_life));
 }
 
 double load_estimate::others(double mean, time_point now) const
 {
-    const double worth_now = worth(now);
+    const double worth_now = freshness(now);
     return worth_now * m_others + (1.0 - worth_now) * mean;
 }
 
@@ -96,15 +96,15 @@
     replace(groups, pool_kind::model, now);
 }
 
-void target_table::list_servers(const std::vector<target>& servers, time_point now)
+void target_table::set_discovered_servers(const std::vector<target>& servers, time_point now)
 {
-    m_servers_listed = true;
+    m_servers_discovered = true;
     replace(servers, pool_kind::plain, now);
 }
 
-void target_table::replace_servers(const configuration& tables, time_point now)
+void target_table::set_configured_servers(const configuration& tables, time_point now)
 {
-    if (m_servers_listed)
+    if (m_servers_discovered)
         return;
     std::vector<target> servers;
     for (const pool& row : tables.pools) {
@@ -124,15 +124,15 @@
 void target_table::replace(const std::vector<target>& wanted, pool_kind kind, time_point now)
 {
     ++m_version;
-    std::vector<bool> still(m_rows.size(), false);
+    std::vector<bool> still_present(m_rows.size(), false);
     for (const target& added : wanted) {
         target_row_index row = find(added.id);
         if (row == no_target)
             row = make_row(added, kind);
         if (row == no_target)
             continue;
-        still.resize(m_rows.size(), false);
-        still[row] = true;
+        still_present.resize(m_rows.size(), false);
+        still_present[row] = true;
         target_row& kept = m_rows[row];
         // Another epoch of a group is another process state: its cache is not what we knew.
         if (kept.info.fencing != added.fencing || kept.info.version != added.version) {
@@ -147,7 +147,7 @@
         kept.release_due = kept.release_due || added.leaving;
     }
     for (std::size_t row = 0; row < m_rows.size(); ++row) {
-        if (m_rows[row].kind != kind || !m_rows[row].present || still[row])
+        if (m_rows[row].kind != kind || !m_rows[row].present || still_present[row])
             continue;
         m_rows[row].present = false;
         m_rows[row].release_due = true;
@@ -158,7 +158,7 @@
 {
     free_unused();
     if (m_free.empty()) {
-        if (m_rows.size() >= most_targets)
+        if (m_rows.size() >= max_targets)
             return no_target;
         m_free.push_back(static_cast<target_row_index>(m_rows.size()));
         m_rows.emplace_back();
@@ -174,7 +174,7 @@
     m_by_id[added.id] = row;
     const auto early = std::find(m_early_leaving.begin(), m_early_leaving.end(), added.id);
     if (early != m_early_leaving.end()) {
-        m_rows[row].told_leaving = true;
+        m_rows[row].marked_leaving = true;
         m_rows[row].release_due = true;
         m_early_leaving.erase(early);
     }
@@ -198,25 +198,25 @@
 {
     const target_row_index row = find(id);
     if (row != no_target) {
-        const bool news = m_rows[row].told_leaving != leaving;
-        m_rows[row].told_leaving = leaving;
-        m_rows[row].release_due = leaving && (news || m_rows[row].release_due);
+        const bool changed = m_rows[row].marked_leaving != leaving;
+        m_rows[row].marked_leaving = leaving;
+        m_rows[row].release_due = leaving && (changed || m_rows[row].release_due);
         return;
     }
     // The word may overtake the list that names the target; it must not be lost.
     std::erase(m_early_leaving, id);
-    if (leaving && m_early_leaving.size() < most_early_words)
+    if (leaving && m_early_leaving.size() < max_early_leaving)
         m_early_leaving.push_back(id);
 }
 
-void target_table::lose(target_row_index row)
+void target_table::mark_lost(target_row_index row)
 {
     ++m_version;
     m_rows[row].present = false;
     m_rows[row].release_due = true;
 }
 
-std::vector<target_row_index> target_table::of_pool(const pool_id& pool) const
+std::vector<target_row_index> target_table::targets_of_pool(const pool_id& pool) const
 {
     std::vector<target_row_index> rows;
     for (std::size_t row = 0; row < m_rows.size(); ++row) {
--- a/routing/target_table.h
+++ b/routing/target_table.h
@@ -20,7 +20,7 @@
 
 using target_row_index = std::uint16_t;
 constexpr target_row_index no_target = std::numeric_limits<target_row_index>::max();
-constexpr std::size_t most_targets = no_target;
+constexpr std::size_t max_targets = no_target;
 
 /// What this node thinks others have in flight at a target.
 class load_estimate {
@@ -36,11 +36,12 @@
     [[nodiscard]] double others(double mean, time_point now) const;
     /// The same without drawing, and how much it is worth, 0..1.
     [[nodiscard]] double reported_others() const { return m_others; }
-    [[nodiscard]] double worth(time_point now) const;
+    [[nodiscard]] double freshness(time_point now) const;
     /// Since the target made its report; -1 if there is none.
     [[nodiscard]] std::int64_t age_ms(time_point now) const
     {
-        return m_known ? std::chrono::duration_cast<std::chrono::milliseconds>(now - m_made).count()
+        return m_known ? std::chrono::duration_cast<std::chrono::milliseconds>(now - m_reported_at)
+                             .count()
                        : -1;
     }
     [[nodiscard]] std::uint32_t waiting() const { return m_waiting; }
@@ -55,15 +56,15 @@
     double m_others = 0.0;
     std::uint32_t m_waiting = 0;
     std::uint32_t m_running = 0;
-    time_point m_made;
-    time_point m_sampled;
+    time_point m_reported_at;
+    time_point m_sampled_at;
     std::size_t m_next_sample = 0;
     std::array<std::uint16_t, samples> m_own{};
 };
 
 /// How a target has behaved towards this node.
 struct target_health {
-    std::uint32_t failures_in_row = 0;
+    std::uint32_t consecutive_failures = 0;
     std::uint32_t ejections = 0; ///< in a row; each is longer
     bool ejected = false;        ///< gets nothing
     bool on_trial = false;       ///< back from an ejection: one request at a time
@@ -85,20 +86,20 @@
     std::uint16_t generation = 0; ///< grows when the row or the group's epoch changes; 0 is unused
     bool free = true;             ///< not in use
     bool present = false;         ///< in the groups or tables of now
-    bool told_leaving = false;    ///< by target_leaving
+    bool marked_leaving = false;  ///< by target_leaving
     bool release_due = false;     ///< `released` is still to be said
-    bool limit_used_up = false;   ///< this node's part of what the server takes a second
-    std::uint32_t own = 0;        ///< attempts of this node in flight
+    bool rate_limit_reached = false;  ///< this node's part of what the server takes a second
+    std::uint32_t own = 0;            ///< attempts of this node in flight
     std::uint32_t pending_tokens = 0; ///< prompts of those that have brought nothing yet
-    time_point heard;                 ///< last byte of any of them, or the first one's sending
+    time_point last_activity;         ///< last byte of any of them, or the first one's sending
     load_estimate load;
     target_health health;
 
-    [[nodiscard]] bool leaving() const { return !present || told_leaving || info.leaving; }
+    [[nodiscard]] bool leaving() const { return !present || marked_leaving || info.leaving; }
     [[nodiscard]] bool may_be_picked() const
     {
         return !leaving() && !health.ejected && !health.refusing && !health.silent &&
-               !limit_used_up && !(health.on_trial && own > 0);
+               !rate_limit_reached && !(health.on_trial && own > 0);
     }
     [[nodiscard]] target_slot slot(target_row_index index) const { return {index, generation}; }
 };
@@ -108,12 +109,12 @@
     /// The complete groups are these and no others.
     void replace_groups(const std::vector<target>& groups, time_point now);
     /// The plain servers are those of `tables` and no others.
-    void replace_servers(const configuration& tables, time_point now);
+    void set_configured_servers(const configuration& tables, time_point now);
     /// The plain servers are these; from now on those of the tables don't count.
-    void list_servers(const std::vector<target>& servers, time_point now);
+    void set_discovered_servers(const std::vector<target>& servers, time_point now);
     void set_leaving(const target_id& id, bool leaving, time_point now);
     /// The target is gone, before the next list says so.
-    void lose(target_row_index row);
+    void mark_lost(target_row_index row);
 
     [[nodiscard]] target_row_index find(const target_id& id) const; ///< or no_target
     /// The present target of a backend server, or no_target. Looks at all rows.
@@ -121,16 +122,16 @@
     [[nodiscard]] target_row& at(target_row_index row) { return m_rows[row]; }
     [[nodiscard]] const target_row& at(target_row_index row) const { return m_rows[row]; }
     [[nodiscard]] std::size_t size() const { return m_rows.size(); }
-    /// Rises whenever of_pool() may tell something else.
+    /// Rises whenever targets_of_pool() may tell something else.
     [[nodiscard]] std::uint64_t version() const { return m_version; }
     /// Rows of a pool that are present, in a steady order.
-    [[nodiscard]] std::vector<target_row_index> of_pool(const pool_id& pool) const;
+    [[nodiscard]] std::vector<target_row_index> targets_of_pool(const pool_id& pool) const;
     /// Leaving targets that have nothing of ours in flight any more; each is told once.
     [[nodiscard]] std::vector<target_id> take_released();
 
 private:
     /// How long a word that an unknown target is leaving is kept for it.
-    static constexpr std::size_t most_early_words = 1'024;
+    static constexpr std::size_t max_early_leaving = 1'024;
 
     void replace(const std::vector<target>& wanted, pool_kind kind, time_point now);
     target_row_index make_row(const target& added, pool_kind kind);
@@ -140,7 +141,7 @@
     std::unordered_map<target_id, target_row_index> m_by_id;
     std::vector<target_row_index> m_free;
     std::vector<target_id> m_early_leaving; ///< told to be leaving before they were known
-    bool m_servers_listed = false;          ///< by the platform, not by the tables
+    bool m_servers_discovered = false;      ///< by the platform, not by the tables
     std::uint64_t m_version = 1;
 };
 
--- a/routing/truth_test.cc
+++ b/routing/truth_test.cc
@@ -278,7 +278,7 @@
 {
     run_all(call::chat, 4);
 }
-Test(truth, every_short_history_of_a_read)
+Test(truth, no_short_read_history_exceeds_the_server_limit)
 {
     run_all(call::read, 4);
 }
