--- a/routing/demand.cc
+++ b/routing/demand.cc
@@ -32,23 +32,23 @@
     if (total <= limit)
         return static_cast<std::uint32_t>(limit - peer_demand);
 
-    const auto whole = [&](const node_demand& node) {
+    const auto integer_share = [&](const node_demand& node) {
         return std::uint64_t{limit} * node.wanted / total;
     };
-    const auto left_over = [&](const node_demand& node) {
+    const auto remainder_of = [&](const node_demand& node) {
         return std::uint64_t{limit} * node.wanted % total;
     };
-    std::uint64_t given = whole(own);
+    std::uint64_t distributed = integer_share(own);
     for (const node_demand& other : others)
-        given += whole(other);
-    std::uint64_t before_own = 0; // nodes whose remainder is served before ours
+        distributed += integer_share(other);
+    std::uint64_t nodes_before_own = 0; // nodes whose remainder is served before ours
     for (const node_demand& other : others) {
-        const bool larger = left_over(other) > left_over(own);
-        const bool tied = left_over(other) == left_over(own) && other.node < own.node;
-        before_own += larger || tied ? 1 : 0;
+        const bool larger = remainder_of(other) > remainder_of(own);
+        const bool tied = remainder_of(other) == remainder_of(own) && other.node < own.node;
+        nodes_before_own += larger || tied ? 1 : 0;
     }
-    const bool gets_one = before_own < limit - given;
-    return static_cast<std::uint32_t>(whole(own) + (gets_one ? 1 : 0));
+    const bool gets_extra_unit = nodes_before_own < limit - distributed;
+    return static_cast<std::uint32_t>(integer_share(own) + (gets_extra_unit ? 1 : 0));
 }
 
 void demand_table::install(const node_id& node, const std::vector<demand_row>& rows, time_point now)
--- a/routing/engine_model.cc
+++ b/routing/engine_model.cc
@@ -62,9 +62,10 @@
 
 duration max_event_gap(const engine_figures& figures, double places, double pending_tokens)
 {
-    constexpr double others = 4.0; // usual prompts of other nodes that may wait besides
+    constexpr double other_prompts = 4.0; // usual prompts of other nodes that may wait besides
     const double in_one_pass = double(figures.steps_in_pass) * figures.chunk_tokens;
-    const double read = std::min(in_one_pass, pending_tokens + others * figures.usual_prompt);
+    const double read =
+        std::min(in_one_pass, pending_tokens + other_prompts * figures.usual_prompt);
     const double ms = pass_ms(figures, places) + prompt_ms(figures, read);
     return std::chrono::duration_cast<duration>(std::chrono::duration<double, std::milli>{ms});
 }
--- a/routing/modelled_pick.cc
+++ b/routing/modelled_pick.cc
@@ -19,8 +19,8 @@
 
 double places_of(const target_row& row, const pool& kind)
 {
-    const std::uint32_t told = row.info.places;
-    return std::max(1U, told > 0 ? told : kind.max_in_flight_per_replica);
+    const std::uint32_t configured_places = row.info.places;
+    return std::max(1U, configured_places > 0 ? configured_places : kind.max_in_flight_per_replica);
 }
 
 /// What the other nodes have at the target at `position`.
--- a/routing/outliers.cc
+++ b/routing/outliers.cc
@@ -77,7 +77,7 @@
 std::size_t eject_outliers(target_table& targets, std::span<const target_row_index> pool,
                            time_point now)
 {
-    std::size_t out = 0;
+    std::size_t out_of_rotation = 0;
     std::size_t usable = 0;
     for (const target_row_index row : pool) {
         target_row& judged = targets.at(row);
@@ -86,7 +86,7 @@
         if (judged.leaving())
             continue;
         ++usable;
-        out += judged.health.ejected ? 1 : 0;
+        out_of_rotation += judged.health.ejected ? 1 : 0;
     }
     std::size_t ejected = 0;
     for (const target_row_index row : pool) {
@@ -95,10 +95,11 @@
             continue;
         if (judged.health.consecutive_failures < failures_to_eject)
             continue;
-        if (out + 1 > usable / max_ejected_divisor && !(usable == 2 && out == 0))
+        if (out_of_rotation + 1 > usable / max_ejected_divisor &&
+            !(usable == 2 && out_of_rotation == 0))
             break;
         eject(judged.health, now);
-        ++out;
+        ++out_of_rotation;
         ++ejected;
     }
     return ejected;
--- a/routing/overload_test.cc
+++ b/routing/overload_test.cc
@@ -258,17 +258,17 @@
         sim.begin(running.back());
     }
     sim.submit();
-    std::optional<refuse> told;
+    std::optional<refuse> refusal;
     duration waited{0};
-    for (; !told && waited < 2s; waited += 10ms) {
-        told = last_command<refuse>(sim.pass(10ms));
+    for (; !refusal && waited < 2s; waited += 10ms) {
+        refusal = last_command<refuse>(sim.pass(10ms));
         for (const send_attempt& order : running)
             sim.send(attempt_progress{order.request, order.attempt, 1});
     }
-    cr_assert(told);
+    cr_assert(refusal);
     cr_assert_leq(waited.count(), duration{500ms}.count());
-    cr_assert(told->ran == ran_state::no);
-    cr_assert(told->retry_after.has_value());
+    cr_assert(refusal->ran == ran_state::no);
+    cr_assert(refusal->retry_after.has_value());
 }
 
 // Callers ask two and a half times as much as the groups can do, for seconds. First come, first
--- a/routing/picker.cc
+++ b/routing/picker.cc
@@ -265,12 +265,12 @@
 {
     struct weighted_sum {
         double sum = 0.0;
-        double freshness = 0.0;
+        double total_weight = 0.0;
 
         void add(double others, double weight)
         {
             sum += weight * others;
-            freshness += weight;
+            total_weight += weight;
         }
     };
     weighted_sum all;
@@ -283,12 +283,12 @@
         by_domain[pool.domain_indexes[position]].add(counted.load.reported_others(), weight);
         pool.own += counted.own;
     }
-    pool.mean_others = all.freshness > 0.0 ? all.sum / all.freshness : 0.0;
+    pool.mean_others = all.total_weight > 0.0 ? all.sum / all.total_weight : 0.0;
     const double prior = unreported_load_factor * pool.mean_others;
     for (std::size_t domain = 0; domain < by_domain.size(); ++domain) {
-        const weighted_sum& told = by_domain[domain];
+        const weighted_sum& domain_loads = by_domain[domain];
         pool.mean_others_by_domain[domain] =
-            (told.sum + prior_weight * prior) / (told.freshness + prior_weight);
+            (domain_loads.sum + prior_weight * prior) / (domain_loads.total_weight + prior_weight);
     }
 }
 
--- a/routing/policy_engine.h
+++ b/routing/policy_engine.h
@@ -36,7 +36,7 @@
     std::vector<std::uint64_t> blocks;
     std::uint32_t prompt_left = 0; ///< tokens
     std::uint32_t answer_left = 0; ///< tokens
-    std::uint32_t given = 0;
+    std::uint32_t tokens_emitted = 0;
 };
 
 /// Least recently used blocks go first.
@@ -153,7 +153,7 @@
                 m_events.insert(m_events.end(), events.begin(), events.end());
                 result.first_tokens.push_back(each);
             }
-            ++each.given;
+            ++each.tokens_emitted;
             --each.answer_left;
             if (each.answer_left == 0)
                 result.ended.push_back(std::move(each));
--- a/routing/policy_main.cc
+++ b/routing/policy_main.cc
@@ -79,37 +79,38 @@
 
 run_report print_row(const std::string& label, const named_policy& policy)
 {
-    run_report got = run(policy.options);
+    run_report result = run(policy.options);
     if (absl::GetFlag(FLAGS_json)) {
         const boost::json::object line{{"case", label},
                                        {"policy", policy.name},
-                                       {"offered", got.offered},
-                                       {"goodput", got.goodput},
-                                       {"refused", got.refused},
-                                       {"late", got.late},
-                                       {"refused_after_s", got.refused_after_s},
-                                       {"first_p50_s", got.first_p50_s},
-                                       {"first_p95_s", got.first_p95_s},
-                                       {"first_p99_s", got.first_p99_s},
-                                       {"small_p95_s", got.small_workspaces_p95_s},
-                                       {"gap_p95_s", got.gap_p95_s},
-                                       {"hit_share", got.hit_share},
-                                       {"retries", got.retries},
-                                       {"resumes", got.resumes},
-                                       {"ejections", got.ejections}};
+                                       {"offered", result.offered},
+                                       {"goodput", result.goodput},
+                                       {"refused", result.refused},
+                                       {"late", result.late},
+                                       {"refused_after_s", result.refused_after_s},
+                                       {"first_p50_s", result.first_p50_s},
+                                       {"first_p95_s", result.first_p95_s},
+                                       {"first_p99_s", result.first_p99_s},
+                                       {"small_p95_s", result.small_workspaces_p95_s},
+                                       {"gap_p95_s", result.gap_p95_s},
+                                       {"hit_share", result.hit_share},
+                                       {"retries", result.retries},
+                                       {"resumes", result.resumes},
+                                       {"ejections", result.ejections}};
         std::printf("%s\n", boost::json::serialize(line).c_str());
     }
     else {
         std::printf(
             "| %s | %s | %.1f | %.1f | %.1f%% | %.1f%% | %.0f ms | %.0f ms | %.0f ms | %.0f "
             "ms | %.0f ms | %.0f ms | %.1f%% |\n",
-            label.c_str(), policy.name.c_str(), got.offered, got.goodput, got.refused * 100,
-            got.late * 100, got.refused_after_s * 1'000, got.first_p50_s * 1'000,
-            got.first_p95_s * 1'000, got.first_p99_s * 1'000, got.small_workspaces_p95_s * 1'000,
-            got.gap_p95_s * 1'000, got.hit_share * 100);
+            label.c_str(), policy.name.c_str(), result.offered, result.goodput,
+            result.refused * 100, result.late * 100, result.refused_after_s * 1'000,
+            result.first_p50_s * 1'000, result.first_p95_s * 1'000, result.first_p99_s * 1'000,
+            result.small_workspaces_p95_s * 1'000, result.gap_p95_s * 1'000,
+            result.hit_share * 100);
     }
     std::fflush(stdout);
-    return got;
+    return result;
 }
 
 std::string times(double multiple)
--- a/routing/policy_measure.cc
+++ b/routing/policy_measure.cc
@@ -43,8 +43,8 @@
     for (int number = 0; number < runs; ++number) {
         run_options each = options;
         each.seed += static_cast<std::uint64_t>(number);
-        const run_report got = run(each);
-        good_at_s.insert(good_at_s.end(), got.good_at_s.begin(), got.good_at_s.end());
+        const run_report result = run(each);
+        good_at_s.insert(good_at_s.end(), result.good_at_s.begin(), result.good_at_s.end());
     }
     const auto rate = [&](double from_s, double to_s) {
         const auto in = std::count_if(good_at_s.begin(), good_at_s.end(), [&](double good_s) {
--- a/routing/policy_run.cc
+++ b/routing/policy_run.cc
@@ -38,8 +38,8 @@
     double first_s = -1.0;
     int workspace = 0;
     request_info info;
-    std::uint32_t given = 0;
-    int asked = 0; ///< again
+    std::uint32_t tokens_emitted = 0;
+    int resubmissions = 0; ///< again
 };
 
 class driver {
@@ -201,8 +201,8 @@
             at(m_now_s + one_way_s, [this, stopped = *stopped] {
                 m_engines[engine_of(stopped.attempt, stopped.target)].cancel(stopped.attempt);
             });
-        else if (const auto* whole = std::get_if<complete>(&each))
-            end(whole->request, true);
+        else if (const auto* completed = std::get_if<complete>(&each))
+            end(completed->request, true);
         else if (const auto* refused = std::get_if<refuse>(&each))
             end_refused(refused->request, refused->ran);
         else if (const auto* cut = std::get_if<end_truncated>(&each))
@@ -234,14 +234,14 @@
         at(m_now_s + one_way_s, [this, node, sent, index] {
             if (m_dead[index])
                 return;
-            const caller& asked = m_callers[sent.request.value()];
+            const caller& origin = m_callers[sent.request.value()];
             sequence added;
             added.node = node;
             added.request = sent.request;
             added.attempt = sent.attempt;
             added.priority = sent.priority;
-            added.blocks = asked.info.prefix_blocks;
-            added.answer_left = std::max(1U, asked.info.answer_tokens - asked.given);
+            added.blocks = origin.info.prefix_blocks;
+            added.answer_left = std::max(1U, origin.info.answer_tokens - origin.tokens_emitted);
             m_engines[index].add(std::move(added));
             step_if_idle(index);
         });
@@ -295,8 +295,9 @@
             const auto found = m_callers.find(each.request.value());
             if (found == m_callers.end())
                 continue;
-            found->second.given = std::max(found->second.given, each.given);
-            if (each.given > 0 && each.given % tokens_per_progress == 0)
+            found->second.tokens_emitted =
+                std::max(found->second.tokens_emitted, each.tokens_emitted);
+            if (each.tokens_emitted > 0 && each.tokens_emitted % tokens_per_progress == 0)
                 send_event(each, false, false);
         }
         for (const sequence& each : result.ended)
@@ -336,11 +337,11 @@
     /// A caller without patience: the same request again at once, under a new id.
     bool resubmit(const caller& failed)
     {
-        if (failed.asked >= m_options.client_retries)
+        if (failed.resubmissions >= m_options.client_retries)
             return false;
         const std::uint64_t id = ++m_next_request;
         caller again = failed;
-        ++again.asked;
+        ++again.resubmissions;
         again.info.id = request_id{id};
         m_callers.erase(failed.info.id.value());
         m_callers[id] = again;
@@ -352,7 +353,7 @@
         return true;
     }
 
-    void end(request_id request, bool whole)
+    void end(request_id request, bool completed)
     {
         const auto found = m_callers.find(request.value());
         if (found == m_callers.end())
@@ -361,8 +362,8 @@
         const double first_s = done.first_s - done.arrived_s;
         const double gap_s =
             (m_now_s - done.first_s) / std::max<double>(1.0, done.info.answer_tokens);
-        const bool good = whole && first_s <= m_options.deadline_s && gap_s <= max_gap_s;
-        if (whole)
+        const bool good = completed && first_s <= m_options.deadline_s && gap_s <= max_gap_s;
+        if (completed)
             m_load.answered(request.value(), done.info.prefix_blocks);
         if (good)
             m_good_at.push_back(m_now_s);
--- a/routing/policy_test.cc
+++ b/routing/policy_test.cc
@@ -24,10 +24,11 @@
 {
     const double at_capacity = run(at_load(1.0)).goodput;
     for (const double multiple : {2.0, 4.0}) {
-        const run_report got = run(at_load(multiple));
-        cr_assert_geq(got.goodput, 0.95 * at_capacity, "%.1f of %.1f", got.goodput, at_capacity);
-        cr_assert_leq(got.late, 0.01);
-        cr_assert_leq(got.refused_after_s, 0.1 * run_options{}.deadline_s);
+        const run_report result = run(at_load(multiple));
+        cr_assert_geq(result.goodput, 0.95 * at_capacity, "%.1f of %.1f", result.goodput,
+                      at_capacity);
+        cr_assert_leq(result.late, 0.01);
+        cr_assert_leq(result.refused_after_s, 0.1 * run_options{}.deadline_s);
     }
 }
 
@@ -71,8 +72,8 @@
 {
     run_options options = at_load(0.6);
     options.stragglers = 1;
-    const run_report got = run(options);
-    cr_assert_leq(got.late + got.refused, 0.01);
+    const run_report result = run(options);
+    cr_assert_leq(result.late + result.refused, 0.01);
 }
 
 // A group of six dies. Within two seconds the others give what they can.
--- a/routing/rate_limits.cc
+++ b/routing/rate_limits.cc
@@ -97,11 +97,11 @@
     if (row == nullptr)
         return false;
     row->last_named_at = now;
-    const duration since = now - row->peer_report;
+    const duration since = now - row->last_announced;
     const bool due =
         first || since >= refresh_interval || (changed && since >= change_refresh_interval);
     if (due)
-        row->peer_report = now;
+        row->last_announced = now;
     return due;
 }
 
@@ -119,7 +119,7 @@
     if (row == nullptr)
         return;
     row->last_named_at = observed;
-    row->peer_report = observed;
+    row->last_announced = observed;
 }
 
 rate_limits::server_row* rate_limits::install(const vm_id& server,
--- a/routing/rate_limits.h
+++ b/routing/rate_limits.h
@@ -68,9 +68,9 @@
     struct server_row {
         double per_second = 0.0;
         failure_domain_id server_domain;
-        time_point last_named_at; ///< when the server last named it
-        time_point peer_report;   ///< when the nodes were last told
-        time_point last_trial;    ///< when a trial was last granted
+        time_point last_named_at;  ///< when the server last named it
+        time_point last_announced; ///< when the nodes were last told
+        time_point last_trial;     ///< when a trial was last granted
         std::size_t rank = 0;
         double share = 0.0;       ///< requests a second
         double bucket_size = 1.0; ///< requests
--- a/routing/rate_limits_test.cc
+++ b/routing/rate_limits_test.cc
@@ -24,7 +24,7 @@
         for (std::size_t index = 0; index < nodes; ++index)
             join();
         for (node& one : m_nodes)
-            one.seen = views();
+            one.last_seen = views();
     }
 
     std::size_t join()
@@ -40,8 +40,8 @@
     {
         m_nodes[at].limits = std::make_unique<rate_limits>(m_nodes[at].name);
         m_nodes[at].running = m_nodes[at].alive = true;
-        m_nodes[at].seen.clear();
-        m_nodes[at].named.reset();
+        m_nodes[at].last_seen.clear();
+        m_nodes[at].limit_named_at.reset();
     }
     void freeze(std::size_t at) { m_nodes[at].running = false; }
     void wake(std::size_t at) { m_nodes[at].running = true; }
@@ -93,9 +93,9 @@
         bool alive = true;
         int island = 0;
         double wanted = 0.0;
-        std::map<std::size_t, time_point> seen; ///< others, when last heard
+        std::map<std::size_t, time_point> last_seen; ///< others, when last heard
         time_point view_updated_at{};
-        std::optional<time_point> named; ///< when an answer first named the limit to it
+        std::optional<time_point> limit_named_at; ///< when an answer first named the limit to it
     };
     struct answer {
         time_point due;
@@ -135,7 +135,7 @@
             node& one = m_nodes[arrived.to];
             if (!one.running)
                 continue;
-            one.named = one.named.value_or(m_now);
+            one.limit_named_at = one.limit_named_at.value_or(m_now);
             if (one.limits->server_report(server, home, arrived.limit, m_now))
                 m_rumors.push_back({m_now + rumor_time, arrived.to, arrived.limit, m_now});
         }
@@ -164,11 +164,11 @@
         one.wanted = std::min(3.0, one.wanted + m_demand * step_s * 2.0 * m_random.unit());
         for (; one.wanted >= 1.0 && one.limits->may_send(server, m_now); one.wanted -= 1.0) {
             one.limits->consume(server, m_now);
-            if (one.named && m_now - *one.named >= settling_time)
+            if (one.limit_named_at && m_now - *one.limit_named_at >= settling_time)
                 m_arrivals.push_back(m_now);
-            const std::optional<double> named =
+            const std::optional<double> announced =
                 m_limited ? std::optional{m_per_second} : std::nullopt;
-            m_answers.push_back({m_now + answer_time, index, named});
+            m_answers.push_back({m_now + answer_time, index, announced});
         }
     }
 
@@ -179,9 +179,9 @@
         for (std::size_t index = 0; index < m_nodes.size(); ++index) {
             const node& other = m_nodes[index];
             if (other.running && other.island == one.island)
-                one.seen[index] = m_now;
-            const auto last = one.seen.find(index);
-            if (last != one.seen.end())
+                one.last_seen[index] = m_now;
+            const auto last = one.last_seen.find(index);
+            if (last != one.last_seen.end())
                 members.push_back(
                     {other.name, other.domain, m_now - last->second < failure_detection_time});
         }
--- a/routing/servers_limit_test.cc
+++ b/routing/servers_limit_test.cc
@@ -48,15 +48,15 @@
 
     void apply(step next)
     {
-        if (m_over || m_sendings.empty())
+        if (m_finished || m_sendings.empty())
             return;
-        observed_sending& now = m_sendings.back();
-        const bool leaves = next != step::not_connected && next != step::cut &&
-                            next != step::silence && next != step::group_lost;
-        now.repeated = now.repeated || (next == step::sent && now.sent);
-        now.sent = now.sent || leaves;
-        now.did_not_run = now.did_not_run || (next == step::refused && !now.delivered);
-        handle_commands(execute(next, now.order));
+        observed_sending& current = m_sendings.back();
+        const bool reaches_server = next != step::not_connected && next != step::cut &&
+                                    next != step::silence && next != step::group_lost;
+        current.repeated = current.repeated || (next == step::sent && current.sent);
+        current.sent = current.sent || reaches_server;
+        current.did_not_run = current.did_not_run || (next == step::refused && !current.delivered);
+        handle_commands(execute(next, current.order));
     }
 
     [[nodiscard]] bool violated() const { return m_violated; }
@@ -97,18 +97,18 @@
         return {};
     }
 
-    void handle_commands(const command_list& said)
+    void handle_commands(const command_list& commands)
     {
-        for (const command& each : said) {
+        for (const command& each : commands) {
             if (const auto* order = std::get_if<send_attempt>(&each)) {
                 m_violated = m_violated || servers_used() >= most_servers;
                 m_sendings.push_back({*order});
             }
             if (std::holds_alternative<deliver>(each))
                 m_sendings.back().delivered = true;
-            m_over = m_over || std::holds_alternative<refuse>(each) ||
-                     std::holds_alternative<end_truncated>(each) ||
-                     std::holds_alternative<complete>(each);
+            m_finished = m_finished || std::holds_alternative<refuse>(each) ||
+                         std::holds_alternative<end_truncated>(each) ||
+                         std::holds_alternative<complete>(each);
         }
     }
 
@@ -123,7 +123,7 @@
 
     world& m_world;
     std::vector<observed_sending> m_sendings;
-    bool m_over = false;
+    bool m_finished = false;
     bool m_violated = false;
 };
 
@@ -153,10 +153,10 @@
     std::size_t violated = 0;
     for (std::size_t number = 0; number < histories; ++number) {
         world sim = make_world();
-        sending_history told{sim, sim.submit(path)};
+        sending_history history{sim, sim.submit(path)};
         for (std::size_t at = 0, rest = number; at < length; ++at, rest /= step_count)
-            told.apply(static_cast<step>(rest % step_count));
-        violated += told.violated() ? 1 : 0;
+            history.apply(static_cast<step>(rest % step_count));
+        violated += history.violated() ? 1 : 0;
     }
     return violated;
 }
@@ -216,10 +216,10 @@
     world sim{1, small_settings()};
     const send_attempt order = *last_command<send_attempt>(sim.submit());
     sim.send(attempt_sent{order.request, order.attempt});
-    command_list said = sim.refuse_attempt(order);
+    command_list commands = sim.refuse_attempt(order);
     const command_list later = sim.pass(10s);
-    said.insert(said.end(), later.begin(), later.end());
-    cr_assert_eq(last_command<refuse>(said)->ran, ran_state::unknown);
+    commands.insert(commands.end(), later.begin(), later.end());
+    cr_assert_eq(last_command<refuse>(commands)->ran, ran_state::unknown);
 }
 
 // Guards against any other way to one server too many: every short history of a stream and of a
