--- a/routing/adaptive_limit.cc
+++ b/routing/adaptive_limit.cc
@@ -1,12 +1,13 @@
-// The limit falls by a tenth in a window in which the targets queue: their reports show more than
-// `max_queued_ratio` waiting for each one running, refusals and timeouts are more than a few, or
-// first tokens take more than `max_timeout_fraction` of the route's timeout. It rises by a
-// twentieth of the whole while it holds requests back and none of these signs is there.
+// At the end of each window the limit is multiplied by `decrease` if the targets queue. The signs
+// are: more than `max_queued_ratio` queued requests per running one in the load reports; more than
+// `max_overload_ratio` refusals and timeouts per first token; or first tokens that take more than
+// `max_timeout_fraction` of the route's timeout on average. If none of these holds and the limit
+// kept requests waiting, it rises by `increase` of the configured maximum.
 //
-// Not used as a sign: that the first token takes some multiple of its best time (TCP Vegas, the
-// gradient limits). A batching engine yields more the fuller its batch, and its first tokens slow
-// down long before it queues; measured in the policy report, a limit by four times the best time
-// cost half of the goodput at four times capacity (docs/design-routing.md).
+// The ratio of the first token time to its minimum (TCP Vegas, gradient limits) is not used as a
+// sign. A batching engine has a higher throughput with a fuller batch, and its first tokens slow
+// down long before it queues: in the simulation of policy_main.cc, a limit derived from four times
+// the minimum time halved the goodput at four times capacity (docs/design-routing.md).
 #include "routing/adaptive_limit.h"
 
 #include <algorithm>
@@ -18,12 +19,12 @@
 constexpr std::chrono::milliseconds window{500};
 constexpr double max_queued_ratio = 0.1;
 constexpr double max_timeout_fraction = 0.3;
-constexpr double max_overload_ratio = 0.05; ///< for each first token
+constexpr double max_overload_ratio = 0.05; ///< overloads per first token
 constexpr double decrease = 0.9;
 constexpr double increase = 0.05;
 constexpr double min_fraction = 0.1;
 constexpr double smoothing = 0.3;
-constexpr double idle_decay = 0.8; ///< of the typical time, each window without a sample
+constexpr double idle_decay = 0.8; ///< factor on the typical time for each window without samples
 constexpr std::uint32_t min_samples = 4;
 
 } // namespace
--- a/routing/demand.cc
+++ b/routing/demand.cc
@@ -1,11 +1,11 @@
-// The split is proportional to demand with largest remainders, ties by node name. Everything is
-// integers and the order is total, so nodes with the same view compute the same split and the
-// parts never add up to more than the limit. If the demands of all fit, a node may use what the
-// others leave, which keeps the pool busy while only one node has traffic.
+// A limit is split in proportion to demand by the largest-remainder method, ties broken by node
+// name. The arithmetic is integral and the order is total, so nodes with the same view compute the
+// same split and the shares never exceed the limit. If all demands fit, each node may also use the
+// unused rest, which keeps the pool busy while only one node has traffic.
 //
-// Where views differ (a demand on its way, a partition) the sum may pass the limit by what the
-// unseen demand is worth; a silent node's demand is kept for a while first, so that a lost message
-// doesn't open the limit.
+// If the views differ (a demand update in transit, a partition), the sum may exceed the limit by
+// the share of the demand that is not seen. The demand of a node without updates is therefore kept
+// for the retention time, so that a lost message does not raise the others' shares.
 #include "routing/demand.h"
 
 #include <algorithm>
@@ -41,7 +41,7 @@
     std::uint64_t distributed = integer_share(own);
     for (const node_demand& other : others)
         distributed += integer_share(other);
-    std::uint64_t nodes_before_own = 0; // nodes whose remainder is served before ours
+    std::uint64_t nodes_before_own = 0; // nodes that get a left-over unit before this one
     for (const node_demand& other : others) {
         const bool larger = remainder_of(other) > remainder_of(own);
         const bool tied = remainder_of(other) == remainder_of(own) && other.node < own.node;
--- a/routing/demand.h
+++ b/routing/demand.h
@@ -1,9 +1,9 @@
-// Limits that hold over all entry VMs without asking anyone: each node learns by gossip how much
-// the others want of a pool and takes its part.
+// Splits a limit that holds over all entry VMs without coordination: each node learns the demand of
+// the others by gossip and computes its own share.
 //
-//   demand_table peers{1'024};
+//   demand_table peers{1'024, retention};
 //   peers.install(node, rows, now);
-//   std::uint32_t mine = peers.part_of(limit, "entry-1", own_demand, pool, workspace, now);
+//   std::uint32_t mine = split_limit(limit, peers.workspace_demand(pool, workspace), own_demand);
 #pragma once
 
 #include "routing/request_events.h"
@@ -15,19 +15,19 @@
 
 namespace jaynotch {
 
-/// What one node wants, for splitting.
+/// Demand of one node for a pool, in flight and queued.
 struct node_demand {
     node_id node;
     std::uint32_t wanted = 0;
 };
 
-/// This node's part of `limit`. Every node that sees the same demands gets a part such that all
-/// parts add up to `limit` at most, unless all demands fit together: then each gets its own demand
-/// and may go on to what the others leave.
+/// This node's share of `limit`. All nodes that see the same demands compute shares that sum to at
+/// most `limit`, with one exception: if all demands together fit within `limit`, each node gets its
+/// own demand plus all that is unused.
 std::uint32_t split_limit(std::uint32_t limit, std::span<const node_demand> others,
                           const node_demand& own);
 
-/// The demand of the other entry VMs as they last told it.
+/// Latest known demand of the other entry VMs. Nodes beyond `max_nodes` are ignored.
 class demand_table {
 public:
     demand_table(std::size_t max_nodes, duration retention)
@@ -36,11 +36,11 @@
 
     void install(const node_id& node, const std::vector<demand_row>& rows, time_point now);
     void forget(const node_id& node);
-    /// Drops the demand of nodes that have been silent for too long.
+    /// Drops the demand of nodes that have sent no update for `retention`.
     void expire(time_point now);
-    /// What the others want of a pool, each node's workspaces added up.
+    /// Demand of each other node for the pool, summed over its workspaces.
     [[nodiscard]] std::vector<node_demand> pool_demand(const pool_id& pool) const;
-    /// What the others want of a pool for one workspace.
+    /// Demand of each other node for the pool by one workspace.
     [[nodiscard]] std::vector<node_demand> workspace_demand(const pool_id& pool,
                                                             const workspace_id& workspace) const;
 
--- a/routing/engine_model.cc
+++ b/routing/engine_model.cc
@@ -1,3 +1,10 @@
+// Linear cost model of a batching engine: a decoding step costs a fixed time, a time per sequence
+// and a time per token of context; a prompt costs a time per token and a time per attention pair,
+// of which there are half as many as the square of its length. A pass is several steps.
+//
+// The number of running requests is an estimate. The expected wait for a place is therefore
+// computed from the mean of the excess over the places under a normal distribution, which is above
+// zero also if the mean number of requests is below the places.
 #include "routing/engine_model.h"
 
 #include <algorithm>
@@ -11,7 +18,7 @@
 constexpr double pairs_in_unit = 1e6;
 constexpr double tokens_in_unit = 1e3;
 
-/// Mean of max(x, 0) where x is normal.
+/// Mean of max(x, 0) for a normally distributed x.
 double mean_of_positive_part(double mean, double deviation)
 {
     if (deviation <= 0.0)
@@ -49,11 +56,12 @@
 {
     const double sequences = std::min(work.running, places);
     const double pass = pass_ms(figures, sequences + 1.0);
-    // The pass under way is half done on average; the first event comes with a whole one.
+    // On average half of the current pass remains; the first event comes at the end of the next
+    // one.
     double ms = (work.running > 0.0 ? 1.5 : 1.0) * pass;
     ms += prompt_ms(figures, prompt_tokens) + prompt_ms(figures, work.pending_tokens);
     ms += work.waiting * prompt_ms(figures, figures.usual_prompt);
-    // Until so many of the running ones have ended.
+    // The time until as many running requests have ended as exceed the places.
     const double excess = work.running + work.waiting + 1.0 - places;
     ms += mean_of_positive_part(excess, work.deviation) * answer_ms(figures, sequences + 1.0) /
           places;
@@ -62,7 +70,7 @@
 
 duration max_event_gap(const engine_figures& figures, double places, double pending_tokens)
 {
-    constexpr double other_prompts = 4.0; // usual prompts of other nodes that may wait besides
+    constexpr double other_prompts = 4.0; // usual prompts that other nodes may have waiting
     const double in_one_pass = double(figures.steps_in_pass) * figures.chunk_tokens;
     const double read =
         std::min(in_one_pass, pending_tokens + other_prompts * figures.usual_prompt);
--- a/routing/fair_queue.cc
+++ b/routing/fair_queue.cc
@@ -1,9 +1,9 @@
 // Start-time fair queueing (Goyal, Vin, Cheng 1996). Virtual time is the start tag of the request
-// served last; the flow whose head has the lowest start tag goes next, and its next start tag is
-// later by cost / weight. A flow that comes back from idleness starts at the present virtual time,
-// so it can't save up a burst; a flow with any weight at all is served in the end, since the tags
-// of all others grow past its own. The tag belongs to the head only, so a request that leaves the
-// queue unserved costs its flow nothing.
+// served last. The flow whose head has the lowest start tag is served next, and its next start tag
+// is higher by cost / weight. A flow that becomes active again starts at the current virtual time,
+// so it accumulates no credit while idle. No flow starves, however small its weight, since the
+// start tags of the other flows grow past its own. Only the head of a flow has a tag, so a request
+// that leaves the queue unserved is not charged to its flow.
 #include "routing/fair_queue.h"
 
 #include <algorithm>
@@ -122,7 +122,8 @@
     const auto own = std::find_if(m_flows.begin(), m_flows.end(),
                                   [&](const flow_row& row) { return row.key == flow; });
     const double queued = own == m_flows.end() ? 0.0 : static_cast<double>(own->waiting.size());
-    // While the flow serves what it has and one more, another flow serves its weight's multiple.
+    // While this flow serves its backlog and one more request, another flow is served in
+    // proportion to its weight.
     double ahead = queued;
     for (const flow_row& row : m_flows) {
         if (row.key == flow)
--- a/routing/fair_queue.h
+++ b/routing/fair_queue.h
@@ -1,5 +1,5 @@
-// The queue of one pool: weighted fair shares among flows, a flow being one workspace at one
-// priority. First come, first served within a flow.
+// The queue of one pool: weighted fair queueing among flows. A flow is one workspace at one
+// priority; within a flow, requests are served first come, first served.
 //
 //   fair_queue queue{1'024};
 //   queue.push({workspace, priority}, weight, {request, cost});
@@ -16,7 +16,8 @@
 
 namespace jaynotch {
 
-/// Who shares: a workspace at a priority. What can't begin in time any more is a flow of its own.
+/// Identifies a flow: a workspace at a priority. Requests that can no longer begin within their
+/// route's target (`late`) form a flow of their own.
 struct flow_key {
     workspace_id workspace;
     priority_class priority = priority_class::standard;
@@ -25,39 +26,40 @@
     friend bool operator==(const flow_key&, const flow_key&) = default;
 };
 
-/// A queued request; `cost` is what it takes of the flow's share, in any unit.
+/// A queued request. `cost` is charged to the share of its flow, in any unit.
 struct queued_request {
     request_id request;
     double cost = 1.0;
 };
 
-/// Where in its flow a request waits.
+/// The end of its flow's queue at which a request is added.
 enum class queue_end {
-    back,  ///< first come, first served
-    front, ///< newest first
+    back,  ///< first in, first out
+    front, ///< last in, first out
 };
 
-/// Start-time fair queueing over at most `max_flows` flows with work.
+/// Start-time fair queueing over at most `max_flows` backlogged flows.
 class fair_queue {
 public:
     static constexpr std::size_t max_flows = 4'096;
 
     explicit fair_queue(std::size_t max_per_flow) : m_max_per_flow{max_per_flow} {}
 
-    /// False if the flow, or the table of flows, is full.
+    /// Returns false if the flow or the table of flows is full.
     bool push(const flow_key& flow, double weight, queued_request added,
               queue_end end = queue_end::back);
-    /// Puts a request that was popped before back at the head of its flow, whatever its size.
+    /// Returns a popped request to the head of its flow. Ignores the limits on flows and on
+    /// requests per flow.
     void push_front(const flow_key& flow, double weight, queued_request added);
-    /// Takes the next request of an eligible flow.
+    /// Removes and returns the next request of an eligible flow.
     std::optional<queued_request> pop(const std::function<bool(const flow_key&)>& eligible,
                                       time_point now);
-    /// Takes a request out wherever it stands; false if it isn't there.
+    /// Removes a request at any position of its flow; false if it is not there.
     bool remove(const flow_key& flow, request_id request);
-    /// About how many requests would be served before one pushed to `flow` now.
+    /// Estimated number of requests served before one that is pushed to `flow` now.
     [[nodiscard]] double requests_ahead(const flow_key& flow, double weight) const;
-    /// How long the flow's own backlog would take at the pace at which it was served of late,
-    /// seconds. Unlike requests_ahead it sees that other flows go on arriving.
+    /// Time to serve the flow's backlog at the rate at which it was served recently, seconds.
+    /// Unlike requests_ahead() this accounts for further arrivals in other flows.
     [[nodiscard]] double backlog_wait_s(const flow_key& flow) const;
     [[nodiscard]] std::size_t size() const { return m_size; }
     [[nodiscard]] std::size_t size_of(const workspace_id& workspace) const;
@@ -66,11 +68,11 @@
     struct flow_row {
         flow_key key;
         double weight = 1.0;
-        double start_tag = 0.0;  ///< virtual time at which the head may start
-        double finish_tag = 0.0; ///< virtual time at which the last served one ends
-        double interval_s = 0.0; ///< between two servings while backlogged, moving average
+        double start_tag = 0.0;  ///< virtual time at which the head may start service
+        double finish_tag = 0.0; ///< virtual finish time of the request served last
+        double interval_s = 0.0; ///< between two services while backlogged, moving average
         time_point last_served;  ///< valid if `backlogged`
-        bool backlogged = false; ///< some waited on after the last serving
+        bool backlogged = false; ///< requests remained after the last service
         std::deque<queued_request> waiting;
     };
 
--- a/routing/modelled_pick.cc
+++ b/routing/modelled_pick.cc
@@ -7,14 +7,15 @@
 
 namespace {
 
-/// Prompts of this node that may wait at one group. With four nodes doing so a pass is lengthened
-/// by about the pause that streams still bear (200 ms); a single longer prompt is let through
-/// alone.
+/// Limit on the prompt work of this node that is pending at one group. If four nodes reach it, a
+/// pass grows by about the longest gap that streams tolerate (200 ms). A longer prompt is accepted
+/// if no other prompt of this node is pending there.
 constexpr double max_pending_prompt_ms = 60.0;
-/// Of a group's places, kept from requests that begin late anyway (trunk reservation).
+/// Fraction of a group's places that is withheld from requests that will be late in any case (trunk
+/// reservation).
 constexpr double reserved_fraction = 0.35;
-/// What a target in another failure domain has to be sooner by: the way there and back, and that
-/// bytes between failure domains are paid for.
+/// A target in another failure domain must be faster by this much, which covers the round trip and
+/// the price of traffic between failure domains.
 constexpr double remote_penalty_ms = 4.0;
 
 double places_of(const target_row& row, const pool& kind)
@@ -23,7 +24,7 @@
     return std::max(1U, configured_places > 0 ? configured_places : kind.max_in_flight_per_replica);
 }
 
-/// What the other nodes have at the target at `position`.
+/// Estimated requests of the other nodes at the target at `position`.
 double others_at(const target_table& targets, const pool_view& view, std::size_t position,
                  time_point now)
 {
@@ -31,8 +32,9 @@
     return load.others(expected_others(view, position), now);
 }
 
-/// Requests come and go at random: the older the report, the fewer of those that it counted are
-/// left, and after a usual answer's time none.
+/// Standard deviation of the estimate of the other nodes' requests. Arrivals and departures are
+/// random: the older the report, the fewer of the requests it counted are still running, and after
+/// the time of a usual response none is.
 double deviation_of(double others, const target_row& row, const pool& kind, time_point now)
 {
     const double turnover_ms = answer_ms(kind.engine, places_of(row, kind));
@@ -50,13 +52,13 @@
     return work;
 }
 
-/// This node's sure part of the places.
+/// This node's guaranteed share of the target's places.
 double guaranteed_places(const target_row& row, const pool& kind, std::size_t nodes)
 {
     return places_of(row, kind) / static_cast<double>(std::max<std::size_t>(1, nodes));
 }
 
-/// This node's sure part of all places of the pool.
+/// This node's guaranteed share of all places of the pool.
 double guaranteed_places_of_pool(const target_table& targets, const pool_view& view,
                                  const pool& kind, std::size_t nodes)
 {
@@ -68,10 +70,10 @@
     return std::max(1.0, sum);
 }
 
-/// Whether the node has sure places left, at this target and in the pool. With more nodes than a
-/// group has places, a node's part of one group is less than a place, and rounded down by group it
-/// would be none at all: all groups once told to be full, the node would send nothing, so hear
-/// nothing of them, and believe them full for ever.
+/// Whether the node has guaranteed places left, at this target and in the pool. If there are more
+/// nodes than places in a group, the share of one group is less than a place. Rounded down per
+/// group it would be zero: once all groups were reported full, the node would send nothing, get no
+/// load reports with the responses, and treat the groups as full forever.
 bool has_guaranteed_place(const target_row& row, const pool& kind, std::size_t nodes,
                           double own_in_pool, double guaranteed_in_pool)
 {
@@ -79,7 +81,7 @@
            own_in_pool + 1.0 <= guaranteed_in_pool;
 }
 
-/// Places that a request leaves free at a group beside its own.
+/// Places of a group that the request has to leave free, besides its own.
 double reserved_places(const target_row& row, const pool& kind, bool gives_way)
 {
     return gives_way ? std::ceil(reserved_fraction * places_of(row, kind)) : 0.0;
--- a/routing/modelled_pick.h
+++ b/routing/modelled_pick.h
@@ -1,18 +1,20 @@
-// Which group of a pool gets a request, where the engines' speed is known: the one whose first
-// event is predicted soonest, of those that have room.
+// Selects the group of a pool that gets a request, if the speed of the engines is known: of the
+// groups that have room, the one with the earliest predicted first event.
 //
 //   const target_row_index row = pick_modelled(targets, view, pool, wanted, now);
-//   if (row == no_target) ...      // all are full: the request waits here, where it can be refused
+//   if (row == no_target) ...      // all are full: the request is queued here and can be refused
 //
-// Room means a free place in the batch and little prompt work ahead: a batch takes one more answer
-// almost for nothing, but each prompt that is read holds up the tokens of all others.
+// A group has room if it has a free place in its batch and little prompt work pending. One more
+// response in a batch costs almost nothing, but each prompt that is processed delays the tokens of
+// all other responses.
 //
-// What begins late anyway leaves some places of a group free. It would hold its place for as long
-// as the next few requests take to come, and each of those would begin late behind it in turn.
+// A request that will miss its route's target for the first event in any case has to leave some
+// places of a group free. It would otherwise occupy a place during the next few arrivals, and each
+// of these would be late in turn.
 //
-// Each node has an equal part of every group's places for sure, also when the others seem to fill
-// it: a node that only ever took what the others leave would get nothing from a full fleet, since
-// those whose requests end there notice first.
+// Each node is guaranteed an equal share of every group's places, even if the other nodes seem to
+// fill them. A node limited to what the others leave free would get nothing from a full fleet,
+// since the nodes whose requests end at a group learn first of the places that become free.
 #pragma once
 
 #include "routing/engine_model.h"
@@ -26,24 +28,26 @@
 struct modelled_request {
     double prompt_tokens = 0.0;
     std::span<const target_row_index> tried;
-    failure_domain_id local_domain; ///< preferred at about equal times
-    std::size_t nodes = 1;          ///< that share the groups
+    failure_domain_id local_domain; ///< of this node; preferred at about equal times
+    std::size_t nodes = 1;          ///< entry VMs that share the groups
     mechanism_set mechanisms;
-    bool gives_way = false; ///< begins late anyway: takes only what others can spare
-    /// Which of the targets is looked at first. Nodes that know as little as one another must not
-    /// all take the same one.
+    bool gives_way = false; ///< will be late: must leave `reserved_fraction` of the places free
+    /// Position of the target that is examined first, and so wins a tie. Nodes with the same
+    /// information must not all choose the same target.
     std::size_t first = 0;
 };
 
-/// Or no_target.
+/// Returns the chosen target, or no_target if none has room.
 target_row_index pick_modelled(const target_table& targets, const pool_view& view, const pool& kind,
                                const modelled_request& wanted, time_point now);
 
-/// To the first event of a request that takes the last place of a group. 0 if there is no group.
+/// Predicted time to the first event of a request that takes the last free place of a group; 0 if
+/// the pool has no targets.
 double first_event_ms_when_full(const target_table& targets, const pool_view& view,
                                 const pool& kind, double prompt_tokens);
 
-/// Places that this node may still fill at usable targets; the other nodes' requests are taken off.
+/// Number of places that this node may still fill at usable targets. The estimated requests of the
+/// other nodes are subtracted, down to this node's guaranteed places.
 double free_places(const target_table& targets, const pool_view& view, const pool& kind,
                    std::size_t nodes, time_point now);
 
--- a/routing/outliers.cc
+++ b/routing/outliers.cc
@@ -1,12 +1,12 @@
-// Failures in a row, not a rate: with 3 requests in flight per group and node a rate has too few
-// samples to tell a bad target from bad luck. The time out doubles with each ejection in a row.
-// A target on trial carries one request at a time; its success ends the trial (a half-open circuit
-// breaker for each target).
+// Ejection counts consecutive failures instead of a failure rate: with 3 requests in flight per
+// group and node, a rate has too few samples to be significant. The ejection time doubles with each
+// consecutive ejection. After an ejection the target is on trial: it gets one request at a time,
+// and a success ends the trial (a half-open circuit breaker per target).
 //
-// Slowness is a moving average of the time to the first token, against the pool's median, with a
-// dead band, since the averages of few samples differ by chance. It only weighs the load in picks,
-// so a straggler gets as much less as it is slower and is never starved of the samples that would
-// show its recovery.
+// Slowness is the ratio of the moving average of the time to the first token to the pool's median.
+// Ratios within a dead band count as 1, since averages of few samples differ by chance. Slowness
+// only scales the load in target selection: a slow target gets proportionally less and still enough
+// requests to detect its recovery.
 #include "routing/outliers.h"
 
 #include <algorithm>
@@ -16,10 +16,10 @@
 namespace {
 
 constexpr std::uint32_t failures_to_eject = 3;
-constexpr std::size_t max_ejected_divisor = 3; ///< at most this part of a pool is out
+constexpr std::size_t max_ejected_divisor = 3; ///< at most 1/3 of a pool is ejected
 constexpr std::chrono::seconds base_ejection_time{2};
 constexpr std::uint32_t max_doublings = 4;
-/// About how long the watchers take to withdraw the ticket of a group that changes its members.
+/// About the time that the watchers need to withdraw the ticket of a group whose members change.
 constexpr std::chrono::milliseconds refusal_cooldown{500};
 constexpr double smoothing = 0.15;
 constexpr std::uint32_t min_slowness_samples = 8;
@@ -32,7 +32,7 @@
         return;
     health.ejected = false;
     health.on_trial = true;
-    // One more failure ejects it again.
+    // A single failure ejects it again.
     health.consecutive_failures = failures_to_eject - 1;
 }
 
--- a/routing/outliers.h
+++ b/routing/outliers.h
@@ -1,4 +1,5 @@
-// Outlier ejection and slow targets: who of a pool is left out of the picks for a while.
+// Outlier ejection and slowness detection: excludes targets of a pool from selection for a while,
+// and gives slow targets less load.
 //
 //   note_success(row.health);
 //   note_failure(row.health);
@@ -11,24 +12,26 @@
 
 namespace jaynotch {
 
-/// An attempt brought an answer.
+/// An attempt got a response.
 void note_success(target_health& health);
-/// An attempt failed through the target's fault.
+/// An attempt failed because of the target.
 void note_failure(target_health& health);
-/// A group's engine said that it is not whole in the group, so the request did not run. It is left
-/// out of the picks for a moment: a group that refuses looks idle, and would draw all requests.
+/// The engine of a group answered that its group is incomplete, so the request did not run. The
+/// group is excluded for `refusal_cooldown`: a group that refuses requests looks idle and would
+/// attract all of them.
 void note_refusal(target_health& health, time_point now);
-/// The first token of an attempt took this long.
+/// The time to the first token of an attempt.
 void note_first_token(target_health& health, double seconds);
 
-/// Ejects targets that fail many times in a row and lets those back in whose time is up, one
-/// request at a time at first. At most a third of the pool is out at once, and never its last
-/// target: with few groups each is a large share of what there is, and one that fails sometimes
-/// is better than none. Returns how many were ejected.
+/// Ejects targets with `failures_to_eject` consecutive failures, and readmits those whose ejection
+/// has expired, at first with one request at a time. At most a third of the pool is ejected at
+/// once, or one target of two, and never the last one: with few groups each is a large share of the
+/// capacity, and a group that fails sometimes is better than none. Returns the number of new
+/// ejections.
 std::size_t eject_outliers(target_table& targets, std::span<const target_row_index> pool,
                            time_point now);
 
-/// Sets each target's slowness against the median of its pool.
+/// Sets the slowness of each target from its first token time and the median of its pool.
 void update_slowness(target_table& targets, std::span<const target_row_index> pool);
 
 } // namespace jaynotch
--- a/routing/picker.cc
+++ b/routing/picker.cc
@@ -1,17 +1,17 @@
-// Power of two choices (Mitzenmacher 2001) on the estimated load: two random targets, the less
-// loaded one. Random pairs keep nodes that all see the same late report from herding onto the one
-// target that looked idle, which taking the least of all would do; this matters most for few
-// targets.
+// Load balancing is by power of two choices (Mitzenmacher 2001) on the estimated load: of two
+// random targets the less loaded one is chosen. With the least loaded of all targets, all nodes
+// that see the same delayed report would send to the target that looked idle (herding); random
+// pairs avoid this, which matters most if there are few targets.
 //
-// Before that, prefix affinity with bounded load (after Mirrokni, Thorup, Zadimoghaddam 2018): the
-// target that holds the longest prefix, or else the prompt's home, is taken while its load is at
-// most `load_bound` times the mean plus a slack; otherwise affinity gives way.
+// Prefix affinity with bounded load takes precedence (after Mirrokni, Thorup, Zadimoghaddam 2018):
+// the target with the longest cached prefix, or else the home of the prompt, is chosen while its
+// load is at most `load_bound` times the mean plus `load_slack`.
 //
-// Home is found without messages between entry nodes: the shallowest block of the prompt whose
-// share of the traffic one target can carry is hashed over the targets (rendezvous). A system
-// prompt that everyone shares is thereby skipped, and the turns of one conversation meet at one
-// target whichever node they enter by. A block that is too popular for one target but not for a few
-// gets that few.
+// The home of a prompt is computed without messages between entry nodes. It is found by rendezvous
+// hashing of the first block of the prompt whose share of the traffic a single target can serve.
+// Blocks of a system prompt that all requests share are thereby skipped, and the turns of one
+// conversation reach the same target through any node. A block that is too popular for one target
+// but not for a few of them gets as many homes as it needs, up to `max_homes`.
 #include "routing/picker.h"
 
 #include <algorithm>
@@ -24,10 +24,11 @@
 
 constexpr double load_bound = 1.25;
 constexpr double load_slack = 2.0;
-/// A failure domain that this node sends nothing to is not heard of. It counts as less busy than
-/// those that are, or a node whose own domain is full would never find out that others are not.
-constexpr double unreported_load_factor = 0.75; ///< of the mean that is heard of
-constexpr double prior_weight = 0.1;            ///< of that guess, in reports made this moment
+/// A failure domain to which this node sends nothing yields no load reports. Its targets are
+/// assumed to be less loaded than the others; otherwise a node whose own domain is full would never
+/// discover that another has capacity.
+constexpr double unreported_load_factor = 0.75; ///< of the mean of the reported loads
+constexpr double prior_weight = 0.1;            ///< weight of the assumption; a fresh report has 1
 constexpr std::size_t max_holders = 4;
 constexpr std::size_t max_homes = 4;
 
@@ -48,7 +49,7 @@
     return std::find(wanted.tried.begin(), wanted.tried.end(), row) != wanted.tried.end();
 }
 
-/// Mixes a block with a target's name into a rank (splitmix64's finaliser).
+/// Combines the hashes of a block and a target into a rank (finaliser of splitmix64).
 std::uint64_t rank_of(std::uint64_t block, std::uint64_t name)
 {
     std::uint64_t mixed = block ^ name;
@@ -57,7 +58,7 @@
     return mixed ^ mixed >> 31U;
 }
 
-/// One choice among the targets of a pool.
+/// Selection of one target of a pool.
 class chooser {
 public:
     chooser(const target_table& targets, pool_view& pool, const pick_request& wanted,
@@ -103,7 +104,7 @@
         std::array<prefix_match, max_holders> holders{};
         const std::size_t found = prefixes.longest_matches(m_wanted.blocks, holders);
         const std::span known{holders.data(), found};
-        // Among equally long matches the less loaded one.
+        // Of equally long matches, the less loaded target comes first.
         std::sort(known.begin(), known.end(), [&](const auto& a, const auto& b) {
             if (a.blocks != b.blocks)
                 return a.blocks > b.blocks;
@@ -111,7 +112,7 @@
         });
         const home found_home = home_of(prefixes);
         for (const prefix_match& holder : known) {
-            // A match that is no longer than what everybody holds says nothing about where to go.
+            // A match within the blocks that every target holds does not distinguish the targets.
             if (holder.blocks <= found_home.shared_blocks)
                 break;
             if (is_current(holder.slot) && within_load_bound(holder.slot.row))
@@ -126,7 +127,7 @@
 private:
     struct home {
         target_row_index row = no_target;
-        std::uint32_t shared_blocks = 0; ///< leading blocks that every target is likely to hold
+        std::uint32_t shared_blocks = 0; ///< leading blocks that every target likely has cached
     };
 
     bool usable(target_row_index row) const
@@ -147,7 +148,7 @@
         return (estimated_load(judged, m_pool, m_now) + 1.0) * judged.health.slowness;
     }
 
-    /// Whether affinity may put one more on this target.
+    /// Whether affinity may send one more request to this target.
     bool within_load_bound(target_row_index row) const
     {
         if (!usable(row))
@@ -191,7 +192,7 @@
         return found;
     }
 
-    /// Of the `homes` targets that rank highest for `block` the least loaded that can be used.
+    /// Returns the least loaded of the `homes` usable targets that rank highest for `block`.
     target_row_index least_loaded_home(std::uint64_t block, std::size_t homes)
     {
         struct ranked {
--- a/routing/picker.h
+++ b/routing/picker.h
@@ -1,7 +1,8 @@
-// Which target of a pool gets a request.
+// Selects the target of a pool that gets a request.
 //
 //   const pick_request wanted{.blocks = info.prefix_blocks, .adapter = "..."};
-//   const picked chosen = pick(targets, pool_view, prefixes, wanted, random, now);
+//   const pick_result chosen = pick(targets, pool_view, prefixes, pick_policy::two_choices, wanted,
+//                                   random, now);
 #pragma once
 
 #include "routing/request_core.h"
@@ -12,46 +13,47 @@
 
 namespace jaynotch {
 
-/// What the picker keeps of a pool between two ticks.
+/// Cached state of a pool that target selection uses; see refresh_view() and rebuild_targets().
 struct pool_view {
-    std::vector<target_row_index> targets;   ///< present ones
-    std::vector<std::uint64_t> id_hashes;    ///< hashes of their ids, for rendezvous
-    std::vector<std::size_t> domain_indexes; ///< indexes of their failure domains
-    std::uint32_t own = 0;                   ///< this node's requests at them
-    double mean_others = 0.0;                ///< of the other nodes, at one target
-    /// The same at a target of each failure domain, less where little has been heard of it.
+    std::vector<target_row_index> targets;   ///< rows of the present targets
+    std::vector<std::uint64_t> id_hashes;    ///< hashes of the targets' ids, for rendezvous hashing
+    std::vector<std::size_t> domain_indexes; ///< of each target, into mean_others_by_domain
+    std::uint32_t own = 0;                   ///< this node's requests in flight at all targets
+    double mean_others = 0.0;                ///< mean of the other nodes' requests at a target
+    /// The same for the targets of each failure domain; lower for domains with few recent reports.
     std::vector<double> mean_others_by_domain;
-    std::uint32_t max_per_target = 64; ///< most in flight at one target, over all nodes
+    std::uint32_t max_per_target = 64; ///< limit on requests in flight at a target, over all nodes
     std::size_t round_robin_next = 0;
 };
 
-/// What is to be placed.
+/// The requirements of a request.
 struct pick_request {
-    std::span<const std::uint64_t> blocks; ///< of the prompt
-    std::string_view adapter;              ///< that the target must have
-    std::string_view version;              ///< that it must have; empty for any
+    std::span<const std::uint64_t> blocks; ///< hashes of the prompt's blocks
+    std::string_view adapter;              ///< that the target must have loaded; empty for none
+    std::string_view version;              ///< of the model that the target must run; empty for any
     std::span<const target_row_index> tried;
 };
 
 struct pick_result {
     target_row_index row = no_target;
-    std::uint32_t cached_blocks = 0; ///< thought to be cached there
+    std::uint32_t cached_blocks = 0; ///< blocks of the prompt that are likely cached there
 };
 
-/// Lists the targets of the pool anew.
+/// Rebuilds the list of the pool's targets.
 void rebuild_targets(pool_view& view, const target_table& targets, const pool_id& pool);
 
-/// What the other nodes are expected to have at the target at `position` of pool.targets, if
-/// nothing is known of it.
+/// Expected requests of the other nodes at the target at `position` of pool.targets, in the absence
+/// of a load report.
 double expected_others(const pool_view& pool, std::size_t position);
 
-/// The estimate of all nodes' requests at a target.
+/// Estimated requests of all nodes at a target.
 double estimated_load(const target_row& row, const pool_view& pool, time_point now);
 
-/// Recomputes what pool_view caches; each tick, and after targets came or went.
+/// Recomputes the cached load figures; called at each tick and after the set of targets changed.
 void refresh_view(pool_view& pool, const target_table& targets, time_point now);
 
-/// Chooses, or says that there is none. Targets already tried come last.
+/// Chooses a target, or returns no_target as its row. Targets in `tried` are used only if no other
+/// is usable.
 pick_result pick(const target_table& targets, pool_view& pool, prefix_index& prefixes,
                  pick_policy policy, const pick_request& wanted, random_source& random,
                  time_point now);
--- a/routing/pool_table.cc
+++ b/routing/pool_table.cc
@@ -1,7 +1,7 @@
-// How much of a pool a node may use: while all that the entry VMs want fits into the pool, a node
-// may take what the others leave; beyond that its part is in proportion to its demand. The part is
-// rounded by chance, drawn anew each tick, so that many nodes before few groups each get their turn
-// and none gets nothing for good. A workspace's own limit is split strictly instead (demand.h).
+// A node's share of a pool: while the demand of all entry VMs fits into the pool, a node may use
+// all that the others leave. Beyond that, its share is proportional to its demand. The share is
+// rounded at random, with a new draw at each tick, so that if many nodes share few groups each node
+// gets some capacity over time. The limit of a workspace is split strictly instead (demand.h).
 #include "routing/pool_table.h"
 
 #include "routing/modelled_pick.h"
@@ -14,12 +14,13 @@
 namespace {
 
 constexpr double smoothing = 0.1;
-/// Not every place of a pool is given out, so that affinity has some choice when the pool is full.
+/// Fraction of a pool's places that is used, so that prefix affinity has a choice of targets also
+/// when the pool is full.
 constexpr double max_utilisation = 0.9;
-constexpr std::size_t plain_prefix_entries = 1; ///< plain requests have no prompt
+constexpr std::size_t plain_prefix_entries = 1; ///< plain requests have no prompts
 
-/// How much more a higher priority gets of a contended pool; a finite factor, so that no priority
-/// starves another.
+/// Weight of a priority in a contended pool. The ratios are finite, so that no priority starves
+/// another.
 double priority_factor(priority_class priority)
 {
     switch (priority) {
@@ -131,7 +132,7 @@
 
 double pool_row::queued_ratio(const target_table& targets, time_point now) const
 {
-    constexpr double min_freshness = 0.25; ///< older reports say nothing about now
+    constexpr double min_freshness = 0.25; ///< older reports are ignored
     double waiting = 0.0;
     double running = 1.0;
     for (const target_row_index row : view.targets) {
@@ -168,7 +169,7 @@
     refresh_view(view, targets, now);
     if (modelled()) {
         available_places = free_places(targets, view, info, nodes, now);
-        return; // the groups' own words tell what the other nodes have there
+        return; // the groups' load reports include the other nodes' requests
     }
 
     peer_demand = 0;
--- a/routing/prefix_index.h
+++ b/routing/prefix_index.h
@@ -1,10 +1,11 @@
-// Which targets are thought to hold which prompt prefixes in their KV cache. A hint: fed by this
-// node's own picks at once and by the engines' cache events late and with gaps.
+// Estimates which targets have which prompt prefixes in their KV cache. The index is a hint: it is
+// updated at once by this node's own target selections, and late and with gaps by the engines'
+// cache events.
 //
 //   prefix_index index{65'536};
 //   index.note_stored(block, slot);
 //   prefix_match best[4];
-//   const std::size_t found = index.longest(blocks, best);   // longest first
+//   const std::size_t found = index.longest_matches(blocks, best);   // longest first
 #pragma once
 
 #include <array>
@@ -15,48 +16,50 @@
 
 namespace jaynotch {
 
-/// A target in the index: its row and the row's generation, so that a hint about a group that is
-/// gone never speaks for the group that took over its row.
+/// A target in the index: its row and the generation of the row, so that a hint about a former
+/// group does not apply to the group that reuses its row.
 struct target_slot {
     std::uint16_t row = 0;
-    std::uint16_t generation = 0; ///< 0 is never used: an empty slot
+    std::uint16_t generation = 0; ///< 0: an empty slot
 
     friend bool operator==(const target_slot&, const target_slot&) = default;
 };
 
-/// How much of a prompt a target is thought to hold.
+/// The length of the prompt prefix that a target has likely cached.
 struct prefix_match {
     target_slot slot;
     std::uint32_t blocks = 0;
 };
 
-/// Only this many blocks of a prompt are looked at, so that the work on one request is bounded.
+/// Further blocks of a prompt are ignored, which bounds the work per request.
 constexpr std::size_t max_prefix_blocks = 64;
 
-/// Bounded: sets of entries; within a full set the entry that was used least recently goes.
+/// A set-associative table of bounded size; a full set evicts its least recently used entry.
 class prefix_index {
 public:
-    /// Rounds `entries` up to a power of two of at least one set.
+    /// Rounds the number of sets up to a power of two.
     explicit prefix_index(std::size_t entries);
 
-    /// `slot` is thought to hold the prefix that ends with `block`.
+    /// The target has likely cached the prefix that ends with `block`.
     void note_stored(std::uint64_t block, target_slot slot);
-    /// `slot` is known not to hold it any more.
+    /// The target has evicted the prefix that ends with `block`.
     void note_evicted(std::uint64_t block, target_slot slot);
-    /// Counts a request that goes through `block` and returns its share of the recent requests,
-    /// 0..1, as this node sees them.
+    /// Counts a request whose prompt contains `block`, and returns the share of such requests among
+    /// this node's recent requests, 0..1.
     double count_block_request(std::uint64_t block);
-    /// The targets with the longest matches, longest first; returns how many were found.
+    /// Writes the targets with the longest matches to `best`, longest first; returns their number.
     [[nodiscard]] std::size_t longest_matches(std::span<const std::uint64_t> blocks,
                                               std::span<prefix_match> best) const;
-    /// Halves the counts of requests once in a while, so that popularity is recent.
+    /// Counts a request in the total, and starts a new epoch after every `epoch_requests` requests,
+    /// which halves the counts, so that popularity reflects recent traffic.
     void count_request();
 
 private:
-    static constexpr std::size_t ways = 4; ///< entries of a set
+    static constexpr std::size_t ways = 4; ///< entries per set
     static constexpr std::size_t slots_per_entry = 4;
-    static constexpr float epoch_requests = 2'048.0F; ///< window of popularity
-    /// Added to the total, so that the first requests don't each pass for all the traffic there is.
+    static constexpr float epoch_requests = 2'048.0F; ///< length of an epoch
+    /// Added to the total, so that the first requests do not each count as a large share of the
+    /// traffic.
     static constexpr float prior_requests = 32.0F;
 
     struct entry {
--- a/routing/rate_limits.cc
+++ b/routing/rate_limits.cc
@@ -1,16 +1,17 @@
-// Each limit is split among a few nodes, and each of these keeps a token bucket. All nodes work the
-// same split out alone: they rank one another for each server by rendezvous, those of the server's
-// failure domain first, so that a domain that is cut off can still use its own servers.
+// Each limit is split among a few nodes, each of which has a token bucket. All nodes compute the
+// same split without communication: they rank one another for each server by rendezvous hashing.
+// Nodes in the server's failure domain come first, so that a domain that is cut off can still use
+// its own servers.
 //
-// Why the sum holds. With a limit of L a second there are min(nodes, 2 + floor(L)) parts of equal
-// rate, and buckets that hold 2 + L requests together, so in a window of w seconds the server gets
-// w * L + L + 2 at most, however many nodes there are. A part that passes to another node begins
-// with an empty bucket. A node that falls silent keeps its part for a while: it may be cut off and
-// go on sending.
+// Bound: a limit of L requests a second is split into min(nodes, 2 + floor(L)) shares of equal
+// rate, with buckets that hold 2 + L requests together. In a window of w seconds the server thus
+// gets at most w * L + L + 2 requests, regardless of the number of nodes. When a share passes to
+// another node, its bucket starts empty. A node that is no longer heard of keeps its share for a
+// while, since it may be partitioned and still send.
 //
-// Nodes without a part hear of a lifted limit from the others. In case all who could tell have
-// gone, each tries one request after a silence that is longer the higher its rank; the answer names
-// the limit, or it doesn't.
+// Nodes without a share learn from the others that a limit was lifted. In case all nodes with a
+// share have gone, each other node sends a trial request after a silence that increases with its
+// rank; the response names the limit or shows that it was lifted.
 #include "routing/rate_limits.h"
 
 #include <algorithm>
@@ -20,17 +21,17 @@
 
 namespace {
 
-/// A member that is not heard of may still send.
+/// A member that is not heard of may still send requests, so it keeps its share this long.
 constexpr std::chrono::seconds silent_member_retention{15};
-/// Least that a limit counts as, requests a second: without any request nobody would hear that it
-/// is lifted.
+/// Lower bound on the effective limit, requests a second: without any request, no node would learn
+/// that the limit was lifted.
 constexpr double min_per_second = 0.2;
-constexpr double base_parts = 2.0; ///< parts of a limit of less than one request a second
+constexpr double base_parts = 2.0; ///< shares of a limit of less than one request a second
+/// Minimum intervals between two reports to the peers: of an unchanged limit and of a changed one.
 constexpr std::chrono::milliseconds refresh_interval{2'000};
-constexpr std::chrono::milliseconds change_refresh_interval{
-    250}; ///< between two words on a changing limit
+constexpr std::chrono::milliseconds change_refresh_interval{250};
 constexpr std::chrono::seconds trial_delay{10};
-constexpr double trial_spacing = 4.0; ///< between the trials of two ranks, in requests of the limit
+constexpr double trial_spacing = 4.0; ///< between trials of successive ranks, in units of 1 / limit
 
 duration from_seconds(double span)
 {
@@ -47,7 +48,7 @@
     return std::max(per_second, min_per_second);
 }
 
-/// Place of `self` among `names`.
+/// Rank of `self` among `names` for `key`; names.size() if it is not among them.
 std::size_t rendezvous_rank(const std::string& self, std::string_view key,
                             std::vector<std::string> names)
 {
@@ -67,7 +68,7 @@
 void rate_limits::fleet_seen(const std::vector<fleet_member>& members, time_point now)
 {
     std::map<node_id, failure_domain_id> sharers;
-    sharers.try_emplace(m_self); // its failure domain is known once the members tell it
+    sharers.try_emplace(m_self); // its failure domain comes with the list of members
     for (const fleet_member& one : members) {
         if (one.live)
             m_last_live[one.node] = now;
--- a/routing/rate_limits.h
+++ b/routing/rate_limits.h
@@ -1,11 +1,11 @@
-// Servers that say how many requests a second they take of all entry VMs together, and this node's
-// part of that.
+// Rate limits of backend servers: a server may name the requests a second that it accepts from all
+// entry VMs together; this class computes and enforces the share of this node.
 //
 //   rate_limits limits{self};
-//   limits.fleet_seen(members, now);                       // about once a second
-//   if (limits.answered(server, domain, 1.9, now)) ...     // an answer named it: tell the peers
-//   limits.told(server, domain, 1.9, observed, now);       // a peer did
-//   if (limits.may_send(server, now)) limits.take(server, now);
+//   limits.fleet_seen(members, now);                           // about once a second
+//   if (limits.server_report(server, domain, 1.9, now)) ...    // a response named it: send to
+//   peers limits.peer_report(server, domain, 1.9, observed, now);    // received from a peer if
+//   (limits.may_send(server, now)) limits.consume(server, now);
 #pragma once
 
 #include "base/base.h"
@@ -18,7 +18,7 @@
 
 namespace jaynotch {
 
-/// An entry VM as the membership shows it. One that has said goodbye is none.
+/// An entry VM in the membership list. VMs that have left by themselves are not listed.
 struct fleet_member {
     node_id node;
     failure_domain_id failure_domain;
@@ -29,18 +29,20 @@
 public:
     explicit rate_limits(node_id self);
 
-    /// All members, this node among them or not.
+    /// Updates the list of members, with or without this node.
     void fleet_seen(const std::vector<fleet_member>& members, time_point now);
-    /// An answer of the server, which stands in failure domain `where`, named a limit, requests a
-    /// second, or none. True if the other nodes are to be told.
+    /// A response of the server named a limit in requests a second, or none. `server_domain` is the
+    /// failure domain of the server. Returns true if the report has to be sent to the other nodes.
     bool server_report(const vm_id& server, const failure_domain_id& server_domain,
                        std::optional<double> per_second, time_point now);
-    /// Another node got such an answer at `observed`.
+    /// Another node got such a response at `observed`. Reports older than the latest known one are
+    /// ignored.
     void peer_report(const vm_id& server, const failure_domain_id& server_domain,
                      std::optional<double> per_second, time_point observed, time_point now);
-    /// Grants trials that are due. A few times a second.
+    /// Grants the trial requests that are due. To be called a few times a second.
     void tick(time_point now);
-    /// Forgets servers that have been neither heard of nor `known` for long.
+    /// Removes servers for which there was no report for `unknown_server_retention` and that are
+    /// not `known`.
     template <class Known>
     void forget(Known known, time_point now)
     {
@@ -52,13 +54,13 @@
 
     [[nodiscard]] bool empty() const { return m_servers.empty(); }
     [[nodiscard]] std::size_t size() const { return m_servers.size(); }
-    /// Whether one more request may be sent to the server now.
+    /// Whether a request may be sent to the server now.
     [[nodiscard]] bool may_send(const vm_id& server, time_point now) const;
-    /// One more request is sent to the server.
+    /// Accounts for a request that is sent to the server.
     void consume(const vm_id& server, time_point now);
-    /// Until one more request may be sent: 0 if at once, max() if this node has no part.
+    /// Time until a request may be sent; max() if this node has no share.
     [[nodiscard]] duration wait(const vm_id& server, time_point now) const;
-    /// This node's part, requests a second; nullopt if the server names no limit.
+    /// This node's share, requests a second; nullopt if the server has no limit.
     [[nodiscard]] std::optional<double> share(const vm_id& server) const;
 
 private:
@@ -68,9 +70,9 @@
     struct server_row {
         double per_second = 0.0;
         failure_domain_id server_domain;
-        time_point last_named_at;  ///< when the server last named it
-        time_point last_announced; ///< when the nodes were last told
-        time_point last_trial;     ///< when a trial was last granted
+        time_point last_named_at;  ///< when a response of the server last named the limit
+        time_point last_announced; ///< when the limit was last sent to the other nodes
+        time_point last_trial;     ///< when a trial request was last granted
         std::size_t rank = 0;
         double share = 0.0;       ///< requests a second
         double bucket_size = 1.0; ///< requests
--- a/routing/route_index.cc
+++ b/routing/route_index.cc
@@ -1,7 +1,7 @@
-// Two or four hash look-ups for a model route. For a plain route one look-up for each length of
-// prefix that occurs in the table, so that the work is bounded by the table and not by the path a
-// caller makes up. Rows of one cell are in order of names, those with methods before those
-// without, so the first that matches is the one to take.
+// A model route takes at most four hash look-ups. A plain route takes a few for each distinct
+// length of path prefix in the table, so the cost is bounded by the table and not by the path that
+// a caller sends. Rows with the same key are sorted by name, those with methods before those
+// without, so the first match is the most specific.
 #include "routing/route_index.h"
 
 #include <algorithm>
@@ -18,7 +18,7 @@
            std::find(row.methods.begin(), row.methods.end(), method) != row.methods.end();
 }
 
-/// Where a plain row stands: a host can't hold the byte between the two parts.
+/// Key of a plain row. The separator cannot occur in a host name.
 std::string plain_key(std::string_view host, std::string_view prefix)
 {
     std::string key{host};
--- a/routing/route_index.h
+++ b/routing/route_index.h
@@ -1,11 +1,12 @@
-// Which route a request takes: the most specific row that matches.
+// Finds the route of a request: the most specific row of the routing table that matches.
 //
 //   const route_index index{tables.routes};
-//   const route* taken = index.find(info);   // nullptr: no route
+//   const route* found = index.find(info);   // nullptr: no route
 //
-// More specific is, in this order: a named model before any ("" or "*"), a named workspace before
-// "*", the longer path prefix before the shorter, named methods before all; then the lower name. A
-// path prefix matches whole segments: "/orders" matches "/orders" and "/orders/7", not "/ordersx".
+// Specificity is compared in this order: a named model before any ("" or "*"), a named workspace
+// before "*", the longer path prefix before the shorter, a list of methods before none; then the
+// lower name. A path prefix matches whole segments: "/orders" matches "/orders" and "/orders/7",
+// not "/ordersx".
 #pragma once
 
 #include "routing/request_events.h"
@@ -18,22 +19,22 @@
 
 namespace jaynotch {
 
-/// Whether `path` lies under `prefix`, by whole segments.
+/// Whether `prefix` is a prefix of `path` in whole segments.
 bool path_has_prefix(std::string_view path, std::string_view prefix);
 
-/// Hash for looking strings up by string_view.
+/// Transparent hash for look-ups by string_view.
 struct string_view_hash {
     using is_transparent = void;
     std::size_t operator()(std::string_view text) const noexcept { return hash64(text); }
 };
 
-/// The routes of one configuration, ready for look-ups without allocation.
+/// The routes of one configuration, indexed.
 class route_index {
 public:
     route_index() = default;
     explicit route_index(std::vector<route> routes);
 
-    /// The route of `request`, or nullptr. Valid until the index is replaced.
+    /// The route of `request`, or nullptr. The pointer is valid until the index is replaced.
     [[nodiscard]] const route* find(const request_info& request) const;
 
 private:
@@ -54,7 +55,7 @@
 
     std::vector<route> m_routes; ///< in order of names
     std::unordered_map<std::string, workspace_rows, string_view_hash, std::equal_to<>> m_workspaces;
-    std::vector<std::size_t> m_prefix_lengths; ///< that occur, longest first
+    std::vector<std::size_t> m_prefix_lengths; ///< distinct lengths of path prefixes, longest first
 };
 
 } // namespace jaynotch
--- a/routing/routing.h
+++ b/routing/routing.h
@@ -1,7 +1,8 @@
-// Public header of the routing library: what becomes of each request.
+// Public header of the routing library, which decides how each request is handled.
 //
-// `request_core` is a pure decision core. The shell turns what happens on sockets into events and
-// carries out the commands that come back, in their order, before it hands in the next event:
+// `request_core` is a deterministic decision core without I/O. The caller translates network
+// activity into events, and carries out the returned commands in order before it passes in the next
+// event:
 //
 //   result<request_core> made = request_core::create(settings, random_source{seed}, now);
 //   request_core core = std::move(made).value();
@@ -15,7 +16,7 @@
 //   core.handle(tick{}, now, commands);                  // every 10 to 50 ms
 //
 // Each accepted request gets exactly one final command: complete, refuse, replay, end_truncated or,
-// if its caller went away first, forget.
+// if its caller has disconnected, forget.
 #pragma once
 
 #include "routing/request_commands.h"
--- a/routing/target_table.cc
+++ b/routing/target_table.cc
@@ -1,8 +1,8 @@
-// A row stays where it is while requests or the prefix index refer to it; one that is not present
-// any more and has nothing in flight is reused, under a new generation.
+// A row keeps its index while its target is present or has requests in flight. Afterwards it may be
+// reused with a new generation, which invalidates the entries of the prefix index that refer to it.
 //
-// A target that leaves the tables or the list of complete groups is not cut: it is out of the picks
-// at once, what it has goes on, and `released` is said when that is done.
+// A target that is removed from the tables or from the list of complete groups is drained: it gets
+// no new requests, those in flight continue, and it is reported as released when they have ended.
 #include "routing/target_table.h"
 
 #include <algorithm>
@@ -12,7 +12,7 @@
 
 namespace {
 
-/// A report is worth half after this long: about two reports of an engine that tells each second.
+/// Half-life of the weight of a report: about two intervals of an engine that reports each second.
 constexpr std::chrono::milliseconds report_half_life{2'000};
 
 double seconds(duration span)
@@ -55,8 +55,9 @@
 
 std::uint32_t load_estimate::own_at(time_point then) const
 {
-    // A report of a second ago counts what we had a second ago; taking off what we have now would
-    // credit our newest requests to it and make the target look free of others.
+    // A report counts the requests that this node had when it was made. Subtracting the present
+    // ones would count newer requests as part of the report and make the target look free of the
+    // other nodes' requests.
     const auto back = std::max<duration>(m_sampled_at - then, duration::zero()) / sample_interval;
     const auto steps = std::min<std::size_t>(static_cast<std::size_t>(back), samples - 1);
     return m_own[(m_next_sample + samples - 1 - steps) % samples];
@@ -134,10 +135,10 @@
         still_present.resize(m_rows.size(), false);
         still_present[row] = true;
         target_row& kept = m_rows[row];
-        // Another epoch of a group is another process state: its cache is not what we knew.
+        // A new epoch of a group is a new process, whose cache is empty.
         if (kept.info.fencing != added.fencing || kept.info.version != added.version) {
             ++kept.generation;
-            kept.health.refusing = false; // that was said of the epoch before
+            kept.health.refusing = false; // the refusal concerned the previous epoch
             kept.health.silent = false;
         }
         kept.info = added;
@@ -187,7 +188,8 @@
         target_row& unused = m_rows[row];
         if (unused.present || unused.own > 0 || unused.release_due || unused.free)
             continue;
-        // Marked, since its id may come back on another row and must then not free this one again.
+        // Marked as free, because its id may be added again in another row; without the mark this
+        // row would then be freed twice and that id removed.
         unused.free = true;
         m_by_id.erase(unused.info.id);
         m_free.push_back(static_cast<target_row_index>(row));
@@ -203,7 +205,7 @@
         m_rows[row].release_due = leaving && (changed || m_rows[row].release_due);
         return;
     }
-    // The word may overtake the list that names the target; it must not be lost.
+    // The notice may arrive before the list that contains the target, and must not be lost.
     std::erase(m_early_leaving, id);
     if (leaving && m_early_leaving.size() < max_early_leaving)
         m_early_leaving.push_back(id);
