--- a/routing/demand.cc
+++ b/routing/demand.cc
@@ -1,11 +1,11 @@
-// The split is proportional to demand with largest remainders, ties by node name. Everything is
-// integers and the order is total, so nodes with the same view compute the same split and the
-// parts never add up to more than the limit. If the demands of all fit, a node may use what the
-// others leave, which keeps the pool busy while only one node has traffic.
+// A limit is split in proportion to demand by the largest-remainder method, ties broken by node
+// name. The arithmetic is integral and the order is total, so nodes with the same view compute the
+// same split and the shares never exceed the limit. If all demands fit, each node may also use the
+// unused rest, which keeps the pool busy while only one node has traffic.
 //
-// Where views differ (a demand on its way, a partition) the sum may pass the limit by what the
-// unseen demand is worth; a silent node's demand is kept for a while first, so that a lost message
-// doesn't open the limit.
+// If the views differ (a demand update in transit, a partition), the sum may exceed the limit by
+// the share of the demand that is not seen. The demand of a node without updates is therefore kept
+// for the retention time, so that a lost message does not raise the others' shares.
 #include "routing/demand.h"
 
 #include <algorithm>
@@ -25,41 +25,41 @@
 std::uint32_t split_limit(std::uint32_t limit, std::span<const node_demand> others,
                           const node_demand& own)
 {
-    std::uint64_t others_want = 0;
+    std::uint64_t peer_demand = 0;
     for (const node_demand& other : others)
-        others_want += other.wanted;
-    const std::uint64_t total = others_want + own.wanted;
+        peer_demand += other.wanted;
+    const std::uint64_t total = peer_demand + own.wanted;
     if (total <= limit)
-        return static_cast<std::uint32_t>(limit - others_want);
+        return static_cast<std::uint32_t>(limit - peer_demand);
 
-    const auto whole = [&](const node_demand& node) {
+    const auto integer_share = [&](const node_demand& node) {
         return std::uint64_t{limit} * node.wanted / total;
     };
-    const auto left_over = [&](const node_demand& node) {
+    const auto remainder_of = [&](const node_demand& node) {
         return std::uint64_t{limit} * node.wanted % total;
     };
-    std::uint64_t given = whole(own);
+    std::uint64_t distributed = integer_share(own);
     for (const node_demand& other : others)
-        given += whole(other);
-    std::uint64_t before_own = 0; // nodes whose remainder is served before ours
+        distributed += integer_share(other);
+    std::uint64_t nodes_before_own = 0; // nodes that get a left-over unit before this one
     for (const node_demand& other : others) {
-        const bool larger = left_over(other) > left_over(own);
-        const bool tied = left_over(other) == left_over(own) && other.node < own.node;
-        before_own += larger || tied ? 1 : 0;
+        const bool larger = remainder_of(other) > remainder_of(own);
+        const bool tied = remainder_of(other) == remainder_of(own) && other.node < own.node;
+        nodes_before_own += larger || tied ? 1 : 0;
     }
-    const bool gets_one = before_own < limit - given;
-    return static_cast<std::uint32_t>(whole(own) + (gets_one ? 1 : 0));
+    const bool gets_extra_unit = nodes_before_own < limit - distributed;
+    return static_cast<std::uint32_t>(integer_share(own) + (gets_extra_unit ? 1 : 0));
 }
 
 void demand_table::install(const node_id& node, const std::vector<demand_row>& rows, time_point now)
 {
-    if (!m_nodes.contains(node) && m_nodes.size() >= m_most_nodes)
+    if (!m_nodes.contains(node) && m_nodes.size() >= m_max_nodes)
         return;
     node_row& row = m_nodes[node];
     row.rows = rows;
-    if (row.rows.size() > most_rows_per_node)
-        row.rows.resize(most_rows_per_node);
-    row.heard = now;
+    if (row.rows.size() > max_rows_per_node)
+        row.rows.resize(max_rows_per_node);
+    row.received_at = now;
 }
 
 void demand_table::forget(const node_id& node)
@@ -69,10 +69,11 @@
 
 void demand_table::expire(time_point now)
 {
-    std::erase_if(m_nodes, [&](const auto& row) { return now - row.second.heard > m_keeping; });
+    std::erase_if(m_nodes,
+                  [&](const auto& row) { return now - row.second.received_at > m_retention; });
 }
 
-std::vector<node_demand> demand_table::of_pool(const pool_id& pool) const
+std::vector<node_demand> demand_table::pool_demand(const pool_id& pool) const
 {
     std::vector<node_demand> wanted;
     for (const auto& [node, row] : m_nodes) {
@@ -87,8 +88,8 @@
     return wanted;
 }
 
-std::vector<node_demand> demand_table::of_workspace(const pool_id& pool,
-                                                    const workspace_id& workspace) const
+std::vector<node_demand> demand_table::workspace_demand(const pool_id& pool,
+                                                        const workspace_id& workspace) const
 {
     std::vector<node_demand> wanted;
     for (const auto& [node, row] : m_nodes) {
--- a/routing/rate_limits.cc
+++ b/routing/rate_limits.cc
@@ -1,16 +1,17 @@
-// Each limit is split among a few nodes, and each of these keeps a token bucket. All nodes work the
-// same split out alone: they rank one another for each server by rendezvous, those of the server's
-// failure domain first, so that a domain that is cut off can still use its own servers.
+// Each limit is split among a few nodes, each of which has a token bucket. All nodes compute the
+// same split without communication: they rank one another for each server by rendezvous hashing.
+// Nodes in the server's failure domain come first, so that a domain that is cut off can still use
+// its own servers.
 //
-// Why the sum holds. With a limit of L a second there are min(nodes, 2 + floor(L)) parts of equal
-// rate, and buckets that hold 2 + L requests together, so in a window of w seconds the server gets
-// w * L + L + 2 at most, however many nodes there are. A part that passes to another node begins
-// with an empty bucket. A node that falls silent keeps its part for a while: it may be cut off and
-// go on sending.
+// Bound: a limit of L requests a second is split into min(nodes, 2 + floor(L)) shares of equal
+// rate, with buckets that hold 2 + L requests together. In a window of w seconds the server thus
+// gets at most w * L + L + 2 requests, regardless of the number of nodes. When a share passes to
+// another node, its bucket starts empty. A node that is no longer heard of keeps its share for a
+// while, since it may be partitioned and still send.
 //
-// Nodes without a part hear of a lifted limit from the others. In case all who could tell have
-// gone, each tries one request after a silence that is longer the higher its rank; the answer names
-// the limit, or it doesn't.
+// Nodes without a share learn from the others that a limit was lifted. In case all nodes with a
+// share have gone, each other node sends a trial request after a silence that increases with its
+// rank; the response names the limit or shows that it was lifted.
 #include "routing/rate_limits.h"
 
 #include <algorithm>
@@ -20,16 +21,17 @@
 
 namespace {
 
-/// A member that is not heard of may still send.
-constexpr std::chrono::seconds keep_silent_member{15};
-/// Least that a limit counts as, requests a second: without any request nobody would hear that it
-/// is lifted.
-constexpr double least_per_second = 0.2;
-constexpr double part_base = 2.0; ///< parts of a limit of less than one request a second
+/// A member that is not heard of may still send requests, so it keeps its share this long.
+constexpr std::chrono::seconds silent_member_retention{15};
+/// Lower bound on the effective limit, requests a second: without any request, no node would learn
+/// that the limit was lifted.
+constexpr double min_per_second = 0.2;
+constexpr double base_parts = 2.0; ///< shares of a limit of less than one request a second
+/// Minimum intervals between two reports to the peers: of an unchanged limit and of a changed one.
 constexpr std::chrono::milliseconds refresh_interval{2'000};
-constexpr std::chrono::milliseconds change_interval{250}; ///< between two words on a changing limit
-constexpr std::chrono::seconds trial_silence{10};
-constexpr double trial_spacing = 4.0; ///< between the trials of two ranks, in requests of the limit
+constexpr std::chrono::milliseconds change_refresh_interval{250};
+constexpr std::chrono::seconds trial_delay{10};
+constexpr double trial_spacing = 4.0; ///< between trials of successive ranks, in units of 1 / limit
 
 duration from_seconds(double span)
 {
@@ -41,13 +43,14 @@
     return std::chrono::duration<double>(span).count();
 }
 
-double counted(double per_second)
+double effective_limit(double per_second)
 {
-    return std::max(per_second, least_per_second);
+    return std::max(per_second, min_per_second);
 }
 
-/// Place of `self` among `names`.
-std::size_t place_of(const std::string& self, std::string_view key, std::vector<std::string> names)
+/// Rank of `self` among `names` for `key`; names.size() if it is not among them.
+std::size_t rendezvous_rank(const std::string& self, std::string_view key,
+                            std::vector<std::string> names)
 {
     const std::vector<std::size_t> order = rendezvous(key, names, names.size());
     const auto found = std::find_if(order.begin(), order.end(),
@@ -65,12 +68,12 @@
 void rate_limits::fleet_seen(const std::vector<fleet_member>& members, time_point now)
 {
     std::map<node_id, failure_domain_id> sharers;
-    sharers.try_emplace(m_self); // its failure domain is known once the members tell it
+    sharers.try_emplace(m_self); // its failure domain comes with the list of members
     for (const fleet_member& one : members) {
         if (one.live)
             m_last_live[one.node] = now;
         const auto last = m_last_live.find(one.node);
-        if (last != m_last_live.end() && now - last->second <= keep_silent_member)
+        if (last != m_last_live.end() && now - last->second <= silent_member_retention)
             sharers[one.node] = one.failure_domain;
     }
     std::erase_if(m_last_live, [&](const auto& entry) { return !sharers.contains(entry.first); });
@@ -78,127 +81,129 @@
         return;
     m_sharers = std::move(sharers);
     for (auto& [server, row] : m_servers) {
-        fill(row, now);
-        split(server, row);
+        refill(row, now);
+        update_share(server, row);
     }
 }
 
-bool rate_limits::answered(const vm_id& server, const failure_domain_id& where,
-                           std::optional<double> per_second, time_point now)
+bool rate_limits::server_report(const vm_id& server, const failure_domain_id& server_domain,
+                                std::optional<double> per_second, time_point now)
 {
     if (!per_second)
         return m_servers.erase(server) > 0;
     const auto known = m_servers.find(server);
     const bool first = known == m_servers.end();
     const bool changed = !first && known->second.per_second != *per_second;
-    server_row* row = install(server, where, *per_second, now);
+    server_row* row = install(server, server_domain, *per_second, now);
     if (row == nullptr)
         return false;
-    row->heard = now;
-    const duration since = now - row->told;
-    const bool due = first || since >= refresh_interval || (changed && since >= change_interval);
+    row->last_named_at = now;
+    const duration since = now - row->last_announced;
+    const bool due =
+        first || since >= refresh_interval || (changed && since >= change_refresh_interval);
     if (due)
-        row->told = now;
+        row->last_announced = now;
     return due;
 }
 
-void rate_limits::told(const vm_id& server, const failure_domain_id& where,
-                       std::optional<double> per_second, time_point observed, time_point now)
+void rate_limits::peer_report(const vm_id& server, const failure_domain_id& server_domain,
+                              std::optional<double> per_second, time_point observed, time_point now)
 {
     const auto known = m_servers.find(server);
-    if (known != m_servers.end() && known->second.heard >= observed)
+    if (known != m_servers.end() && known->second.last_named_at >= observed)
         return;
     if (!per_second) {
         m_servers.erase(server);
         return;
     }
-    server_row* row = install(server, where, *per_second, now);
+    server_row* row = install(server, server_domain, *per_second, now);
     if (row == nullptr)
         return;
-    row->heard = observed;
-    row->told = observed;
+    row->last_named_at = observed;
+    row->last_announced = observed;
 }
 
-rate_limits::server_row* rate_limits::install(const vm_id& server, const failure_domain_id& where,
+rate_limits::server_row* rate_limits::install(const vm_id& server,
+                                              const failure_domain_id& server_domain,
                                               double per_second, time_point now)
 {
     auto known = m_servers.find(server);
     const bool first = known == m_servers.end();
-    if (first && m_servers.size() >= most_servers)
+    if (first && m_servers.size() >= max_servers)
         return nullptr;
     if (first)
-        known = m_servers.emplace(server, server_row{.tried = now, .filled = now}).first;
+        known = m_servers.emplace(server, server_row{.last_trial = now, .refilled_at = now}).first;
     server_row& row = known->second;
-    if (!first && row.per_second == per_second && row.where == where)
+    if (!first && row.per_second == per_second && row.server_domain == server_domain)
         return &row;
-    fill(row, now);
+    refill(row, now);
     row.per_second = per_second;
-    row.where = where;
-    split(server, row);
+    row.server_domain = server_domain;
+    update_share(server, row);
     return &row;
 }
 
-void rate_limits::split(const vm_id& server, server_row& row) const
+void rate_limits::update_share(const vm_id& server, server_row& row) const
 {
-    const double limit = counted(row.per_second);
+    const double limit = effective_limit(row.per_second);
     const auto nodes = static_cast<double>(m_sharers.size());
-    const double parts = std::min(nodes, part_base + std::floor(limit));
-    row.rank = rank_at(server, row.where);
+    const double parts = std::min(nodes, base_parts + std::floor(limit));
+    row.rank = rank_for(server, row.server_domain);
     row.share = static_cast<double>(row.rank) < parts ? limit / parts : 0.0;
-    row.most_saved = std::max(1.0, (part_base + limit) / parts);
-    row.saved = std::min(row.saved, row.share > 0.0 ? row.most_saved : 0.0);
+    row.bucket_size = std::max(1.0, (base_parts + limit) / parts);
+    row.tokens = std::min(row.tokens, row.share > 0.0 ? row.bucket_size : 0.0);
 }
 
-std::size_t rate_limits::rank_at(const vm_id& server, const failure_domain_id& where) const
+std::size_t rate_limits::rank_for(const vm_id& server, const failure_domain_id& server_domain) const
 {
-    std::vector<std::string> near;
-    std::vector<std::string> far;
+    std::vector<std::string> same_domain;
+    std::vector<std::string> other_domains;
     for (const auto& [node, domain] : m_sharers)
-        (domain == where ? near : far).push_back(node.value());
-    const std::size_t place = place_of(m_self.value(), server.value(), near);
-    if (place < near.size())
+        (domain == server_domain ? same_domain : other_domains).push_back(node.value());
+    const std::size_t place = rendezvous_rank(m_self.value(), server.value(), same_domain);
+    if (place < same_domain.size())
         return place;
-    return near.size() + place_of(m_self.value(), server.value(), far);
+    return same_domain.size() + rendezvous_rank(m_self.value(), server.value(), other_domains);
 }
 
-double rate_limits::saved_at(const server_row& row, time_point now)
+double rate_limits::load_tokens_at(const server_row& row, time_point now)
 {
-    return std::min(row.most_saved, row.saved + row.share * seconds(now - row.filled));
+    return std::min(row.bucket_size, row.tokens + row.share * seconds(now - row.refilled_at));
 }
 
-void rate_limits::fill(server_row& row, time_point now)
+void rate_limits::refill(server_row& row, time_point now)
 {
-    row.saved = saved_at(row, now);
-    row.filled = now;
+    row.tokens = load_tokens_at(row, now);
+    row.refilled_at = now;
 }
 
 void rate_limits::tick(time_point now)
 {
     for (auto& [server, row] : m_servers) {
-        const double turn_s =
-            static_cast<double>(row.rank) * trial_spacing / counted(row.per_second);
-        const duration silence = trial_silence + from_seconds(turn_s);
-        if (row.share > 0.0 || now - std::max(row.heard, row.tried) < silence)
+        const double rank_delay_s =
+            static_cast<double>(row.rank) * trial_spacing / effective_limit(row.per_second);
+        const duration silence = trial_delay + from_seconds(rank_delay_s);
+        if (row.share > 0.0 || now - std::max(row.last_named_at, row.last_trial) < silence)
             continue;
-        row.tried = now;
-        row.saved = 1.0;
-        row.filled = now;
+        row.last_trial = now;
+        row.tokens = 1.0;
+        row.refilled_at = now;
     }
 }
 
 bool rate_limits::may_send(const vm_id& server, time_point now) const
 {
     const auto known = m_servers.find(server);
-    return known == m_servers.end() || saved_at(known->second, now) >= 1.0;
+    return known == m_servers.end() || load_tokens_at(known->second, now) >= 1.0;
 }
 
-void rate_limits::take(const vm_id& server, time_point now)
+void rate_limits::consume(const vm_id& server, time_point now)
 {
     const auto known = m_servers.find(server);
     if (known == m_servers.end())
         return;
-    fill(known->second, now);
-    known->second.saved -= 1.0;
+    refill(known->second, now);
+    known->second.tokens -= 1.0;
 }
 
 duration rate_limits::wait(const vm_id& server, time_point now) const
@@ -207,7 +212,7 @@
     if (known == m_servers.end())
         return duration{0};
     const server_row& row = known->second;
-    const double missing = 1.0 - saved_at(row, now);
+    const double missing = 1.0 - load_tokens_at(row, now);
     if (missing <= 0.0)
         return duration{0};
     return row.share > 0.0 ? from_seconds(missing / row.share) : duration::max();
--- a/routing/rate_limits.h
+++ b/routing/rate_limits.h
@@ -1,11 +1,11 @@
-// Servers that say how many requests a second they take of all entry VMs together, and this node's
-// part of that.
+// Rate limits of backend servers: a server may name the requests a second that it accepts from all
+// entry VMs together; this class computes and enforces the share of this node.
 //
 //   rate_limits limits{self};
-//   limits.fleet_seen(members, now);                       // about once a second
-//   if (limits.answered(server, domain, 1.9, now)) ...     // an answer named it: tell the peers
-//   limits.told(server, domain, 1.9, observed, now);       // a peer did
-//   if (limits.may_send(server, now)) limits.take(server, now);
+//   limits.fleet_seen(members, now);                           // about once a second
+//   if (limits.server_report(server, domain, 1.9, now)) ...    // a response named it: send to
+//   peers limits.peer_report(server, domain, 1.9, observed, now);    // received from a peer if
+//   (limits.may_send(server, now)) limits.consume(server, now);
 #pragma once
 
 #include "base/base.h"
@@ -18,7 +18,7 @@
 
 namespace jaynotch {
 
-/// An entry VM as the membership shows it. One that has said goodbye is none.
+/// An entry VM in the membership list. VMs that have left by themselves are not listed.
 struct fleet_member {
     node_id node;
     failure_domain_id failure_domain;
@@ -29,60 +29,64 @@
 public:
     explicit rate_limits(node_id self);
 
-    /// All members, this node among them or not.
+    /// Updates the list of members, with or without this node.
     void fleet_seen(const std::vector<fleet_member>& members, time_point now);
-    /// An answer of the server, which stands in failure domain `where`, named a limit, requests a
-    /// second, or none. True if the other nodes are to be told.
-    bool answered(const vm_id& server, const failure_domain_id& where,
-                  std::optional<double> per_second, time_point now);
-    /// Another node got such an answer at `observed`.
-    void told(const vm_id& server, const failure_domain_id& where, std::optional<double> per_second,
-              time_point observed, time_point now);
-    /// Grants trials that are due. A few times a second.
+    /// A response of the server named a limit in requests a second, or none. `server_domain` is the
+    /// failure domain of the server. Returns true if the report has to be sent to the other nodes.
+    bool server_report(const vm_id& server, const failure_domain_id& server_domain,
+                       std::optional<double> per_second, time_point now);
+    /// Another node got such a response at `observed`. Reports older than the latest known one are
+    /// ignored.
+    void peer_report(const vm_id& server, const failure_domain_id& server_domain,
+                     std::optional<double> per_second, time_point observed, time_point now);
+    /// Grants the trial requests that are due. To be called a few times a second.
     void tick(time_point now);
-    /// Forgets servers that have been neither heard of nor `known` for long.
+    /// Removes servers for which there was no report for `unknown_server_retention` and that are
+    /// not `known`.
     template <class Known>
     void forget(Known known, time_point now)
     {
         std::erase_if(m_servers, [&](const auto& entry) {
-            return now - entry.second.heard > keep_unknown && !known(entry.first);
+            return now - entry.second.last_named_at > unknown_server_retention &&
+                   !known(entry.first);
         });
     }
 
     [[nodiscard]] bool empty() const { return m_servers.empty(); }
     [[nodiscard]] std::size_t size() const { return m_servers.size(); }
-    /// Whether one more request may be sent to the server now.
+    /// Whether a request may be sent to the server now.
     [[nodiscard]] bool may_send(const vm_id& server, time_point now) const;
-    /// One more request is sent to the server.
-    void take(const vm_id& server, time_point now);
-    /// Until one more request may be sent: 0 if at once, max() if this node has no part.
+    /// Accounts for a request that is sent to the server.
+    void consume(const vm_id& server, time_point now);
+    /// Time until a request may be sent; max() if this node has no share.
     [[nodiscard]] duration wait(const vm_id& server, time_point now) const;
-    /// This node's part, requests a second; nullopt if the server names no limit.
+    /// This node's share, requests a second; nullopt if the server has no limit.
     [[nodiscard]] std::optional<double> share(const vm_id& server) const;
 
 private:
-    static constexpr std::chrono::seconds keep_unknown{60};
-    static constexpr std::size_t most_servers = 4'096;
+    static constexpr std::chrono::seconds unknown_server_retention{60};
+    static constexpr std::size_t max_servers = 4'096;
 
     struct server_row {
         double per_second = 0.0;
-        failure_domain_id where;
-        time_point heard; ///< when the server last named it
-        time_point told;  ///< when the nodes were last told
-        time_point tried; ///< when a trial was last granted
+        failure_domain_id server_domain;
+        time_point last_named_at;  ///< when a response of the server last named the limit
+        time_point last_announced; ///< when the limit was last sent to the other nodes
+        time_point last_trial;     ///< when a trial request was last granted
         std::size_t rank = 0;
-        double share = 0.0;      ///< requests a second
-        double most_saved = 1.0; ///< requests
-        double saved = 0.0;      ///< requests, at `filled`
-        time_point filled;
+        double share = 0.0;       ///< requests a second
+        double bucket_size = 1.0; ///< requests
+        double tokens = 0.0;      ///< requests, at `filled`
+        time_point refilled_at;
     };
 
-    server_row* install(const vm_id& server, const failure_domain_id& where, double per_second,
-                        time_point now);
-    void split(const vm_id& server, server_row& row) const;
-    [[nodiscard]] std::size_t rank_at(const vm_id& server, const failure_domain_id& where) const;
-    [[nodiscard]] static double saved_at(const server_row& row, time_point now);
-    static void fill(server_row& row, time_point now);
+    server_row* install(const vm_id& server, const failure_domain_id& server_domain,
+                        double per_second, time_point now);
+    void update_share(const vm_id& server, server_row& row) const;
+    [[nodiscard]] std::size_t rank_for(const vm_id& server,
+                                       const failure_domain_id& server_domain) const;
+    [[nodiscard]] static double load_tokens_at(const server_row& row, time_point now);
+    static void refill(server_row& row, time_point now);
 
     node_id m_self;
     std::map<node_id, failure_domain_id> m_sharers;
