--- a/daemon/daemon.cc
+++ b/daemon/daemon.cc
@@ -60,7 +60,7 @@
                       request_core::create(core_settings_of(settings, incarnation), random,
                                            runtime_clock::now()));
     driver_hooks hooks;
-    hooks.on_released = [](const released& gone) {
+    hooks.on_released = [](const target_released& gone) {
         log_event(log_level::info, "target_released", {{"target", gone.target.value()}});
     };
     hooks.on_share_demand = [this](const share_demand& own) { tell_demand(own); };
--- a/daemon/daemon_events.cc
+++ b/daemon/daemon_events.cc
@@ -7,7 +7,7 @@
 
 namespace {
 
-constexpr duration demand_keeping = std::chrono::seconds{5};
+constexpr duration demand_ttl = std::chrono::seconds{5};
 
 target to_target(const groups::complete_group& group)
 {
@@ -141,9 +141,9 @@
         auto& rows = m_demand[one.node].rows;
         const demand_row row{pool_name->second, workspace->second, heard.in_flight, 0};
         rows[{row.pool, row.workspace}] = {row, now};
-        std::erase_if(
-            rows, [now](const auto& entry) { return now - entry.second.second > demand_keeping; });
-        peer_demand_seen seen{one.node, {}};
+        std::erase_if(rows,
+                      [now](const auto& entry) { return now - entry.second.second > demand_ttl; });
+        peer_demand_received seen{one.node, {}};
         for (const auto& [key, kept] : rows)
             seen.rows.push_back(kept.first);
         requests->handle(std::move(seen));
--- a/daemon/daemon_setup.cc
+++ b/daemon/daemon_setup.cc
@@ -41,7 +41,7 @@
     core_settings made;
     made.node = settings.node;
     made.incarnation = std::to_string(incarnation);
-    made.most_requests = settings.limits.requests;
+    made.max_requests = settings.limits.requests;
     made.admission = settings.admission;
     made.mechanisms = settings.mechanisms;
     made.stall_timeout = settings.timeouts.stream_stall;
--- a/daemon/front.cc
+++ b/daemon/front.cc
@@ -137,10 +137,10 @@
         co_return;
     }
     const std::shared_ptr<command_inbox> inbox = m_services.driver.open();
-    m_services.driver.handle(key_status_asked{inbox->id(), workspace.value(), key.value()});
+    m_services.driver.handle(key_status_requested{inbox->id(), workspace.value(), key.value()});
     const command answer = co_await inbox->next();
     m_services.driver.close(inbox->id());
-    if (const auto* told = std::get_if<report_key>(&answer)) {
+    if (const auto* told = std::get_if<report_key_status>(&answer)) {
         boost::json::object body{{"state", to_name(told->state)}};
         if (told->answer)
             body["answer"] = {{"status", told->answer->status},
@@ -214,7 +214,7 @@
     if (!model && !key && long_body) {
         // Passed on as it comes, so it can't be sent a second time.
         asked.stream_body = true;
-        info.body_kept = false;
+        info.body_buffered = false;
         co_return success();
     }
     const daemon_limits& limits = m_services.settings.limits;
--- a/daemon/registry_daemon.cc
+++ b/daemon/registry_daemon.cc
@@ -47,9 +47,9 @@
     made.failure_domain = settings.failure_domain;
     made.retry_share = settings.site.retry_share;
     made.retry_extra = settings.site.retry_extra;
-    made.retry_extra_shared = true;
-    made.charge_every_repeat = true;
-    made.shortest_return = std::chrono::milliseconds{100};
+    made.retry_extra_fleet_wide = true;
+    made.charge_every_retry = true;
+    made.min_retry_after = std::chrono::milliseconds{100};
     return made;
 }
 
@@ -78,8 +78,9 @@
         hooks.on_share_limit = [this](const share_limit& seen) { take_limit(seen); };
         requests = std::make_unique<request_driver>(io, std::move(core), kv, std::move(hooks));
         managers = std::make_unique<formation_driver>(io, settings, kv, *peers, m_registry);
-        managers->on_asked(
-            [this](const vm_id& vm) { return requests->core().hears(vm, runtime_clock::now()); });
+        managers->on_asked([this](const vm_id& vm) {
+            return requests->core().responded_recently(vm, runtime_clock::now());
+        });
         managers->on_word([this] { push_targets(); });
         feed = std::make_unique<registry_feed>(io, settings, kv, *peers, feed_hooks());
         services.reset(new relay_services{
@@ -96,7 +97,8 @@
             if (const auto* newer = std::get_if<key_notice>(&heard))
                 feed->noticed(*newer);
             if (const auto* limit = std::get_if<server_limit>(&heard))
-                requests->handle(limit_told{vm_id{limit->server}, limit->per_second, limit->age});
+                requests->handle(
+                    peer_limit_received{vm_id{limit->server}, limit->per_second, limit->age});
         });
         peers->on_superseded([this] {
             if (superseded)
@@ -318,7 +320,7 @@
     /// Members that can't be reached may still send; only those that said goodbye don't count.
     void tell_fleet()
     {
-        fleet_seen seen;
+        fleet_updated seen;
         for (const member& one : peers->members()) {
             if (one.state != member_state::left)
                 seen.members.push_back({one.node, one.failure_domain, one.live()});
@@ -327,7 +329,7 @@
         requests->handle(std::move(seen));
         if (nodes != m_fleet_size) {
             m_fleet_size = nodes;
-            requests->handle(fleet_size_seen{std::max(nodes, least_fleet)});
+            requests->handle(fleet_size_updated{std::max(nodes, least_fleet)});
         }
     }
 
--- a/daemon/relay_attempt.cc
+++ b/daemon/relay_attempt.cc
@@ -226,7 +226,7 @@
                                          answer_shape shape) const
 {
     attempt_head head;
-    head.whole = shape == answer_shape::whole;
+    head.buffered = shape == answer_shape::buffered;
     head.request = m_inbox->id();
     head.attempt = attempt.order.attempt;
     head.status = static_cast<std::uint32_t>(answer.status());
@@ -251,7 +251,7 @@
 {
     attempt_head head = head_of(attempt, answer, shape);
     head.echoed = echoed_attempt(answer);
-    head.says_did_not_run = answer.header(ran_header) == to_name(ran_state::no);
+    head.reported_not_run = answer.header(ran_header) == to_name(ran_state::no);
     head.version = std::string{answer.header(version_header)};
     if (head.echoed && *head.echoed != head.attempt) {
         // The answer to another attempt: an engine mixed up its callers. It is never delivered.
@@ -310,7 +310,7 @@
     m_writing = true;
     // A caller that reads slowly must not pass for a server that stalls.
     if (!attempt.cancelled)
-        m_services.driver.handle(attempt_waits{m_inbox->id(), attempt.order.attempt});
+        m_services.driver.handle(attempt_writing_to_caller{m_inbox->id(), attempt.order.attempt});
     const bool fine = co_await m_exchange.write(piece);
     m_writing = false;
     if (!fine && !attempt.cancelled)
@@ -441,7 +441,7 @@
         report_failure(attempt, attempt_failure::protocol);
         co_return;
     }
-    if (!report_engine_head(attempt, answer, answer_shape::whole))
+    if (!report_engine_head(attempt, answer, answer_shape::buffered))
         co_return;
     attempt_finished finished{m_inbox->id(), attempt.order.attempt, true, std::nullopt};
     if (keyed())
--- a/daemon/relay_forward.cc
+++ b/daemon/relay_forward.cc
@@ -99,7 +99,7 @@
         answer.set_idle_limit(*facts.idle_limit - idle_margin);
     if (facts.running && !facts.did_not_run)
         m_services.driver.handle(
-            load_seen{attempt.order.target, {*facts.running, facts.waiting, 0.0}, {}});
+            load_reported{attempt.order.target, {*facts.running, facts.waiting, 0.0}, {}});
     note_limit(attempt, facts);
     const bool unmarked = is_success(answer.status()) && !facts.sealed;
     if (unmarked || !answer.header("Content-Encoding").empty()) {
@@ -126,14 +126,14 @@
                   {{"server", attempt.order.instance.value()}, {"text", facts.unreadable_limit}});
         return;
     }
-    m_services.driver.handle(limit_answered{attempt.order.target, facts.rate_limit});
+    m_services.driver.handle(response_limit_received{attempt.order.target, facts.rate_limit});
 }
 
 bool relay_request::way::report_forwarded_head(attempt_state& attempt, const http_stream& answer,
                                                const answer_facts& facts, answer_shape shape)
 {
     attempt_head head = head_of(attempt, answer, shape);
-    head.says_did_not_run = facts.did_not_run;
+    head.reported_not_run = facts.did_not_run;
     head.wrong_instance = facts.wrong_instance;
     if (!facts.attempt.empty() && facts.attempt != m_asked.facts->attempt)
         head.echoed = attempt_id{0}; // names none of ours
@@ -217,7 +217,7 @@
         report_failure(attempt, attempt_failure::protocol);
         co_return;
     }
-    if (!report_forwarded_head(attempt, answer, facts, answer_shape::whole))
+    if (!report_forwarded_head(attempt, answer, facts, answer_shape::buffered))
         co_return;
     m_held = held_answer{answer.status(), platform::forwarded(answer.headers()), std::move(*body)};
     report_finished(attempt);
--- a/daemon/relay_way.h
+++ b/daemon/relay_way.h
@@ -16,8 +16,8 @@
 
 /// How an answer is handed on.
 enum class answer_shape {
-    parts, ///< as it comes
-    whole, ///< held until it is known to be whole
+    parts,    ///< as it comes
+    buffered, ///< held until it is known to be whole
 };
 
 /// One sending of the request.
--- a/daemon/request_driver.cc
+++ b/daemon/request_driver.cc
@@ -108,7 +108,7 @@
     {
         net::co_spawn(m_io, grant(wanted), net::detached);
     }
-    void carry_out_own(const released& wanted)
+    void carry_out_own(const target_released& wanted)
     {
         if (m_hooks.on_released)
             m_hooks.on_released(wanted);
--- a/daemon/request_driver.h
+++ b/daemon/request_driver.h
@@ -43,7 +43,7 @@
 
 /// Commands that concern no single request.
 struct driver_hooks {
-    std::function<void(const released&)> on_released;
+    std::function<void(const target_released&)> on_released;
     std::function<void(const share_demand&)> on_share_demand;
     std::function<void(const target_silent&)> on_silent;
     std::function<void(const share_limit&)> on_share_limit;
--- a/routing/claim_book.cc
+++ b/routing/claim_manager.cc
@@ -14,7 +14,7 @@
 //                 |          `--> deleting -> (gone)          given up, not sent
 //                 |--> polling -> waiting                     another's claim, then given up
 //                 `--> cleaning -> deleting or (gone)         given up, reply lost
-#include "routing/claim_book.h"
+#include "routing/claim_manager.h"
 
 #include <algorithm>
 
@@ -23,97 +23,98 @@
 namespace {
 
 constexpr std::chrono::milliseconds first_poll{50};
-constexpr std::uint32_t most_poll_doublings = 5; ///< 1.6 s
-constexpr std::size_t most_stored_bytes = 16UL * 1024 * 1024;
-constexpr std::size_t most_items = 65'536;
+constexpr std::uint32_t max_poll_doublings = 5; ///< 1.6 s
+constexpr std::size_t max_stored_bytes = 16UL * 1024 * 1024;
+constexpr std::size_t max_items = 65'536;
 
 } // namespace
 
-claim_book::claim_book(const core_settings& settings)
+claim_manager::claim_manager(const core_settings& settings)
     : m_settings{settings}, m_claimant_prefix{settings.node.value() + "/" + settings.incarnation +
                                               "/"},
       m_node_prefix{settings.node.value() + "/"}
 {}
 
-bool claim_book::made_here(const std::string& claimant) const
+bool claim_manager::created_by_this_node(const std::string& claimant) const
 {
     return claimant.starts_with(m_node_prefix);
 }
 
-bool claim_book::creator_is_gone(const std::string& claimant) const
+bool claim_manager::creator_has_left(const std::string& claimant) const
 {
     const node_id creator{claimant.substr(0, claimant.find('/'))};
-    return made_here(claimant) || m_left.contains(creator);
+    return created_by_this_node(claimant) || m_left.contains(creator);
 }
 
-void claim_book::note_left(const node_id& node)
+void claim_manager::on_node_left(const node_id& node)
 {
-    if (m_left.size() < m_settings.most_peers)
+    if (m_left.size() < m_settings.max_peers)
         m_left.insert(node);
 }
 
-void claim_book::note_seen(const node_id& node)
+void claim_manager::on_node_seen(const node_id& node)
 {
     m_left.erase(node);
 }
 
-claim_book::item_number claim_book::make_item(const std::string& key,
-                                              const std::string& body_digest,
-                                              std::chrono::seconds keeping)
+claim_manager::item_number claim_manager::make_item(const std::string& key,
+                                                    const std::string& body_digest,
+                                                    std::chrono::seconds retention)
 {
     const item_number number = m_next++;
     item& made = m_items[number];
     made.key = key;
     made.claimant = m_claimant_prefix + std::to_string(number);
     made.body_digest = body_digest;
-    made.keeping = keeping;
+    made.retention = retention;
     m_by_key[key] = number;
     m_to_claim.push_back(number);
     return number;
 }
 
-bool claim_book::begin(request_id request, const std::string& key, const std::string& body_digest,
-                       std::chrono::seconds keeping, time_point wait_until, time_point now)
+bool claim_manager::begin(request_id request, const std::string& key,
+                          const std::string& body_digest, std::chrono::seconds retention,
+                          time_point wait_until, time_point now)
 {
     const auto known = m_by_key.find(key);
     if (known != m_by_key.end()) {
-        if (m_request_wakes.size() >= m_settings.most_claims_waiting)
+        if (m_request_wakes.size() >= m_settings.max_pending_claims)
             return false;
         join(known->second, {request, wait_until}, body_digest);
         return true;
     }
-    if (dark(now)) {
-        m_settled.emplace_back(claim_dark{request});
+    if (store_unavailable(now)) {
+        m_resolutions.emplace_back(claim_store_unavailable{request});
         return true;
     }
-    if (m_request_wakes.size() >= m_settings.most_claims_waiting || m_items.size() >= most_items)
+    if (m_request_wakes.size() >= m_settings.max_pending_claims || m_items.size() >= max_items)
         return false;
-    add_requester(make_item(key, body_digest, keeping), {request, wait_until});
+    add_requester(make_item(key, body_digest, retention), {request, wait_until});
     return true;
 }
 
-void claim_book::add_requester(item_number number, requester added)
+void claim_manager::add_requester(item_number number, requester added)
 {
     m_items[number].requesters.push_back(added);
     m_by_request[added.request] = number;
     m_request_wakes.insert({added.wait_until, added.request.value()});
 }
 
-void claim_book::join(item_number number, requester added, const std::string& body_digest)
+void claim_manager::join(item_number number, requester added, const std::string& body_digest)
 {
     item& joined = m_items[number];
     if (joined.state == item_state::storing) {
-        settle_one(added.request, body_digest, joined.outcome);
+        resolve_one(added.request, body_digest, joined.outcome);
         return;
     }
     if (joined.body_digest != body_digest) {
-        m_settled.emplace_back(claim_conflict{added.request});
+        m_resolutions.emplace_back(claim_conflict{added.request});
         return;
     }
     add_requester(number, added);
 }
 
-void claim_book::drop_requester(item& dropped, request_id request)
+void claim_manager::drop_requester(item& dropped, request_id request)
 {
     m_by_request.erase(request);
     const auto found = std::find_if(dropped.requesters.begin(), dropped.requesters.end(),
@@ -124,78 +125,79 @@
     dropped.requesters.erase(found);
 }
 
-void claim_book::grant(item_number number, std::int64_t revision, time_point now)
+void claim_manager::grant(item_number number, std::int64_t revision, time_point now)
 {
     item& granted = m_items[number];
     granted.revision = revision;
-    granted.doubtful = false;
+    granted.maybe_created = false;
     granted.tries = 0;
     if (granted.requesters.empty()) {
         granted.state = item_state::deleting;
-        queue_for_state(number);
+        enqueue_for_state(number);
         return;
     }
-    granted.state = item_state::held;
+    granted.state = item_state::owned;
     const requester owner = granted.requesters.front();
     // From here on the owner's time is its request's matter.
     m_request_wakes.erase({owner.wait_until, owner.request.value()});
     if (now < owner.wait_until) {
-        m_settled.emplace_back(claim_granted{owner.request});
+        m_resolutions.emplace_back(claim_granted{owner.request});
         return;
     }
     // The reply came after the request's time: it must not be sent any more.
-    m_settled.emplace_back(claim_dark{owner.request});
-    give_up(owner.request, now);
+    m_resolutions.emplace_back(claim_store_unavailable{owner.request});
+    abandon(owner.request, now);
 }
 
-void claim_book::settle_one(request_id request, const std::string& body_digest,
-                            const claim_record& record)
+void claim_manager::resolve_one(request_id request, const std::string& body_digest,
+                                const claim_record& record)
 {
     if (record.body_digest != body_digest)
-        m_settled.emplace_back(claim_conflict{request});
+        m_resolutions.emplace_back(claim_conflict{request});
     else if (record.progress == claim_progress::unknown)
-        m_settled.emplace_back(claim_unknown{request});
+        m_resolutions.emplace_back(claim_unknown{request});
     else if (record.progress == claim_progress::claimed)
-        m_settled.emplace_back(claim_in_progress{request});
+        m_resolutions.emplace_back(claim_in_progress{request});
     else if (record.answer)
-        m_settled.emplace_back(claim_replayed{request, *record.answer});
+        m_resolutions.emplace_back(claim_replayed{request, *record.answer});
     else
-        m_settled.emplace_back(claim_ran_unkept{request});
+        m_resolutions.emplace_back(claim_ran_without_answer{request});
 }
 
-void claim_book::settle_all(item& settled, const claim_record& record)
+void claim_manager::resolve_all(item& settled, const claim_record& record)
 {
     while (!settled.requesters.empty()) {
         const request_id request = settled.requesters.front().request;
         drop_requester(settled, request);
-        settle_one(request, settled.body_digest, record);
+        resolve_one(request, settled.body_digest, record);
     }
 }
 
-void claim_book::judge_foreign(item_number number, const claim_record& record, time_point now)
+void claim_manager::handle_foreign_claim(item_number number, const claim_record& record,
+                                         time_point now)
 {
     item& judged = m_items[number];
-    judged.doubtful = false;
+    judged.maybe_created = false;
     claim_record known = record;
     // A claim of this node that this process doesn't hold was made before a restart, or given up
     // without being deleted: nobody will write its outcome. Nor will a node that left; if it is
     // only cut off, "unknown" is still true, and the repeat may ask again.
-    if (record.progress == claim_progress::claimed && creator_is_gone(record.claimant))
+    if (record.progress == claim_progress::claimed && creator_has_left(record.claimant))
         known.progress = claim_progress::unknown;
     const bool may_change = !judged.requesters.empty() &&
                             known.progress == claim_progress::claimed &&
                             known.body_digest == judged.body_digest;
     if (!may_change) {
-        settle_all(judged, known);
+        resolve_all(judged, known);
         free_item(number);
         return;
     }
     judged.state = item_state::polling;
-    sleep(number, first_poll * (1U << std::min(judged.tries, most_poll_doublings)), now);
+    schedule_wake(number, first_poll * (1U << std::min(judged.tries, max_poll_doublings)), now);
     ++judged.tries;
 }
 
-void claim_book::free_item(item_number number)
+void claim_manager::free_item(item_number number)
 {
     item& freed = m_items[number];
     m_by_key.erase(freed.key);
@@ -203,32 +205,33 @@
     const std::vector<requester> left = std::move(freed.requesters);
     const std::string key = freed.key;
     const std::string body_digest = freed.body_digest;
-    const std::chrono::seconds keeping = freed.keeping;
+    const std::chrono::seconds retention = freed.retention;
     m_items.erase(number);
     if (left.empty())
         return;
     // Those who came while the old claim was being deleted start over with one of their own.
-    const item_number next = make_item(key, body_digest, keeping);
+    const item_number next = make_item(key, body_digest, retention);
     for (const requester& each : left)
         add_requester(next, each);
 }
 
-void claim_book::record_ran(request_id request, std::optional<stored_answer> answer, time_point now)
+void claim_manager::record_ran(request_id request, std::optional<stored_answer> answer,
+                               time_point now)
 {
     const auto found = m_by_request.find(request);
     if (found == m_by_request.end())
         return;
     const item_number number = found->second;
     item& recorded = m_items[number];
-    if (answer && (answer->body.size() > m_settings.largest_stored_answer ||
-                   m_stored_bytes + answer->body.size() > most_stored_bytes))
+    if (answer && (answer->body.size() > m_settings.max_stored_answer_bytes ||
+                   m_stored_bytes + answer->body.size() > max_stored_bytes))
         answer.reset();
     recorded.outcome = {recorded.claimant, recorded.body_digest, claim_progress::ran,
                         std::move(answer)};
     finish_recording(number, now);
 }
 
-void claim_book::record_unknown(request_id request, time_point now)
+void claim_manager::record_unknown(request_id request, time_point now)
 {
     const auto found = m_by_request.find(request);
     if (found == m_by_request.end())
@@ -239,26 +242,26 @@
     finish_recording(number, now);
 }
 
-void claim_book::finish_recording(item_number number, time_point /*now*/)
+void claim_manager::finish_recording(item_number number, time_point /*now*/)
 {
     item& recorded = m_items[number];
-    if (recorded.state != item_state::held)
+    if (recorded.state != item_state::owned)
         return;
     drop_requester(recorded, recorded.requesters.front().request);
     recorded.state = item_state::storing;
     m_stored_bytes += recorded.outcome.answer ? recorded.outcome.answer->body.size() : 0;
-    settle_all(recorded, recorded.outcome);
-    queue_for_state(number);
+    resolve_all(recorded, recorded.outcome);
+    enqueue_for_state(number);
 }
 
-void claim_book::give_up(request_id request, time_point now)
+void claim_manager::abandon(request_id request, time_point now)
 {
     const auto found = m_by_request.find(request);
     if (found == m_by_request.end())
         return;
     const item_number number = found->second;
     item& left = m_items[number];
-    const bool was_owner = left.state == item_state::held && !left.requesters.empty() &&
+    const bool was_owner = left.state == item_state::owned && !left.requesters.empty() &&
                            left.requesters.front().request == request;
     drop_requester(left, request);
     if (was_owner && !left.requesters.empty()) {
@@ -269,13 +272,13 @@
     if (!left.requesters.empty())
         return;
     switch (left.state) {
-    case item_state::held:
+    case item_state::owned:
         left.state = item_state::deleting;
         break;
     case item_state::waiting:
-        if (left.doubtful) {
+        if (left.maybe_created) {
             left.state = item_state::cleaning;
-            sleep(number, 2 * m_settings.kv_timeout, now);
+            schedule_wake(number, 2 * m_settings.kv_timeout, now);
             return;
         }
         free_item(number);
@@ -286,32 +289,32 @@
     default:
         return; // claiming: see grant; the others go their way
     }
-    queue_for_state(number);
+    enqueue_for_state(number);
 }
 
-bool claim_book::ask(request_id request, const std::string& key, time_point /*now*/)
+bool claim_manager::query_status(request_id request, const std::string& key, time_point /*now*/)
 {
-    if (m_questions.size() >= m_settings.most_claims_waiting)
+    if (m_status_queries.size() >= m_settings.max_pending_claims)
         return false;
     const auto known = m_by_key.find(key);
     if (known != m_by_key.end()) {
         const item& asked = m_items[known->second];
         if (asked.state == item_state::storing) {
             const bool ran = asked.outcome.progress == claim_progress::ran;
-            m_settled.emplace_back(claim_reported{
+            m_resolutions.emplace_back(claim_status_reported{
                 request, ran ? key_state::ran : key_state::unknown, asked.outcome.answer});
             return true;
         }
-        if (asked.state == item_state::held) {
-            m_settled.emplace_back(claim_reported{request, key_state::in_progress, {}});
+        if (asked.state == item_state::owned) {
+            m_resolutions.emplace_back(claim_status_reported{request, key_state::in_progress, {}});
             return true;
         }
     }
-    m_questions.push_back({request, key});
+    m_status_queries.push_back({request, key});
     return true;
 }
 
-void claim_book::fail_waiting(time_point now)
+void claim_manager::fail_waiting(time_point now)
 {
     std::vector<item_number> failed;
     for (const auto& [number, each] : m_items) {
@@ -322,13 +325,13 @@
     for (const item_number number : failed) {
         while (m_items.contains(number) && !m_items[number].requesters.empty()) {
             const request_id request = m_items[number].requesters.front().request;
-            m_settled.emplace_back(claim_dark{request});
-            give_up(request, now);
+            m_resolutions.emplace_back(claim_store_unavailable{request});
+            abandon(request, now);
         }
     }
 }
 
-void claim_book::expire_requesters(time_point now)
+void claim_manager::expire_requesters(time_point now)
 {
     while (!m_request_wakes.empty() && m_request_wakes.begin()->at <= now) {
         const request_id request{m_request_wakes.begin()->number};
@@ -338,24 +341,24 @@
             continue;
         }
         const item_state state = m_items[found->second].state;
-        if (state == item_state::polling || state == item_state::held)
-            m_settled.emplace_back(claim_in_progress{request});
+        if (state == item_state::polling || state == item_state::owned)
+            m_resolutions.emplace_back(claim_in_progress{request});
         else
-            m_settled.emplace_back(claim_dark{request});
-        give_up(request, now);
+            m_resolutions.emplace_back(claim_store_unavailable{request});
+        abandon(request, now);
     }
 }
 
-void claim_book::wake_items(time_point now)
+void claim_manager::wake_items(time_point now)
 {
     while (!m_item_wakes.empty() && m_item_wakes.begin()->at <= now) {
         const item_number number = m_item_wakes.begin()->number;
         m_item_wakes.erase(m_item_wakes.begin());
-        queue_for_state(number);
+        enqueue_for_state(number);
     }
 }
 
-void claim_book::sleep(item_number number, duration span, time_point now)
+void claim_manager::schedule_wake(item_number number, duration span, time_point now)
 {
     item& sleeping = m_items[number];
     m_item_wakes.erase({sleeping.wake, number});
@@ -363,7 +366,7 @@
     m_item_wakes.insert({sleeping.wake, number});
 }
 
-void claim_book::queue_for_state(item_number number)
+void claim_manager::enqueue_for_state(item_number number)
 {
     const auto found = m_items.find(number);
     if (found == m_items.end())
@@ -383,14 +386,14 @@
         m_to_erase.push_back(number);
         break;
     case item_state::claiming:
-    case item_state::held:
+    case item_state::owned:
         break;
     }
 }
 
-std::vector<claim_settled> claim_book::take_settled()
+std::vector<claim_resolution> claim_manager::take_resolutions()
 {
-    return std::exchange(m_settled, {});
+    return std::exchange(m_resolutions, {});
 }
 
 } // namespace jaynotch
--- a/routing/claim_book.h
+++ b/routing/claim_manager.h
@@ -1,11 +1,11 @@
 // At most once: keyed calls are claimed in the key-value service before their first byte is sent.
 //
-//   claim_book book{settings};
+//   claim_manager book{settings};
 //   book.begin(request, key, body_digest, keeping, wait_until, now);
 //   book.pump(now, commands);                       // call_kv, grant_lease
 //   book.on_kv(token, outcome, now);
-//   for (const claim_settled& s : book.take_settled()) ...   // claim_granted: now it may be sent
-//   book.record_ran(request, answer);               // or record_unknown, or give_up
+//   for (const claim_resolution& s : book.take_resolutions()) ...   // claim_granted: now it may be
+//   sent book.record_ran(request, answer);               // or record_unknown, or abandon
 //
 // Only a request that got claim_granted may be sent, and only until its own deadline.
 #pragma once
@@ -32,7 +32,7 @@
     stored_answer answer;
 };
 /// The call ran before; its answer was too large to keep.
-struct claim_ran_unkept {
+struct claim_ran_without_answer {
     request_id request;
 };
 /// The key was used with another body. This request was not sent.
@@ -48,50 +48,54 @@
     request_id request;
 };
 /// The key-value service gave no answer. This request was not sent.
-struct claim_dark {
+struct claim_store_unavailable {
     request_id request;
 };
 /// Answer to ask().
-struct claim_reported {
+struct claim_status_reported {
     request_id request;
     key_state state = key_state::no_record;
     std::optional<stored_answer> answer;
 };
 
-using claim_settled = std::variant<claim_granted, claim_replayed, claim_ran_unkept, claim_conflict,
-                                   claim_unknown, claim_in_progress, claim_dark, claim_reported>;
+using claim_resolution =
+    std::variant<claim_granted, claim_replayed, claim_ran_without_answer, claim_conflict,
+                 claim_unknown, claim_in_progress, claim_store_unavailable, claim_status_reported>;
 
-/// The claims of one node. See claim_book.cc for why at most one execution follows.
-class claim_book {
+/// The claims of one node. See claim_manager.cc for why at most one execution follows.
+class claim_manager {
 public:
-    explicit claim_book(const core_settings& settings);
+    explicit claim_manager(const core_settings& settings);
 
     /// Starts to claim `key` for `request`; false if too many wait already.
     bool begin(request_id request, const std::string& key, const std::string& body_digest,
-               std::chrono::seconds keeping, time_point wait_until, time_point now);
+               std::chrono::seconds retention, time_point wait_until, time_point now);
     /// The granted request ran; `answer` is kept for repeats if it is small enough.
     void record_ran(request_id request, std::optional<stored_answer> answer, time_point now);
     /// The granted request was sent and its outcome is lost.
     void record_unknown(request_id request, time_point now);
     /// The request certainly did not run and never will: frees its claim.
-    void give_up(request_id request, time_point now);
+    void abandon(request_id request, time_point now);
     /// Asks what became of a key; false if too many ask already.
-    bool ask(request_id request, const std::string& key, time_point now);
+    bool query_status(request_id request, const std::string& key, time_point now);
 
     void on_kv(kv_token token, const result<kv_outcome>& outcome, time_point now);
     void on_lease(kv_token token, const result<lease_id>& lease, time_point now);
     /// Appends the calls that are due; after every event.
     void pump(time_point now, command_list& out);
     /// A node left the membership: the outcomes of its open claims are unknown from now on.
-    void note_left(const node_id& node);
+    void on_node_left(const node_id& node);
     /// It is back, or was only cut off.
-    void note_seen(const node_id& node);
+    void on_node_seen(const node_id& node);
     /// What was decided since the last call.
-    std::vector<claim_settled> take_settled();
+    std::vector<claim_resolution> take_resolutions();
 
     [[nodiscard]] std::size_t size() const { return m_items.size(); }
     [[nodiscard]] std::uint64_t transactions() const { return m_transactions; }
-    [[nodiscard]] bool dark(time_point now) const { return now < m_dark_until; }
+    [[nodiscard]] bool store_unavailable(time_point now) const
+    {
+        return now < m_store_unavailable_until;
+    }
 
 private:
     using item_number = std::uint64_t;
@@ -100,7 +104,7 @@
         waiting,  ///< to be claimed
         claiming, ///< in a transaction
         polling,  ///< another node's claim; read again from time to time
-        held,     ///< ours: the owner may be sent
+        owned,    ///< ours: the owner may be sent
         storing,  ///< ours: the outcome is to be written
         deleting, ///< ours: not sent and given up; to be deleted at its revision
         cleaning, ///< given up while it was not known whether we made it
@@ -115,12 +119,12 @@
         std::string key;
         std::string claimant;
         std::string body_digest;
-        std::chrono::seconds keeping{0};
+        std::chrono::seconds retention{0};
         item_state state = item_state::waiting;
         std::vector<requester> requesters; ///< of a held item the first is the owner
         std::int64_t revision = 0;         ///< mod_revision of our record
         lease_id lease;
-        bool doubtful = false; ///< a transaction that may have made the claim got no answer
+        bool maybe_created = false; ///< a transaction that may have made the claim got no answer
         std::uint32_t tries = 0;
         time_point wake;
         claim_record outcome; ///< storing
@@ -134,14 +138,14 @@
     };
 
     struct lease_row {
-        std::chrono::seconds keeping{0};
+        std::chrono::seconds retention{0};
         lease_id lease;
         time_point granted;
         kv_token pending; ///< 0 if none
         time_point asked;
     };
 
-    struct question {
+    struct status_query {
         request_id request;
         std::string key;
     };
@@ -152,44 +156,45 @@
         friend auto operator<=>(const wake_up&, const wake_up&) = default;
     };
 
-    // claim_book.cc: what happens to an item
+    // claim_manager.cc: what happens to an item
     item_number make_item(const std::string& key, const std::string& body_digest,
-                          std::chrono::seconds keeping);
+                          std::chrono::seconds retention);
     void add_requester(item_number number, requester added);
     void join(item_number number, requester added, const std::string& body_digest);
     void drop_requester(item& dropped, request_id request);
     void grant(item_number number, std::int64_t revision, time_point now);
-    void settle_all(item& settled, const claim_record& record);
-    void settle_one(request_id request, const std::string& body_digest, const claim_record& record);
-    void judge_foreign(item_number number, const claim_record& record, time_point now);
+    void resolve_all(item& settled, const claim_record& record);
+    void resolve_one(request_id request, const std::string& body_digest,
+                     const claim_record& record);
+    void handle_foreign_claim(item_number number, const claim_record& record, time_point now);
     void free_item(item_number number);
     void finish_recording(item_number number, time_point now);
     void fail_waiting(time_point now);
     void expire_requesters(time_point now);
     void wake_items(time_point now);
-    void sleep(item_number number, duration span, time_point now);
-    void queue_for_state(item_number number);
-    [[nodiscard]] bool made_here(const std::string& claimant) const;
-    [[nodiscard]] bool creator_is_gone(const std::string& claimant) const;
+    void schedule_wake(item_number number, duration span, time_point now);
+    void enqueue_for_state(item_number number);
+    [[nodiscard]] bool created_by_this_node(const std::string& claimant) const;
+    [[nodiscard]] bool creator_has_left(const std::string& claimant) const;
 
     // claim_book_kv.cc: transactions
     void pump_claims(time_point now, command_list& out);
     void pump_reads(time_point now, command_list& out);
     void pump_stores(time_point now, command_list& out);
     void pump_erasures(time_point now, command_list& out);
-    lease_row* lease_for(std::chrono::seconds keeping, time_point now, command_list& out);
+    lease_row* lease_for(std::chrono::seconds retention, time_point now, command_list& out);
     void send(batch sent, kv_transaction transaction, command_list& out);
     void on_claimed(const batch& done, const result<kv_outcome>& outcome, time_point now);
     void on_read(const batch& done, const result<kv_outcome>& outcome, time_point now);
     void on_stored(const batch& done, const result<kv_outcome>& outcome, time_point now);
     void on_erased(const batch& done, const result<kv_outcome>& outcome, time_point now);
-    void answer_question(const question& asked, const kv_entry* entry);
-    void note_dark(time_point now);
+    void answer_status_query(const status_query& asked, const kv_entry* entry);
+    void note_store_failure(time_point now);
 
     const core_settings m_settings;
     std::string m_claimant_prefix; ///< "node/incarnation/"
     std::string m_node_prefix;     ///< "node/"
-    std::set<node_id> m_left;      ///< nodes, at most core_settings::most_peers
+    std::set<node_id> m_left;      ///< nodes, at most core_settings::max_peers
     std::uint64_t m_next = 1;
     std::unordered_map<item_number, item> m_items;
     std::unordered_map<std::string, item_number> m_by_key;
@@ -200,17 +205,17 @@
     std::deque<item_number> m_to_read;
     std::deque<item_number> m_to_store;
     std::deque<item_number> m_to_erase;
-    std::vector<question> m_questions;      ///< not read yet
-    std::vector<question> m_questions_sent; ///< in the read transaction
+    std::vector<status_query> m_status_queries;      ///< not read yet
+    std::vector<status_query> m_status_queries_sent; ///< in the read transaction
     std::unordered_map<kv_token, batch> m_calls;
     std::array<bool, 4> m_busy{}; ///< by batch_kind: one call of each kind at a time
     std::vector<lease_row> m_leases;
     time_point m_next_claim;
-    std::uint32_t m_failures = 0; ///< of claims, in a row
-    time_point m_dark_until;
+    std::uint32_t m_consecutive_failures = 0; ///< of claims, in a row
+    time_point m_store_unavailable_until;
     std::size_t m_stored_bytes = 0;
     std::uint64_t m_transactions = 0;
-    std::vector<claim_settled> m_settled;
+    std::vector<claim_resolution> m_resolutions;
 };
 
 } // namespace jaynotch
--- a/routing/claim_book_kv.cc
+++ b/routing/claim_manager_kv.cc
@@ -10,7 +10,7 @@
 // lost transaction did create are found with our own id in them. After two failures in a row the
 // service counts as dark: who waits is told at once that nothing was sent, and for a while new
 // calls are too; the first call after that tries again.
-#include "routing/claim_book.h"
+#include "routing/claim_manager.h"
 
 #include <algorithm>
 
@@ -19,27 +19,28 @@
 namespace {
 
 /// etcd takes 128 operations in a transaction by default; a claim needs a compare, a put and a get.
-constexpr std::size_t most_batched = 32;
-constexpr std::uint32_t failures_to_dark = 2;
-constexpr std::chrono::seconds dark_for{1};
+constexpr std::size_t max_batch_items = 32;
+constexpr std::uint32_t failures_until_unavailable = 2;
+constexpr std::chrono::seconds unavailable_period{1};
 constexpr std::chrono::milliseconds first_backoff{200};
-constexpr std::uint32_t most_backoff_doublings = 5;
-constexpr std::uint32_t most_store_tries = 200;
+constexpr std::uint32_t max_backoff_doublings = 5;
+constexpr std::uint32_t max_store_tries = 200;
 /// A lease takes claims for this part of the keeping, then the next one is granted.
-constexpr int lease_parts = 8;
-constexpr std::chrono::seconds least_lease_use{60};
-constexpr std::chrono::seconds most_lease_use{3'600};
+constexpr int lease_reuse_divisor = 8;
+constexpr std::chrono::seconds min_lease_reuse_period{60};
+constexpr std::chrono::seconds max_lease_reuse_period{3'600};
 constexpr std::chrono::seconds lease_slack{60};
-constexpr std::size_t most_leases = 64; ///< different keepings at once
+constexpr std::size_t max_leases = 64; ///< different keepings at once
 
-std::chrono::seconds lease_use(std::chrono::seconds keeping)
+std::chrono::seconds lease_reuse_period(std::chrono::seconds retention)
 {
-    return std::clamp(keeping / lease_parts, least_lease_use, most_lease_use);
+    return std::clamp(retention / lease_reuse_divisor, min_lease_reuse_period,
+                      max_lease_reuse_period);
 }
 
 duration backoff(std::uint32_t tries)
 {
-    return first_backoff * (1U << std::min(tries, most_backoff_doublings));
+    return first_backoff * (1U << std::min(tries, max_backoff_doublings));
 }
 
 const kv_entry* entry_of(const kv_outcome& outcome, const std::string& key)
@@ -50,7 +51,7 @@
 }
 
 /// A record that can't be read was not written by us: nothing is known of its call.
-claim_record record_in(const kv_entry& entry, const std::string& body_digest)
+claim_record parse_or_unknown(const kv_entry& entry, const std::string& body_digest)
 {
     const result<claim_record> parsed = parse_claim_record(entry.value);
     if (parsed)
@@ -60,7 +61,7 @@
 
 } // namespace
 
-void claim_book::pump(time_point now, command_list& out)
+void claim_manager::pump(time_point now, command_list& out)
 {
     expire_requesters(now);
     wake_items(now);
@@ -70,7 +71,7 @@
     pump_erasures(now, out);
 }
 
-void claim_book::send(batch sent, kv_transaction transaction, command_list& out)
+void claim_manager::send(batch sent, kv_transaction transaction, command_list& out)
 {
     const kv_token token{m_next++};
     m_busy[static_cast<std::size_t>(sent.kind)] = true;
@@ -79,27 +80,28 @@
     out.emplace_back(call_kv{token, std::move(transaction)});
 }
 
-claim_book::lease_row* claim_book::lease_for(std::chrono::seconds keeping, time_point now,
-                                             command_list& out)
+claim_manager::lease_row* claim_manager::lease_for(std::chrono::seconds retention, time_point now,
+                                                   command_list& out)
 {
     auto row = std::find_if(m_leases.begin(), m_leases.end(),
-                            [&](const lease_row& each) { return each.keeping == keeping; });
+                            [&](const lease_row& each) { return each.retention == retention; });
     if (row == m_leases.end()) {
-        if (m_leases.size() >= most_leases)
+        if (m_leases.size() >= max_leases)
             m_leases.erase(m_leases.begin());
-        row = m_leases.insert(m_leases.end(), lease_row{keeping, {}, {}, {}, {}});
+        row = m_leases.insert(m_leases.end(), lease_row{retention, {}, {}, {}, {}});
     }
-    if (row->lease.value() != 0 && now - row->granted < lease_use(keeping))
+    if (row->lease.value() != 0 && now - row->granted < lease_reuse_period(retention))
         return &*row;
     if (row->pending.value() == 0) {
         row->pending = kv_token{m_next++};
         row->asked = now;
-        out.emplace_back(grant_lease{row->pending, keeping + lease_use(keeping) + lease_slack});
+        out.emplace_back(
+            grant_lease{row->pending, retention + lease_reuse_period(retention) + lease_slack});
     }
     return nullptr;
 }
 
-void claim_book::on_lease(kv_token token, const result<lease_id>& lease, time_point now)
+void claim_manager::on_lease(kv_token token, const result<lease_id>& lease, time_point now)
 {
     const auto row = std::find_if(m_leases.begin(), m_leases.end(), [&](const lease_row& each) {
         return each.pending == token && token.value() != 0;
@@ -108,7 +110,7 @@
         return;
     row->pending = kv_token{};
     if (!lease) {
-        note_dark(now);
+        note_store_failure(now);
         return;
     }
     // Its time runs from when it was asked for at the earliest.
@@ -116,21 +118,21 @@
     row->lease = lease.value();
 }
 
-void claim_book::pump_claims(time_point now, command_list& out)
+void claim_manager::pump_claims(time_point now, command_list& out)
 {
     if (m_busy[static_cast<std::size_t>(batch_kind::claim)] || now < m_next_claim)
         return;
     batch sent{batch_kind::claim, {}, {}};
     kv_transaction transaction;
     std::deque<item_number> without_lease;
-    while (!m_to_claim.empty() && sent.items.size() < most_batched) {
+    while (!m_to_claim.empty() && sent.items.size() < max_batch_items) {
         const item_number number = m_to_claim.front();
         m_to_claim.pop_front();
         const auto found = m_items.find(number);
         if (found == m_items.end() || found->second.state != item_state::waiting)
             continue;
         item& claimed = found->second;
-        const lease_row* lease = lease_for(claimed.keeping, now, out);
+        const lease_row* lease = lease_for(claimed.retention, now, out);
         if (lease == nullptr) {
             without_lease.push_back(number);
             continue;
@@ -151,13 +153,13 @@
     send(std::move(sent), std::move(transaction), out);
 }
 
-void claim_book::pump_reads(time_point /*now*/, command_list& out)
+void claim_manager::pump_reads(time_point /*now*/, command_list& out)
 {
     if (m_busy[static_cast<std::size_t>(batch_kind::read)])
         return;
     batch sent{batch_kind::read, {}, {}};
     kv_transaction transaction;
-    while (!m_to_read.empty() && sent.items.size() < most_batched) {
+    while (!m_to_read.empty() && sent.items.size() < max_batch_items) {
         const item_number number = m_to_read.front();
         m_to_read.pop_front();
         const auto found = m_items.find(number);
@@ -167,24 +169,24 @@
         transaction.then.emplace_back(kv_get{found->second.key});
         sent.items.push_back(number);
     }
-    const std::size_t asked = std::min(m_questions.size(), most_batched);
+    const std::size_t asked = std::min(m_status_queries.size(), max_batch_items);
     for (std::size_t at = 0; at < asked; ++at)
-        transaction.then.emplace_back(kv_get{m_questions[at].key});
+        transaction.then.emplace_back(kv_get{m_status_queries[at].key});
     if (transaction.then.empty())
         return;
-    const auto last = m_questions.begin() + static_cast<std::ptrdiff_t>(asked);
-    m_questions_sent.assign(m_questions.begin(), last);
-    m_questions.erase(m_questions.begin(), last);
+    const auto last = m_status_queries.begin() + static_cast<std::ptrdiff_t>(asked);
+    m_status_queries_sent.assign(m_status_queries.begin(), last);
+    m_status_queries.erase(m_status_queries.begin(), last);
     send(std::move(sent), std::move(transaction), out);
 }
 
-void claim_book::pump_stores(time_point /*now*/, command_list& out)
+void claim_manager::pump_stores(time_point /*now*/, command_list& out)
 {
     if (m_busy[static_cast<std::size_t>(batch_kind::store)])
         return;
     batch sent{batch_kind::store, {}, {}};
     kv_transaction transaction;
-    while (!m_to_store.empty() && sent.items.size() < most_batched) {
+    while (!m_to_store.empty() && sent.items.size() < max_batch_items) {
         const item_number number = m_to_store.front();
         m_to_store.pop_front();
         const auto found = m_items.find(number);
@@ -198,7 +200,7 @@
         send(std::move(sent), std::move(transaction), out);
 }
 
-void claim_book::pump_erasures(time_point /*now*/, command_list& out)
+void claim_manager::pump_erasures(time_point /*now*/, command_list& out)
 {
     if (m_busy[static_cast<std::size_t>(batch_kind::erase)])
         return;
@@ -217,7 +219,7 @@
     }
 }
 
-void claim_book::on_kv(kv_token token, const result<kv_outcome>& outcome, time_point now)
+void claim_manager::on_kv(kv_token token, const result<kv_outcome>& outcome, time_point now)
 {
     const auto found = m_calls.find(token);
     if (found == m_calls.end())
@@ -241,14 +243,14 @@
     }
 }
 
-void claim_book::on_claimed(const batch& done, const result<kv_outcome>& outcome, time_point now)
+void claim_manager::on_claimed(const batch& done, const result<kv_outcome>& outcome, time_point now)
 {
     for (const item_number number : done.items) {
         item& claimed = m_items[number];
         claimed.state = item_state::waiting;
         if (!outcome) {
             // The transaction may have taken effect; only our own id in the record will tell.
-            claimed.doubtful = true;
+            claimed.maybe_created = true;
             continue;
         }
         if (outcome.value().succeeded) {
@@ -257,50 +259,50 @@
         }
         const kv_entry* entry = entry_of(outcome.value(), claimed.key);
         if (entry == nullptr) {
-            claimed.doubtful = false;
+            claimed.maybe_created = false;
             if (claimed.requesters.empty())
                 free_item(number);
             continue;
         }
-        const claim_record record = record_in(*entry, claimed.body_digest);
+        const claim_record record = parse_or_unknown(*entry, claimed.body_digest);
         if (record.claimant == claimed.claimant)
             grant(number, entry->mod_revision, now);
         else
-            judge_foreign(number, record, now);
+            handle_foreign_claim(number, record, now);
     }
     if (outcome)
-        m_failures = 0;
+        m_consecutive_failures = 0;
     for (auto number = done.items.rbegin(); number != done.items.rend(); ++number) {
         const auto again = m_items.find(*number);
         if (again == m_items.end() || again->second.state != item_state::waiting)
             continue;
         if (again->second.requesters.empty()) {
             again->second.state = item_state::cleaning;
-            sleep(*number, 2 * m_settings.kv_timeout, now);
+            schedule_wake(*number, 2 * m_settings.kv_timeout, now);
             continue;
         }
         m_to_claim.push_front(*number);
     }
     if (!outcome)
-        note_dark(now);
+        note_store_failure(now);
 }
 
-void claim_book::note_dark(time_point now)
+void claim_manager::note_store_failure(time_point now)
 {
-    ++m_failures;
-    if (m_failures < failures_to_dark)
+    ++m_consecutive_failures;
+    if (m_consecutive_failures < failures_until_unavailable)
         return;
-    m_dark_until = now + dark_for;
+    m_store_unavailable_until = now + unavailable_period;
     fail_waiting(now);
 }
 
-void claim_book::on_read(const batch& done, const result<kv_outcome>& outcome, time_point now)
+void claim_manager::on_read(const batch& done, const result<kv_outcome>& outcome, time_point now)
 {
-    for (const question& asked : std::exchange(m_questions_sent, {})) {
+    for (const status_query& asked : std::exchange(m_status_queries_sent, {})) {
         if (outcome)
-            answer_question(asked, entry_of(outcome.value(), asked.key));
+            answer_status_query(asked, entry_of(outcome.value(), asked.key));
         else
-            m_settled.emplace_back(claim_dark{asked.request});
+            m_resolutions.emplace_back(claim_store_unavailable{asked.request});
     }
     for (const item_number number : done.items) {
         const auto found = m_items.find(number);
@@ -308,20 +310,20 @@
             continue;
         item& read = found->second;
         if (!outcome) {
-            sleep(number, backoff(read.tries), now);
+            schedule_wake(number, backoff(read.tries), now);
             ++read.tries;
             continue;
         }
         const kv_entry* entry = entry_of(outcome.value(), read.key);
         const claim_record record =
-            entry == nullptr ? claim_record{} : record_in(*entry, read.body_digest);
+            entry == nullptr ? claim_record{} : parse_or_unknown(*entry, read.body_digest);
         if (read.state == item_state::polling) {
             if (entry != nullptr) {
-                judge_foreign(number, record, now);
+                handle_foreign_claim(number, record, now);
                 continue;
             }
             read.state = item_state::waiting;
-            queue_for_state(number);
+            enqueue_for_state(number);
             continue;
         }
         if (read.state != item_state::cleaning)
@@ -329,39 +331,39 @@
         if (entry != nullptr && record.claimant == read.claimant) {
             read.revision = entry->mod_revision;
             read.state = item_state::deleting;
-            queue_for_state(number);
+            enqueue_for_state(number);
             continue;
         }
         free_item(number);
     }
 }
 
-void claim_book::answer_question(const question& asked, const kv_entry* entry)
+void claim_manager::answer_status_query(const status_query& asked, const kv_entry* entry)
 {
     if (entry == nullptr) {
-        m_settled.emplace_back(claim_reported{asked.request, key_state::no_record, {}});
+        m_resolutions.emplace_back(claim_status_reported{asked.request, key_state::no_record, {}});
         return;
     }
-    const claim_record record = record_in(*entry, "");
+    const claim_record record = parse_or_unknown(*entry, "");
     // A claim of this node that this process doesn't hold: its creator was the process before.
     // Or its creator left.
     const bool creator_died = record.progress == claim_progress::claimed &&
-                              creator_is_gone(record.claimant) && !m_by_key.contains(asked.key);
+                              creator_has_left(record.claimant) && !m_by_key.contains(asked.key);
     key_state state = key_state::in_progress;
     if (record.progress == claim_progress::ran)
         state = key_state::ran;
     else if (record.progress == claim_progress::unknown || creator_died)
         state = key_state::unknown;
-    m_settled.emplace_back(claim_reported{asked.request, state, record.answer});
+    m_resolutions.emplace_back(claim_status_reported{asked.request, state, record.answer});
 }
 
-void claim_book::on_stored(const batch& done, const result<kv_outcome>& outcome, time_point now)
+void claim_manager::on_stored(const batch& done, const result<kv_outcome>& outcome, time_point now)
 {
     for (const item_number number : done.items) {
         item& stored = m_items[number];
         ++stored.tries;
-        if (!outcome && stored.tries < most_store_tries) {
-            sleep(number, backoff(stored.tries), now);
+        if (!outcome && stored.tries < max_store_tries) {
+            schedule_wake(number, backoff(stored.tries), now);
             continue;
         }
         m_stored_bytes -= stored.outcome.answer ? stored.outcome.answer->body.size() : 0;
@@ -369,13 +371,13 @@
     }
 }
 
-void claim_book::on_erased(const batch& done, const result<kv_outcome>& outcome, time_point now)
+void claim_manager::on_erased(const batch& done, const result<kv_outcome>& outcome, time_point now)
 {
     const item_number number = done.items.front();
     item& erased = m_items[number];
     ++erased.tries;
-    if (!outcome && erased.tries < most_store_tries) {
-        sleep(number, backoff(erased.tries), now);
+    if (!outcome && erased.tries < max_store_tries) {
+        schedule_wake(number, backoff(erased.tries), now);
         return;
     }
     free_item(number);
--- a/routing/truth_test.cc
+++ b/routing/event_sequences_test.cc
@@ -11,14 +11,14 @@
 
 enum class step {
     sent,
-    head_fine,
-    head_crossed,
+    head_ok,
+    head_wrong_attempt,
     head_did_not_run,
-    head_trouble,
+    head_server_failure,
     head_other_version,
     part,
-    whole,
-    not_whole,
+    complete_answer,
+    truncated_answer,
     not_connected,
     cut,
     caller_left,
@@ -30,7 +30,7 @@
 enum class call { chat, read, keyed, once };
 
 /// What the reference knows of an attempt.
-struct seen_attempt {
+struct observed_attempt {
     attempt_id id;
     target_id target;
     bool sent = false;
@@ -40,20 +40,21 @@
     bool over = false; ///< ended, or cancelled
 };
 
-class reference {
+class reference_model {
 public:
-    explicit reference(call made) : m_call{made} {}
+    explicit reference_model(call made) : m_call{made} {}
 
     /// Before the event: notes what the world did to the present attempt.
     void before(step next)
     {
         if (m_attempts.empty() || m_attempts.back().over)
             return;
-        seen_attempt& now = m_attempts.back();
-        const bool head = next == step::head_fine || next == step::head_crossed ||
-                          next == step::head_did_not_run || next == step::head_trouble ||
+        observed_attempt& now = m_attempts.back();
+        const bool head = next == step::head_ok || next == step::head_wrong_attempt ||
+                          next == step::head_did_not_run || next == step::head_server_failure ||
                           next == step::head_other_version;
-        const bool answer = next == step::part || next == step::whole || next == step::not_whole;
+        const bool answer =
+            next == step::part || next == step::complete_answer || next == step::truncated_answer;
         now.repeated = now.repeated || (next == step::sent && now.sent);
         now.sent = now.sent || next == step::sent || head || answer;
         now.did_not_run = now.did_not_run || (next == step::head_did_not_run && !now.delivered);
@@ -79,13 +80,13 @@
         cr_assert_leq(m_finals, 1, "two final answers");
     }
 
-    void attempt_over()
+    void end_attempt()
     {
         if (!m_attempts.empty())
             m_attempts.back().over = true;
     }
 
-    [[nodiscard]] const seen_attempt* present() const
+    [[nodiscard]] const observed_attempt* present() const
     {
         return m_attempts.empty() ? nullptr : &m_attempts.back();
     }
@@ -94,7 +95,7 @@
 private:
     [[nodiscard]] bool any_may_have_run() const
     {
-        for (const seen_attempt& each : m_attempts) {
+        for (const observed_attempt& each : m_attempts) {
             if (each.sent && (each.repeated || !each.did_not_run))
                 return true;
         }
@@ -103,7 +104,7 @@
 
     [[nodiscard]] bool any_sent() const
     {
-        for (const seen_attempt& each : m_attempts) {
+        for (const observed_attempt& each : m_attempts) {
             if (each.sent)
                 return true;
         }
@@ -129,7 +130,7 @@
     void check_refused(const refuse& refused)
     {
         ++m_finals;
-        for (const seen_attempt& each : m_attempts)
+        for (const observed_attempt& each : m_attempts)
             cr_assert(!each.delivered, "refused after part of an answer was handed on");
         if (any_may_have_run())
             cr_assert(refused.ran == ran_state::unknown, "said that it did not run; it may have");
@@ -138,29 +139,28 @@
     }
 
     call m_call;
-    std::vector<seen_attempt> m_attempts;
+    std::vector<observed_attempt> m_attempts;
     int m_finals = 0;
 };
 
 /// One history: the request, then the steps.
 class history {
 public:
-    explicit history(call made) : m_world{small_settings(), 2, 1}, m_reference{made}, m_call{made}
-    {}
+    explicit history(call made) : m_world{small_settings(), 2, 1}, m_model{made}, m_call{made} {}
 
     void run(const std::vector<step>& steps)
     {
         start();
         for (const step next : steps) {
-            if (m_reference.finals() > 0)
+            if (m_model.finals() > 0)
                 break;
-            m_reference.before(next);
-            m_reference.after(play(next));
+            m_model.before(next);
+            m_model.after(play(next));
         }
         // Whatever happened, time brings exactly one final answer.
-        for (int tries = 0; tries < 8 && m_reference.finals() == 0; ++tries)
-            m_reference.after(wait_long());
-        cr_assert_eq(m_reference.finals(), 1, "no final answer");
+        for (int tries = 0; tries < 8 && m_model.finals() == 0; ++tries)
+            m_model.after(wait_long());
+        cr_assert_eq(m_model.finals(), 1, "no final answer");
         cr_assert_eq(m_world.core.open_requests(), 0);
     }
 
@@ -176,13 +176,13 @@
     {
         switch (m_call) {
         case call::chat:
-            m_reference.after(m_world.chat(1));
+            m_model.after(m_world.chat(1));
             return;
         case call::read:
-            m_reference.after(m_world.plain(1, "/read"));
+            m_model.after(m_world.plain(1, "/read"));
             return;
         case call::once:
-            m_reference.after(m_world.plain(1, "/once"));
+            m_model.after(m_world.plain(1, "/once"));
             return;
         case call::keyed:
             break;
@@ -191,7 +191,7 @@
         const command_list leased =
             m_world.send(lease_result{first<grant_lease>(asked)->token, lease_id{5}});
         const kv_token token = first<call_kv>(leased)->token;
-        m_reference.after(m_world.send(kv_result{token, kv_outcome{true, 3, {}}}));
+        m_model.after(m_world.send(kv_result{token, kv_outcome{true, 3, {}}}));
     }
 
     command_list wait_long()
@@ -207,7 +207,7 @@
         const request_id request{1};
         if (next == step::caller_left)
             return m_world.send(caller_gone{request});
-        const seen_attempt* now = m_reference.present();
+        const observed_attempt* now = m_model.present();
         if (now == nullptr)
             return {};
         const attempt_id attempt = now->id;
@@ -217,27 +217,27 @@
                 attempt_head{request, attempt, status, named, did_not_run, version});
         };
         const auto over = [&](const event& happened) {
-            m_reference.attempt_over();
+            m_model.end_attempt();
             return m_world.send(happened);
         };
         switch (next) {
         case step::sent:
             return m_world.send(attempt_sent{request, attempt});
-        case step::head_fine:
+        case step::head_ok:
             return head(200, attempt, false, "");
-        case step::head_crossed:
+        case step::head_wrong_attempt:
             return head(200, attempt_id{attempt.value() + 1}, false, "");
         case step::head_did_not_run:
             return head(409, attempt, true, "");
-        case step::head_trouble:
+        case step::head_server_failure:
             return head(503, attempt, false, "");
         case step::head_other_version:
             return head(200, attempt, false, "v9");
         case step::part:
             return m_world.send(attempt_progress{request, attempt, 1});
-        case step::whole:
+        case step::complete_answer:
             return over(attempt_finished{request, attempt, true, stored_answer{}});
-        case step::not_whole:
+        case step::truncated_answer:
             return over(attempt_finished{request, attempt, false, {}});
         case step::not_connected:
             return over(attempt_failed{request, attempt, attempt_failure::not_connected});
@@ -251,7 +251,7 @@
     }
 
     fixture m_world;
-    reference m_reference;
+    reference_model m_model;
     call m_call;
 };
 
@@ -274,19 +274,19 @@
 // A clerk is told "it did not run" and enters the route change again, while the first one did run:
 // it is recorded twice. Cause: an end of an attempt that was taken for more certain than it is.
 // All sequences of four events are tried on each kind of call.
-Test(truth, every_short_history_of_a_chat)
+Test(event_sequences, every_short_history_of_a_chat)
 {
     run_all(call::chat, 4);
 }
-Test(truth, every_short_history_of_a_read)
+Test(event_sequences, every_short_history_of_a_read)
 {
     run_all(call::read, 4);
 }
-Test(truth, every_short_history_of_a_keyed_call)
+Test(event_sequences, every_short_history_of_a_keyed_call)
 {
     run_all(call::keyed, 4);
 }
-Test(truth, every_short_history_of_a_call_sent_once)
+Test(event_sequences, every_short_history_of_a_call_sent_once)
 {
     run_all(call::once, 4);
 }
--- a/routing/history_world.h
+++ b/routing/history_simulation.h
@@ -17,12 +17,12 @@
 struct fault_rates {
     double kv_reply_lost = 0.0;   ///< the transaction takes effect, its reply does not come
     double kv_request_lost = 0.0; ///< it takes no effect
-    double kv_late = 0.0;         ///< reported as failed, takes effect seconds later
+    double kv_delayed = 0.0;      ///< reported as failed, takes effect seconds later
     double connect_refused = 0.0;
     double did_not_run = 0.0; ///< the server refuses and says so
     double cut_before_run = 0.0;
     double cut_after_run = 0.0;
-    double crossed = 0.0; ///< answers under another attempt's name
+    double wrong_attempt_id = 0.0; ///< answers under another attempt's name
     double stalled = 0.0;
     double caller_leaves = 0.0;
     double node_pauses = 0.0; ///< for each request
@@ -30,7 +30,7 @@
 };
 
 /// What a caller was told, by its request.
-struct caller_account {
+struct caller_record {
     std::string path;
     std::string key;
     std::string body;
@@ -44,22 +44,22 @@
     bool node_died = false;
 };
 
-class history_world {
+class history_simulation {
 public:
-    history_world(std::uint64_t seed, fault_rates faults, int nodes);
+    history_simulation(std::uint64_t seed, fault_rates faults, int nodes);
 
     /// A call enters at `node` at `at`.
     void call(duration at, int node, const std::string& path, const std::string& key,
               const std::string& body);
     /// The key-value service neither hears nor answers from `from` to `to`.
-    void dark(duration from, duration to);
+    void store_outage(duration from, duration to);
     void run(duration until);
 
-    std::vector<caller_account> callers;
+    std::vector<caller_record> callers;
     /// Executions by the caller's number, and by key.
-    std::map<std::size_t, int> runs_of_caller;
-    std::map<std::string, int> runs_of_key;
-    std::map<std::string, std::string> answer_of_key; ///< of the execution
+    std::map<std::size_t, int> executions_by_caller;
+    std::map<std::string, int> executions_by_key;
+    std::map<std::string, std::string> answer_by_key; ///< of the execution
     std::size_t kv_writes = 0;
 
 private:
@@ -82,19 +82,19 @@
         std::set<attempt_id> cancelled;
     };
 
-    void later(duration after, std::function<void()> act);
+    void schedule(duration after, std::function<void()> act);
     void boot(int node);
     /// Hands an event to a node as soon as it is not paused, unless it has been restarted.
-    void tell(int node, int boot, event happened);
-    void obey(int node, const command_list& commands);
+    void deliver_event(int node, int boot, event happened);
+    void execute(int node, const command_list& commands);
     void carry_out(int node, const send_attempt& sent);
     void keep_ticking(int node, int boot_number);
     void connect(int node, int boot_number, const send_attempt& sent, std::size_t caller);
     void answer(int node, const send_attempt& sent, std::size_t caller);
     void carry_out(int node, const call_kv& call);
-    void finish(int node, request_id request, const std::function<void(caller_account&)>& note);
+    void finish(int node, request_id request, const std::function<void(caller_record&)>& note);
     kv_outcome apply(const kv_transaction& transaction);
-    duration some(int low_ms, int high_ms);
+    duration random_delay(int low_ms, int high_ms);
 
     random_source m_random;
     fault_rates m_faults;
@@ -110,24 +110,24 @@
     time_point m_dark_to;
 };
 
-inline history_world::history_world(std::uint64_t seed, fault_rates faults, int nodes)
+inline history_simulation::history_simulation(std::uint64_t seed, fault_rates faults, int nodes)
     : m_random{seed}, m_faults{faults}, m_nodes(static_cast<std::size_t>(nodes))
 {
     for (int node = 0; node < nodes; ++node)
         boot(node);
 }
 
-inline void history_world::later(duration after, std::function<void()> act)
+inline void history_simulation::schedule(duration after, std::function<void()> act)
 {
     m_queue.push({m_now + after, m_order++, std::move(act)});
 }
 
-inline duration history_world::some(int low_ms, int high_ms)
+inline duration history_simulation::random_delay(int low_ms, int high_ms)
 {
     return std::chrono::milliseconds{m_random.between(low_ms, high_ms)};
 }
 
-inline void history_world::boot(int node)
+inline void history_simulation::boot(int node)
 {
     node_row& row = m_nodes[static_cast<std::size_t>(node)];
     // Who waited for the dead process hears nothing more.
@@ -144,32 +144,33 @@
     keep_ticking(node, row.boot);
 }
 
-inline void history_world::keep_ticking(int node, int boot_number)
+inline void history_simulation::keep_ticking(int node, int boot_number)
 {
     if (m_nodes[static_cast<std::size_t>(node)].boot != boot_number)
         return;
-    tell(node, boot_number, tick{});
-    later(std::chrono::milliseconds{20},
-          [this, node, boot_number] { keep_ticking(node, boot_number); });
+    deliver_event(node, boot_number, tick{});
+    schedule(std::chrono::milliseconds{20},
+             [this, node, boot_number] { keep_ticking(node, boot_number); });
 }
 
-inline void history_world::tell(int node, int boot_number, event happened)
+inline void history_simulation::deliver_event(int node, int boot_number, event happened)
 {
     node_row& row = m_nodes[static_cast<std::size_t>(node)];
     if (row.boot != boot_number)
         return;
     if (m_now < row.paused_until) {
-        later(row.paused_until - m_now, [this, node, boot_number, happened = std::move(happened)] {
-            tell(node, boot_number, happened);
-        });
+        schedule(row.paused_until - m_now,
+                 [this, node, boot_number, happened = std::move(happened)] {
+                     deliver_event(node, boot_number, happened);
+                 });
         return;
     }
     command_list out;
     row.core->handle(happened, m_now, out);
-    obey(node, out);
+    execute(node, out);
 }
 
-inline void history_world::obey(int node, const command_list& commands)
+inline void history_simulation::execute(int node, const command_list& commands)
 {
     node_row& row = m_nodes[static_cast<std::size_t>(node)];
     for (const command& each : commands) {
@@ -178,57 +179,58 @@
         else if (const auto* kv = std::get_if<call_kv>(&each))
             carry_out(node, *kv);
         else if (const auto* lease = std::get_if<grant_lease>(&each))
-            later(some(1, 3), [this, node, boot = row.boot, token = lease->token] {
+            schedule(random_delay(1, 3), [this, node, boot = row.boot, token = lease->token] {
                 if (m_now >= m_dark_from && m_now < m_dark_to)
-                    tell(node, boot, lease_result{token, error{error_kind::unavailable, "", ""}});
+                    deliver_event(node, boot,
+                                  lease_result{token, error{error_kind::unavailable, "", ""}});
                 else
-                    tell(node, boot, lease_result{token, lease_id{9}});
+                    deliver_event(node, boot, lease_result{token, lease_id{9}});
             });
         else if (const auto* handed = std::get_if<deliver>(&each))
             row.delivered[handed->request] = handed->attempt;
         else if (const auto* stopped = std::get_if<cancel_attempt>(&each))
             row.cancelled.insert(stopped->attempt);
         else if (const auto* whole = std::get_if<complete>(&each))
-            finish(node, whole->request, [&](caller_account& told) {
+            finish(node, whole->request, [&](caller_record& told) {
                 told.completed = true;
                 told.answer = row.answer_of[row.delivered[whole->request]];
             });
         else if (const auto* again = std::get_if<replay>(&each))
-            finish(node, again->request, [&](caller_account& told) {
+            finish(node, again->request, [&](caller_record& told) {
                 told.replayed = true;
                 told.answer = again->answer.body;
             });
         else if (const auto* refused = std::get_if<refuse>(&each))
-            finish(node, refused->request, [&](caller_account& told) {
+            finish(node, refused->request, [&](caller_record& told) {
                 told.refused = true;
                 told.ran = refused->ran;
                 told.kind = refused->failure.kind;
             });
         else if (const auto* cut = std::get_if<end_truncated>(&each))
-            finish(node, cut->request, [](caller_account&) {});
+            finish(node, cut->request, [](caller_record&) {});
         else if (const auto* gone = std::get_if<forget>(&each))
-            finish(node, gone->request, [](caller_account&) {});
+            finish(node, gone->request, [](caller_record&) {});
     }
 }
 
-inline void history_world::finish(int node, request_id request,
-                                  const std::function<void(caller_account&)>& note)
+inline void history_simulation::finish(int node, request_id request,
+                                       const std::function<void(caller_record&)>& note)
 {
     node_row& row = m_nodes[static_cast<std::size_t>(node)];
-    caller_account& told = callers[row.caller_of.at(request)];
+    caller_record& told = callers[row.caller_of.at(request)];
     ++told.finals;
     note(told);
 }
 
-inline void history_world::call(duration at, int node, const std::string& path,
-                                const std::string& key, const std::string& body)
+inline void history_simulation::call(duration at, int node, const std::string& path,
+                                     const std::string& key, const std::string& body)
 {
     const std::size_t caller = callers.size();
     callers.push_back({});
     callers.back().path = path;
     callers.back().key = key;
     callers.back().body = body;
-    later(at - (m_now - m_start), [this, node, caller] {
+    schedule(at - (m_now - m_start), [this, node, caller] {
         node_row& row = m_nodes[static_cast<std::size_t>(node)];
         const request_id request{m_next_request++};
         row.caller_of[request] = caller;
@@ -239,132 +241,137 @@
         info.workspace = workspace_id{"farm"};
         info.idempotency_key = callers[caller].key;
         info.body_digest = callers[caller].body;
-        tell(node, row.boot, request_arrived{info});
+        deliver_event(node, row.boot, request_arrived{info});
         const int boot_number = row.boot;
         if (m_random.chance(m_faults.caller_leaves))
-            later(some(0, 60), [this, node, boot_number, request] {
-                tell(node, boot_number, caller_gone{request});
+            schedule(random_delay(0, 60), [this, node, boot_number, request] {
+                deliver_event(node, boot_number, caller_gone{request});
             });
         if (m_random.chance(m_faults.node_pauses))
-            later(some(0, 30), [this, node] {
-                m_nodes[static_cast<std::size_t>(node)].paused_until = m_now + some(100, 15'000);
+            schedule(random_delay(0, 30), [this, node] {
+                m_nodes[static_cast<std::size_t>(node)].paused_until =
+                    m_now + random_delay(100, 15'000);
             });
         if (m_random.chance(m_faults.node_dies))
-            later(some(0, 30), [this, node] { boot(node); });
+            schedule(random_delay(0, 30), [this, node] { boot(node); });
     });
 }
 
-inline void history_world::carry_out(int node, const send_attempt& sent)
+inline void history_simulation::carry_out(int node, const send_attempt& sent)
 {
     node_row& row = m_nodes[static_cast<std::size_t>(node)];
     const int boot_number = row.boot;
     const std::size_t caller = row.caller_of.at(sent.request);
     if (m_random.chance(m_faults.connect_refused)) {
-        later(some(0, 3), [this, node, boot_number, sent] {
-            tell(node, boot_number,
-                 attempt_failed{sent.request, sent.attempt, attempt_failure::not_connected});
+        schedule(random_delay(0, 3), [this, node, boot_number, sent] {
+            deliver_event(
+                node, boot_number,
+                attempt_failed{sent.request, sent.attempt, attempt_failure::not_connected});
         });
         return;
     }
-    later(some(0, 3),
-          [this, node, boot_number, sent, caller] { connect(node, boot_number, sent, caller); });
+    schedule(random_delay(0, 3),
+             [this, node, boot_number, sent, caller] { connect(node, boot_number, sent, caller); });
 }
 
-inline void history_world::connect(int node, int boot_number, const send_attempt& sent,
-                                   std::size_t caller)
+inline void history_simulation::connect(int node, int boot_number, const send_attempt& sent,
+                                        std::size_t caller)
 {
     // The shell is part of the node: a paused or dead node connects to nobody.
     const node_row& row = m_nodes[static_cast<std::size_t>(node)];
     if (row.boot != boot_number || row.cancelled.contains(sent.attempt))
         return;
     if (m_now < row.paused_until) {
-        later(row.paused_until - m_now, [this, node, boot_number, sent, caller] {
+        schedule(row.paused_until - m_now, [this, node, boot_number, sent, caller] {
             connect(node, boot_number, sent, caller);
         });
         return;
     }
-    tell(node, boot_number, attempt_sent{sent.request, sent.attempt});
-    later(some(0, 20), [this, node, sent, caller] { answer(node, sent, caller); });
+    deliver_event(node, boot_number, attempt_sent{sent.request, sent.attempt});
+    schedule(random_delay(0, 20), [this, node, sent, caller] { answer(node, sent, caller); });
 }
 
-inline void history_world::answer(int node, const send_attempt& sent, std::size_t caller)
+inline void history_simulation::answer(int node, const send_attempt& sent, std::size_t caller)
 {
     const int boot_number = m_nodes[static_cast<std::size_t>(node)].boot;
     const auto fail = [&](attempt_failure reason) {
-        later(some(0, 5), [this, node, boot_number, sent, reason] {
-            tell(node, boot_number, attempt_failed{sent.request, sent.attempt, reason});
+        schedule(random_delay(0, 5), [this, node, boot_number, sent, reason] {
+            deliver_event(node, boot_number, attempt_failed{sent.request, sent.attempt, reason});
         });
     };
     if (m_random.chance(m_faults.cut_before_run))
         return fail(attempt_failure::cut);
     if (m_random.chance(m_faults.did_not_run)) {
-        later(some(0, 5), [this, node, boot_number, sent] {
-            tell(node, boot_number,
-                 attempt_head{sent.request, sent.attempt, 409, sent.attempt, true, ""});
+        schedule(random_delay(0, 5), [this, node, boot_number, sent] {
+            deliver_event(node, boot_number,
+                          attempt_head{sent.request, sent.attempt, 409, sent.attempt, true, ""});
         });
         return;
     }
     // It runs: written down on the server's side.
-    const caller_account& asked = callers[caller];
+    const caller_record& asked = callers[caller];
     const std::string body =
         "answer to " + asked.body + " by attempt " + std::to_string(sent.attempt.value());
-    ++runs_of_caller[caller];
+    ++executions_by_caller[caller];
     if (!asked.key.empty()) {
-        ++runs_of_key[asked.key];
-        answer_of_key[asked.key] = body;
+        ++executions_by_key[asked.key];
+        answer_by_key[asked.key] = body;
     }
     if (m_random.chance(m_faults.cut_after_run))
         return fail(attempt_failure::cut);
     if (m_random.chance(m_faults.stalled))
         return;
-    const bool crossed = m_random.chance(m_faults.crossed);
-    later(some(0, 30), [this, node, boot_number, sent, body, crossed] {
-        const attempt_id named{sent.attempt.value() + (crossed ? 1 : 0)};
+    const bool wrong_attempt_id = m_random.chance(m_faults.wrong_attempt_id);
+    schedule(random_delay(0, 30), [this, node, boot_number, sent, body, wrong_attempt_id] {
+        const attempt_id named{sent.attempt.value() + (wrong_attempt_id ? 1 : 0)};
         m_nodes[static_cast<std::size_t>(node)].answer_of[sent.attempt] =
-            crossed ? "answer to somebody else" : body;
-        tell(node, boot_number, attempt_head{sent.request, sent.attempt, 200, named, false, ""});
-        later(some(0, 5), [this, node, boot_number, sent, body] {
-            tell(node, boot_number,
-                 attempt_finished{sent.request, sent.attempt, true,
-                                  stored_answer{200, "text/plain", body}});
+            wrong_attempt_id ? "answer to somebody else" : body;
+        deliver_event(node, boot_number,
+                      attempt_head{sent.request, sent.attempt, 200, named, false, ""});
+        schedule(random_delay(0, 5), [this, node, boot_number, sent, body] {
+            deliver_event(node, boot_number,
+                          attempt_finished{sent.request, sent.attempt, true,
+                                           stored_answer{200, "text/plain", body}});
         });
     });
 }
 
-inline void history_world::carry_out(int node, const call_kv& call)
+inline void history_simulation::carry_out(int node, const call_kv& call)
 {
     const int boot_number = m_nodes[static_cast<std::size_t>(node)].boot;
     const auto reply_error = [&] {
-        later(std::chrono::milliseconds{300}, [this, node, boot_number, token = call.token] {
-            tell(node, boot_number, kv_result{token, error{error_kind::unavailable, "", ""}});
+        schedule(std::chrono::milliseconds{300}, [this, node, boot_number, token = call.token] {
+            deliver_event(node, boot_number,
+                          kv_result{token, error{error_kind::unavailable, "", ""}});
         });
     };
     if (m_random.chance(m_faults.kv_request_lost))
         return reply_error();
-    if (m_random.chance(m_faults.kv_late)) {
-        later(some(300, 6'000), [this, transaction = call.transaction] { apply(transaction); });
+    if (m_random.chance(m_faults.kv_delayed)) {
+        schedule(random_delay(300, 6'000),
+                 [this, transaction = call.transaction] { apply(transaction); });
         return reply_error();
     }
     const bool lost = m_random.chance(m_faults.kv_reply_lost);
     if (lost)
         reply_error();
-    later(some(1, 4), [this, node, boot_number, call, lost] {
+    schedule(random_delay(1, 4), [this, node, boot_number, call, lost] {
         if (m_now >= m_dark_from && m_now < m_dark_to) {
             if (!lost)
-                tell(node, boot_number,
-                     kv_result{call.token, error{error_kind::unavailable, "", ""}});
+                deliver_event(node, boot_number,
+                              kv_result{call.token, error{error_kind::unavailable, "", ""}});
             return;
         }
         const kv_outcome outcome = apply(call.transaction);
         if (lost)
             return;
-        later(some(1, 4), [this, node, boot_number, token = call.token, outcome] {
-            tell(node, boot_number, kv_result{token, outcome});
+        schedule(random_delay(1, 4), [this, node, boot_number, token = call.token, outcome] {
+            deliver_event(node, boot_number, kv_result{token, outcome});
         });
     });
 }
 
-inline kv_outcome history_world::apply(const kv_transaction& transaction)
+inline kv_outcome history_simulation::apply(const kv_transaction& transaction)
 {
     kv_outcome outcome;
     outcome.succeeded = true;
@@ -397,13 +404,13 @@
     return outcome;
 }
 
-inline void history_world::dark(duration from, duration to)
+inline void history_simulation::store_outage(duration from, duration to)
 {
     m_dark_from = m_start + from;
     m_dark_to = m_start + to;
 }
 
-inline void history_world::run(duration until)
+inline void history_simulation::run(duration until)
 {
     while (!m_queue.empty() && m_queue.top().at <= m_start + until) {
         const timed next = m_queue.top();
--- a/routing/keyed_test.cc
+++ b/routing/keyed_test.cc
@@ -41,7 +41,7 @@
 
 // The entry VM restarts while a confirmation is at the server. The repeat is told at once that the
 // outcome is unknown, not kept waiting for a process that no longer exists; so is the question.
-Test(keyed, a_claim_of_the_process_before_is_unknown)
+Test(keyed, a_claim_from_before_a_restart_is_unknown)
 {
     fixture world;
     const claim_record left{"entry-1/boot-0/4", "body", claim_progress::claimed, {}};
@@ -54,9 +54,9 @@
     cr_assert(first<refuse>(judged)->ran == ran_state::unknown);
 
     const command_list question =
-        world.send(key_status_asked{request_id{2}, workspace_id{"farm"}, "monday"});
+        world.send(key_status_requested{request_id{2}, workspace_id{"farm"}, "monday"});
     const command_list told = world.send(kv_result{first<call_kv>(question)->token, found});
-    cr_assert(first<report_key>(told)->state == key_state::unknown);
+    cr_assert(first<report_key_status>(told)->state == key_state::unknown);
 }
 
 // The entry VM that took the confirmation dies with it. Once the others know that it left, a repeat
@@ -78,16 +78,16 @@
         if (left)
             cr_assert(first<refuse>(judged)->ran == ran_state::unknown);
         const command_list question =
-            world.send(key_status_asked{request_id{2}, workspace_id{"farm"}, "monday"});
+            world.send(key_status_requested{request_id{2}, workspace_id{"farm"}, "monday"});
         const command_list told = world.send(kv_result{first<call_kv>(question)->token, found});
-        cr_assert(first<report_key>(told)->state ==
+        cr_assert(first<report_key_status>(told)->state ==
                   (left ? key_state::unknown : key_state::in_progress));
     }
 }
 
 // The platform is dark for an hour. Who confirms an order is told within two calls that it was not
 // sent; those who come after are told at once; reads of the same service go on all the while.
-Test(keyed, a_dark_platform_refuses_keyed_calls_and_no_others)
+Test(keyed, a_store_outage_refuses_only_keyed_calls)
 {
     fixture world;
     const command_list asked = world.plain(1, "/orders", "a");
--- a/routing/modelled_fixture.h
+++ b/routing/modelled_fixture.h
@@ -113,8 +113,8 @@
     core_settings settings = fixture::default_settings();
     settings.retry_share = 0.2;
     settings.retry_extra = 40.0;
-    settings.charge_every_repeat = true;
-    settings.shortest_return = 100ms;
+    settings.charge_every_retry = true;
+    settings.min_retry_after = 100ms;
     return settings;
 }
 
@@ -164,7 +164,7 @@
     {
         send(attempt_sent{order.request, order.attempt});
         attempt_head head = head_of(order, 503);
-        head.says_did_not_run = true;
+        head.reported_not_run = true;
         return send(head);
     }
 
--- a/routing/modelled_test.cc
+++ b/routing/modelled_test.cc
@@ -105,8 +105,8 @@
 Test(modelled, each_node_has_its_part_of_a_full_group)
 {
     world here{1};
-    here.send(fleet_size_seen{4});
-    here.send(load_seen{target_id{"g1"}, {8, 3, 0.0}, {}});
+    here.send(fleet_size_updated{4});
+    here.send(load_reported{target_id{"g1"}, {8, 3, 0.0}, {}});
     here.begin(*only<send_attempt>(here.ask()));
     cr_assert(only<send_attempt>(here.ask()), "two of eight places are ours");
     cr_assert(!only<send_attempt>(here.ask()));
@@ -118,14 +118,14 @@
 Test(modelled, a_part_of_less_than_a_place_does_not_shut_a_node_out)
 {
     world here{6};
-    here.send(fleet_size_seen{35});
+    here.send(fleet_size_updated{35});
     for (int number = 1; number <= 6; ++number)
-        here.send(load_seen{target_id{"g" + std::to_string(number)}, {8, 3, 0.0}, {}});
+        here.send(load_reported{target_id{"g" + std::to_string(number)}, {8, 3, 0.0}, {}});
     const auto first = only<send_attempt>(here.ask());
     cr_assert(first);
     here.begin(*first);
     cr_assert(!only<send_attempt>(here.ask()), "the rest waits for news");
-    const command_list out = here.send(load_seen{first->target, {1, 0, 0.0}, {}});
+    const command_list out = here.send(load_reported{first->target, {1, 0, 0.0}, {}});
     const command_list later = here.pass(50ms);
     cr_assert(only<send_attempt>(out) || only<send_attempt>(later), "which it has now");
 }
@@ -146,7 +146,7 @@
         all.back().failure_domain = failure_domain_id{number <= 6 ? "a" : "b"};
     }
     here.send(groups_changed{all});
-    here.send(fleet_size_seen{100});
+    here.send(fleet_size_updated{100});
     return here;
 }
 
@@ -154,7 +154,7 @@
 {
     for (int number = from; number <= to; ++number)
         here.send(
-            load_seen{target_id{"g" + std::to_string(number)}, {running, 0, 0.0}, report_age});
+            load_reported{target_id{"g" + std::to_string(number)}, {running, 0, 0.0}, report_age});
     here.pass(10ms);
 }
 
@@ -169,7 +169,7 @@
         const bool there = std::stoi(order->target.value().substr(1)) > 6;
         sent += there ? 1 : 0;
         if (there && running_there)
-            here.send(load_seen{order->target, {*running_there, 0, 0.0}, report_age});
+            here.send(load_reported{order->target, {*running_there, 0, 0.0}, report_age});
         here.begin(*order);
         here.send(attempt_finished{order->request, order->attempt, {}});
     }
@@ -337,9 +337,9 @@
 {
     core_settings settings = shared_settings();
     settings.retry_extra = 40.0;
-    settings.retry_extra_shared = true;
+    settings.retry_extra_fleet_wide = true;
     world here{4, settings};
-    here.send(fleet_size_seen{4});
+    here.send(fleet_size_updated{4});
     std::size_t firsts = 0;
     std::size_t repeats = 0;
     for (int index = 0; index < 200; ++index) {
--- a/routing/overload_test.cc
+++ b/routing/overload_test.cc
@@ -35,7 +35,7 @@
     {
         for (std::size_t node = 0; node < m_shape.parts.size(); ++node) {
             m_nodes.push_back(std::make_unique<world>(m_shape.groups));
-            m_nodes.back()->send(fleet_size_seen{m_shape.parts.size()});
+            m_nodes.back()->send(fleet_size_updated{m_shape.parts.size()});
         }
     }
 
@@ -121,7 +121,7 @@
         const auto running = static_cast<std::uint32_t>(std::min(jobs.size(), places));
         const auto waiting = static_cast<std::uint32_t>(jobs.size()) - running;
         for (const job& one : begun) {
-            m_nodes[one.node]->send(load_seen{one.order.target, {running, waiting, 0.0}, {}});
+            m_nodes[one.node]->send(load_reported{one.order.target, {running, waiting, 0.0}, {}});
             take(one.node, m_nodes[one.node]->begin(one.order));
         }
     }
--- a/routing/policy_run.cc
+++ b/routing/policy_run.cc
@@ -210,7 +210,8 @@
             at(m_now_s + 0.1, [this, node, rows = shared->rows] {
                 for (int peer = 0; peer < m_options.nodes; ++peer) {
                     if (peer != node)
-                        tell(peer, peer_demand_seen{node_id{"node-" + std::to_string(node)}, rows});
+                        tell(peer,
+                             peer_demand_received{node_id{"node-" + std::to_string(node)}, rows});
                 }
             });
     }
@@ -383,7 +384,7 @@
                 static_cast<std::int64_t>(m_options.report_lag_s * 1'000)};
             at(m_now_s + m_options.report_lag_s, [this, load, id, lag] {
                 for (int node = 0; node < m_options.nodes; ++node)
-                    tell(node, load_seen{id, load, lag});
+                    tell(node, load_reported{id, load, lag});
             });
         }
     }
@@ -397,7 +398,7 @@
             const target_id id{"g" + std::to_string(each)};
             at(m_now_s + m_options.events_lag_s, [this, events, id] {
                 for (int node = 0; node < m_options.nodes; ++node)
-                    tell(node, cache_events_seen{id, events, false});
+                    tell(node, cache_events_received{id, events, false});
             });
         }
     }
--- a/routing/pool_table.cc
+++ b/routing/pool_table.cc
@@ -38,7 +38,7 @@
 } // namespace
 
 pool_row::pool_row(const pool& written, const core_settings& settings)
-    : info{written}, queue{settings.most_queued_per_workspace},
+    : info{written}, queue{settings.max_queued_per_workspace},
       prefixes{written.kind == pool_kind::model ? settings.prefix_index_entries
                                                 : plain_prefix_entries}
 {}
--- a/routing/disorder_test.cc
+++ b/routing/random_events_test.cc
@@ -11,9 +11,9 @@
 namespace {
 
 /// Makes any event with ids from a small range, so that many hit something.
-class disorder {
+class random_event_source {
 public:
-    explicit disorder(std::uint64_t seed) : m_random{seed} {}
+    explicit random_event_source(std::uint64_t seed) : m_random{seed} {}
 
     event next()
     {
@@ -41,7 +41,7 @@
         case 8:
             return caller_gone{request()};
         case 9:
-            return key_status_asked{request(), workspace_id{"farm"}, key()};
+            return key_status_requested{request(), workspace_id{"farm"}, key()};
         case 10:
             return kv_answer();
         case 11:
@@ -55,15 +55,16 @@
         case 14:
             return target_leaving{m_random.chance(0.5) ? group() : server(), m_random.chance(0.5)};
         case 15:
-            return load_seen{
+            return load_reported{
                 group(), {9, 3, 0.5}, std::chrono::milliseconds{m_random.between(0, 5'000)}};
         case 16:
-            return cache_events_seen{group(), {{m_random.index(9), m_random.chance(0.5)}}, true};
+            return cache_events_received{
+                group(), {{m_random.index(9), m_random.chance(0.5)}}, true};
         case 17:
             return tables();
         default:
-            return peer_demand_seen{node_id{std::to_string(m_random.index(3))},
-                                    {{pool_id{"chat"}, workspace_id{"farm"}, 3, 4}}};
+            return peer_demand_received{node_id{std::to_string(m_random.index(3))},
+                                        {{pool_id{"chat"}, workspace_id{"farm"}, 3, 4}}};
         }
     }
 
@@ -110,7 +111,7 @@
         info.idempotency_key = key();
         info.body_digest = m_random.chance(0.9) ? "a" : "";
         info.stream = m_random.chance(0.5);
-        info.body_kept = m_random.chance(0.8);
+        info.body_buffered = m_random.chance(0.8);
         for (std::uint64_t block = 0; block < m_random.index(100); ++block)
             info.prefix_blocks.push_back(m_random.index(9));
         return request_arrived{info};
@@ -165,11 +166,12 @@
     return std::visit(
         [](const auto& each) -> std::optional<request_id> {
             using command_type = std::decay_t<decltype(each)>;
-            constexpr bool is_final =
-                std::is_same_v<command_type, complete> || std::is_same_v<command_type, refuse> ||
-                std::is_same_v<command_type, replay> ||
-                std::is_same_v<command_type, end_truncated> ||
-                std::is_same_v<command_type, forget> || std::is_same_v<command_type, report_key>;
+            constexpr bool is_final = std::is_same_v<command_type, complete> ||
+                                      std::is_same_v<command_type, refuse> ||
+                                      std::is_same_v<command_type, replay> ||
+                                      std::is_same_v<command_type, end_truncated> ||
+                                      std::is_same_v<command_type, forget> ||
+                                      std::is_same_v<command_type, report_key_status>;
             if constexpr (is_final)
                 return each.request;
             else
@@ -183,15 +185,15 @@
 // A defect elsewhere (a shell that tells things twice, a store that answers nonsense, tables that
 // change under the requests) must cost the requests concerned, not the entry VM: nobody gets two
 // final answers, everybody gets one in the end, and no place in a pool leaks away.
-Test(disorder, any_order_of_events_ends_every_request_once)
+Test(random_event_source, any_order_of_events_ends_every_request_once)
 {
     for (std::uint64_t seed = 1; seed <= 60; ++seed) {
         core_settings settings = fixture::default_settings();
         settings.prefix_index_entries = 16;
-        settings.most_requests = 40;
-        settings.most_queued_per_workspace = 4;
+        settings.max_requests = 40;
+        settings.max_queued_per_workspace = 4;
         fixture world{settings, 3, seed};
-        disorder wrong{seed};
+        random_event_source wrong{seed};
         random_source random{seed};
         std::map<request_id, int> finals;
         std::size_t highest_open = 0;
@@ -208,7 +210,7 @@
             const event next = wrong.next();
             if (const auto* arrived = std::get_if<request_arrived>(&next))
                 ++arrivals[arrived->request.id];
-            if (const auto* asked = std::get_if<key_status_asked>(&next))
+            if (const auto* asked = std::get_if<key_status_requested>(&next))
                 ++arrivals[asked->request];
             note(world.send(next));
             if (random.chance(0.2))
--- a/routing/rate_limits.cc
+++ b/routing/rate_limits.cc
@@ -62,7 +62,7 @@
     m_sharers.try_emplace(m_self);
 }
 
-void rate_limits::fleet_seen(const std::vector<fleet_member>& members, time_point now)
+void rate_limits::fleet_updated(const std::vector<fleet_member>& members, time_point now)
 {
     std::map<node_id, failure_domain_id> sharers;
     sharers.try_emplace(m_self); // its failure domain is known once the members tell it
--- a/routing/rate_limits.h
+++ b/routing/rate_limits.h
@@ -2,7 +2,7 @@
 // part of that.
 //
 //   rate_limits limits{self};
-//   limits.fleet_seen(members, now);                       // about once a second
+//   limits.fleet_updated(members, now);                       // about once a second
 //   if (limits.answered(server, domain, 1.9, now)) ...     // an answer named it: tell the peers
 //   limits.told(server, domain, 1.9, observed, now);       // a peer did
 //   if (limits.may_send(server, now)) limits.take(server, now);
@@ -30,7 +30,7 @@
     explicit rate_limits(node_id self);
 
     /// All members, this node among them or not.
-    void fleet_seen(const std::vector<fleet_member>& members, time_point now);
+    void fleet_updated(const std::vector<fleet_member>& members, time_point now);
     /// An answer of the server, which stands in failure domain `where`, named a limit, requests a
     /// second, or none. True if the other nodes are to be told.
     bool answered(const vm_id& server, const failure_domain_id& where,
--- a/routing/rate_limits_test.cc
+++ b/routing/rate_limits_test.cc
@@ -184,7 +184,7 @@
             if (last != one.seen.end())
                 members.push_back({other.name, other.domain, m_now - last->second < death_seen});
         }
-        one.limits->fleet_seen(members, m_now);
+        one.limits->fleet_updated(members, m_now);
     }
 
     double m_per_second;
@@ -286,7 +286,7 @@
     for (int index = 0; index < 40; ++index)
         members.push_back({node_id{"node-" + std::to_string(index)}, home, true});
     vm_id refused;
-    limits.fleet_seen(members, now);
+    limits.fleet_updated(members, now);
     for (int index = 0; limits.share(refused).value_or(1.0) > 0.0; ++index) {
         refused = vm_id{"i-" + std::to_string(index)};
         limits.told(refused, home, 1.0, now, now);
@@ -295,7 +295,7 @@
     cr_assert_eq(limits.wait(refused, now), duration::max());
     std::size_t trials = 0;
     for (const time_point until = now + 400s; now < until; now += 1s) {
-        limits.fleet_seen(members, now);
+        limits.fleet_updated(members, now);
         limits.tick(now);
         if (limits.may_send(refused, now)) {
             limits.take(refused, now);
--- a/routing/refusal_test.cc
+++ b/routing/refusal_test.cc
@@ -27,16 +27,16 @@
         head.request = order.request;
         head.attempt = order.attempt;
         head.status = order.target.value() == broken ? 409 : 200;
-        head.says_did_not_run = order.target.value() == broken;
+        head.reported_not_run = order.target.value() == broken;
         head.version = "v1";
-        refused += head.says_did_not_run ? 1 : 0;
+        refused += head.reported_not_run ? 1 : 0;
         next = place.send(head);
-        if (head.says_did_not_run)
+        if (head.reported_not_run)
             continue;
         attempt_finished finished;
         finished.request = order.request;
         finished.attempt = order.attempt;
-        finished.whole = true;
+        finished.buffered = true;
         place.send(finished);
         return true;
     }
@@ -49,7 +49,7 @@
 // has nothing in flight it looks the idler of the two and draws every request. The callers saw 13
 // of 129 calls refused while the other group was whole: the retries were charged to the budget,
 // which was soon empty.
-Test(refusal, a_group_that_is_not_whole_costs_no_caller_an_answer)
+Test(refusal, an_incomplete_group_costs_no_caller_an_answer)
 {
     for (std::uint64_t seed = 1; seed <= 20; ++seed) {
         fixture place{2, "entry-1", seed};
@@ -66,7 +66,7 @@
 
 // The group is whole again, at another fencing number. What it said before is no longer true, so it
 // gets requests at once.
-Test(refusal, a_new_fencing_number_ends_the_rest)
+Test(refusal, a_new_fencing_number_ends_the_refusal_pause)
 {
     fixture place{1};
     command_list next = place.chat(1);
@@ -75,11 +75,11 @@
     head.request = order.request;
     head.attempt = order.attempt;
     head.status = 409;
-    head.says_did_not_run = true;
+    head.reported_not_run = true;
     cr_assert(first<send_attempt>(place.send(head)) == nullptr, "sent again to the group at rest");
-    target whole = make_group(1);
-    whole.fencing = fencing_number{8};
-    next = place.send(groups_changed{{whole}});
+    target buffered = make_group(1);
+    buffered.fencing = fencing_number{8};
+    next = place.send(groups_changed{{buffered}});
     if (first<send_attempt>(next) == nullptr)
         next = place.pass(std::chrono::milliseconds{50});
     cr_assert(first<send_attempt>(next) != nullptr, "the whole group gets nothing");
--- a/routing/request_arrival.cc
+++ b/routing/request_arrival.cc
@@ -9,9 +9,9 @@
 
 namespace {
 
-constexpr std::size_t longest_key = 256;
+constexpr std::size_t max_key_bytes = 256;
 constexpr std::chrono::seconds no_target_retry{2};
-constexpr std::chrono::seconds dark_retry{2};
+constexpr std::chrono::seconds store_unavailable_retry{2};
 constexpr std::chrono::seconds in_progress_retry{1};
 constexpr std::chrono::seconds full_retry{5};
 
@@ -31,7 +31,7 @@
 
 /// How long callers wait for a stream's first event: two seconds, or longer where the route's own
 /// targets are, by four times the first event's or eight times the pause's.
-duration first_event_patience(const route& taken)
+duration first_event_timeout(const route& taken)
 {
     constexpr std::chrono::milliseconds least{2'000};
     return std::max({least, 4 * taken.first_target, 8 * taken.gap_target});
@@ -42,7 +42,7 @@
     return std::chrono::duration<double>(span).count();
 }
 
-std::string described(const request_info& info)
+std::string describe(const request_info& info)
 {
     if (info.kind == request_kind::plain)
         return info.method + " " + info.path;
@@ -52,8 +52,8 @@
 } // namespace
 
 /// Finds out whose request it is by its key, where the tables say so; false if it was refused.
-bool request_core::state::identify(request_info& info, const route& taken,
-                                   std::optional<priority_class>& priority, command_list& out)
+bool request_core::state::authenticate(request_info& info, const route& taken,
+                                       std::optional<priority_class>& priority, command_list& out)
 {
     if (!workspaces_by_keys)
         return true;
@@ -66,10 +66,10 @@
     }
     if (taken.open)
         return true;
-    refuse_unseen(info.id,
-                  {error_kind::unauthorized, "the request bears no key of a workspace",
-                   "send a key that is in force"},
-                  std::nullopt, out);
+    refuse_untracked(info.id,
+                     {error_kind::unauthorized, "the request bears no key of a workspace",
+                      "send a key that is in force"},
+                     std::nullopt, out);
     return false;
 }
 
@@ -98,16 +98,16 @@
 {
     const auto refuse_with = [&](error_kind kind, std::string message, std::string remedy,
                                  std::optional<std::chrono::milliseconds> after = std::nullopt) {
-        refuse_unseen(info.id, {kind, std::move(message), std::move(remedy)}, after, out);
+        refuse_untracked(info.id, {kind, std::move(message), std::move(remedy)}, after, out);
         return true;
     };
     if (requests.contains(info.id))
         return true; // the shell's defect; the first one with this id keeps its single answer
-    if (requests.size() >= settings.most_requests)
+    if (requests.size() >= settings.max_requests)
         return refuse_with(error_kind::overloaded, "this entry VM holds as many requests as it may",
                            "come back after the time in Retry-After", full_retry);
     if (taken == nullptr)
-        return refuse_with(error_kind::not_found, "no route takes " + described(info),
+        return refuse_with(error_kind::not_found, "no route takes " + describe(info),
                            "check the name or path, or add a row to routes.toml");
     // A service without a pool for the model named: the operators' next version may bring it.
     if (index == pools.size() && !taken->backends.empty())
@@ -126,7 +126,7 @@
         return refuse_with(error_kind::unavailable,
                            "pool " + taken->pool.value() + " has nothing complete to serve it",
                            "come back after the time in Retry-After", no_target_retry);
-    if (info.idempotency_key.size() > longest_key)
+    if (info.idempotency_key.size() > max_key_bytes)
         return refuse_with(error_kind::invalid_argument, "the idempotency key is too long",
                            "use a key of at most 256 bytes");
     if (taken->repeat == repeat_policy::keyed && !info.idempotency_key.empty() &&
@@ -142,7 +142,7 @@
     request_info info = asked;
     const route* taken = routes.find(info);
     std::optional<priority_class> own_priority;
-    if (taken != nullptr && !identify(info, *taken, own_priority, out))
+    if (taken != nullptr && !authenticate(info, *taken, own_priority, out))
         return;
     const pool_index index = taken == nullptr ? pools.size() : choose_pool(*taken, info);
     if (refuse_unroutable(info, taken, index, now, out))
@@ -174,10 +174,10 @@
     row.deadline = now + taken->timeout;
     if (row.info.deadline)
         row.deadline = std::min(row.deadline, *row.info.deadline);
-    row.ends = row.deadline + taken->longest_stream;
+    row.answer_deadline = row.deadline + taken->longest_stream;
     if (taken->streaming)
-        row.deadline = std::min(row.deadline, now + first_event_patience(*taken));
-    row.late = has_come_back(row, now);
+        row.deadline = std::min(row.deadline, now + first_event_timeout(*taken));
+    row.late = is_returning_caller(row, now);
     row.queue_until = now + (row.deadline - now) / 2;
     row.wake = row.deadline;
     row.keyed = taken->repeat == repeat_policy::keyed && !row.info.idempotency_key.empty();
@@ -209,15 +209,15 @@
 /// Whether the caller has come back after a refusal; its first target has passed then. It would be
 /// the newest of all that wait, and take the place of one that can still be in time, who would be
 /// refused and come back in turn: under overload nobody would be in time.
-bool request_core::state::has_come_back(const request_row& row, time_point now)
+bool request_core::state::is_returning_caller(const request_row& row, time_point now)
 {
     const bool targeted = row.terms.first_target.count() > 0 && row.info.deadline;
     if (!targeted || !pools.at(row.terms.pool).modelled())
         return false;
     constexpr double ms_in_second = 1000.0;
     const double left_ms = ms_in_second * seconds(*row.info.deadline - now);
-    usual_patience& usual = patience_by_route[row.terms.route];
-    const bool again = usual.came_back(left_ms);
+    caller_timeout_estimate& usual = caller_timeouts_by_route[row.terms.route];
+    const bool again = usual.is_returning(left_ms);
     usual.note(left_ms);
     return again && settings.mechanisms.has(mechanism::returning_gives_way);
 }
@@ -231,7 +231,7 @@
     const double weight = pool.weight_of(row.info.workspace, row.terms.priority);
     const double wait_s = pool.estimated_wait_s(flow, weight);
     const double left_s = seconds(row.deadline - now) - pool.limit.first_token_s();
-    if (wait_s <= most_queued_part * left_s)
+    if (wait_s <= max_queued_fraction * left_s)
         return false;
     ++counters.refused_early;
     row.keyed = false; // nothing is claimed yet
@@ -244,7 +244,7 @@
 
 void request_core::state::begin_claim(request_row& row, time_point now, command_list& out)
 {
-    const time_point wait_until = std::min(row.deadline, now + settings.repeat_wait);
+    const time_point wait_until = std::min(row.deadline, now + settings.max_repeat_wait);
     const std::string key = claim_key(deployment, row.info.workspace, row.info.idempotency_key);
     if (claims.begin(row.info.id, key, row.info.body_digest, row.terms.key_keeping, wait_until,
                      now))
@@ -286,24 +286,25 @@
     dispatch(index, now, out);
     const auto still = requests.find(request);
     if (still != requests.end() && still->second.phase == request_phase::queued)
-        set_wake(still->second, next_check(still->second));
+        set_wake(still->second, next_wake_time(still->second));
 }
 
-void request_core::state::ask_key(const key_status_asked& asked, time_point now, command_list& out)
+void request_core::state::on_key_status_requested(const key_status_requested& asked, time_point now,
+                                                  command_list& out)
 {
     const std::string key = claim_key(deployment, asked.workspace, asked.idempotency_key);
     ++counters.arrived;
     if (requests.contains(asked.request))
         return;
-    if (requests.size() >= settings.most_requests || !claims.ask(asked.request, key, now)) {
-        refuse_unseen(asked.request,
-                      {error_kind::overloaded, "too many questions wait", "ask again later"},
-                      full_retry, out);
+    if (requests.size() >= settings.max_requests || !claims.query_status(asked.request, key, now)) {
+        refuse_untracked(asked.request,
+                         {error_kind::overloaded, "too many questions wait", "ask again later"},
+                         full_retry, out);
         return;
     }
     request_row& row = requests[asked.request];
     row.info.id = asked.request;
-    row.phase = request_phase::asking;
+    row.phase = request_phase::querying_key;
     row.deadline = now + 3 * settings.kv_timeout; // it may wait for one call before its own
     set_wake(row, row.deadline);
 }
@@ -312,17 +313,18 @@
 {
     claims.pump(now, out);
     // Settling one may settle others, for example by handing a claim on; each round settles some.
-    for (std::vector<claim_settled> settled = claims.take_settled(); !settled.empty();
-         settled = claims.take_settled())
+    for (std::vector<claim_resolution> settled = claims.take_resolutions(); !settled.empty();
+         settled = claims.take_resolutions())
     {
-        for (const claim_settled& each : settled)
-            settle(each, now, out);
+        for (const claim_resolution& each : settled)
+            on_claim_resolved(each, now, out);
         claims.pump(now, out);
     }
     counters.claim_transactions = claims.transactions();
 }
 
-void request_core::state::settle(const claim_settled& settled, time_point now, command_list& out)
+void request_core::state::on_claim_resolved(const claim_resolution& settled, time_point now,
+                                            command_list& out)
 {
     const request_id request = std::visit([](const auto& each) { return each.request; }, settled);
     const auto found = requests.find(request);
@@ -330,16 +332,16 @@
         return;
     request_row& row = found->second;
     // A shell that uses an id twice must not make a claim's answer end another request.
-    const bool asked = row.phase == request_phase::asking;
-    const bool fits = asked ? std::holds_alternative<claim_reported>(settled) ||
-                                  std::holds_alternative<claim_dark>(settled)
+    const bool asked = row.phase == request_phase::querying_key;
+    const bool fits = asked ? std::holds_alternative<claim_status_reported>(settled) ||
+                                  std::holds_alternative<claim_store_unavailable>(settled)
                             : row.phase == request_phase::claiming &&
-                                  !std::holds_alternative<claim_reported>(settled);
+                                  !std::holds_alternative<claim_status_reported>(settled);
     if (!fits) {
-        claims.give_up(request, now);
+        claims.abandon(request, now);
         return;
     }
-    ++counters.claims_settled;
+    ++counters.claims_resolved;
     struct visitor {
         state& core;
         request_row& row;
@@ -358,7 +360,7 @@
         {
             core.finish_replay(row, replayed.answer, out);
         }
-        void operator()(const claim_ran_unkept& /*settled*/) const
+        void operator()(const claim_ran_without_answer& /*settled*/) const
         {
             refuse_with(error_kind::too_large, "the call ran; its answer was too large to be kept",
                         "read its effect back from the service", ran_state::yes, std::nullopt);
@@ -380,20 +382,21 @@
             refuse_with(error_kind::unknown_outcome, "a call with this key is still on its way",
                         "ask again with the same key", ran_state::unknown, in_progress_retry);
         }
-        void operator()(const claim_dark& /*settled*/) const
+        void operator()(const claim_store_unavailable& /*settled*/) const
         {
-            if (row.phase == request_phase::asking) {
+            if (row.phase == request_phase::querying_key) {
                 core.finish_refuse(row,
                                    {error_kind::unavailable, "the record can't be read now",
                                     "ask again with the same key"},
-                                   ran_state::unknown, dark_retry, now, out);
+                                   ran_state::unknown, store_unavailable_retry, now, out);
                 return;
             }
             refuse_with(error_kind::unavailable,
                         "the key-value service gave no answer, so the call was not sent",
-                        "come back after the time in Retry-After", ran_state::no, dark_retry);
+                        "come back after the time in Retry-After", ran_state::no,
+                        store_unavailable_retry);
         }
-        void operator()(const claim_reported& reported) const
+        void operator()(const claim_status_reported& reported) const
         {
             core.finish_report(row, reported, out);
         }
--- a/routing/request_attempt.cc
+++ b/routing/request_attempt.cc
@@ -17,7 +17,7 @@
 namespace {
 
 /// Statuses by which a server says that it, not the request, is at fault.
-bool is_server_trouble(std::uint32_t status)
+bool is_server_failure_status(std::uint32_t status)
 {
     constexpr std::uint32_t too_many_requests = 429;
     constexpr std::uint32_t bad_gateway = 502;
@@ -28,15 +28,15 @@
 }
 
 /// Sendings that certainly did not run may be repeated at least this often, whatever the route.
-constexpr std::uint32_t least_safe_retries = 2;
+constexpr std::uint32_t min_safe_retries = 2;
 
 /// Of a request that may run on several servers; beyond that something else is wrong.
-constexpr std::uint32_t most_sendings = 4;
+constexpr std::uint32_t max_retries_across_servers = 4;
 
 /// Whether the server may have run the request. Only its own word proves that it did not: silence
 /// and a closed connection also come from servers that run it to the end. Of a repeated sending its
 /// word covers only what it got last.
-bool may_have_run_there(const attempt_row& attempt, attempt_failure reason)
+bool may_have_run_at_target(const attempt_row& attempt, attempt_failure reason)
 {
     const bool said_not = reason == attempt_failure::refused_did_not_run;
     return attempt.sent && (attempt.repeated || !said_not);
@@ -87,9 +87,9 @@
     row->attempt.repeated = row->attempt.sent;
     row->attempt.sent = true;
     if (row->attempt.repeated)
-        use_limit(targets.at(row->attempt.target), now);
+        consume_limit(targets.at(row->attempt.target), now);
     // The same server once more: no further server, but further load on its service.
-    if (row->attempt.repeated && settings.retry_budget && settings.charge_every_repeat)
+    if (row->attempt.repeated && settings.retry_budget && settings.charge_every_retry)
         (void)pools.at(row->terms.pool).budget.take();
 }
 
@@ -112,47 +112,47 @@
         return drop(attempt_failure::wrong_attempt);
     if (head.wrong_instance && settings.mechanisms.has(mechanism::refusal_pause))
         note_refusal(targets.at(row->attempt.target).health, now);
-    if (head.says_did_not_run || head.wrong_instance)
+    if (head.reported_not_run || head.wrong_instance)
         return drop(attempt_failure::refused_did_not_run);
     // Part of a stream has gone out under its own head. A second head, a failure's mostly, would
     // reach the caller as garbage among the events and end the stream as if it were complete.
-    if (head.whole && row->head_given)
+    if (head.buffered && row->head_delivered)
         return drop(attempt_failure::cut);
     if (!head.version.empty() && head.version != row->attempt.version)
         return drop(attempt_failure::version_changed);
-    if (is_server_trouble(head.status)) {
+    if (is_server_failure_status(head.status)) {
         pools.at(row->terms.pool).limit.note_overload();
         // What was handed on in part can't go on with an error's body; the rest is handed on as it
         // is if another sending is not allowed.
-        if (row->head_given || may_send_again(*row, attempt_failure::cut))
+        if (row->head_delivered || may_retry(*row, attempt_failure::cut))
             return drop(attempt_failure::cut);
     }
     constexpr std::uint32_t server_error = 500;
-    if (head.status == server_error && row->terms.repeat_failures && !row->head_given &&
-        may_send_again(*row, attempt_failure::cut) && pools.at(row->terms.pool).budget.has_one())
+    if (head.status == server_error && row->terms.repeat_failures && !row->head_delivered &&
+        may_retry(*row, attempt_failure::cut) && pools.at(row->terms.pool).budget.has_retry())
         return drop(attempt_failure::cut);
     note_success(targets.at(row->attempt.target).health);
-    note_heard(*row, now);
+    note_activity(*row, now);
     row->phase = request_phase::answering;
     row->attempt.last_part = now;
-    row->given_version = row->attempt.version;
-    row->head_given = true;
+    row->delivered_version = row->attempt.version;
+    row->head_delivered = true;
     if (row->terms.pool < pools.size() && pools.at(row->terms.pool).info.kind == pool_kind::plain)
         note_first_part(*row, now);
     out.emplace_back(deliver{row->info.id, row->attempt.id});
-    set_wake(*row, next_check(*row));
+    set_wake(*row, next_wake_time(*row));
 }
 
 /// A byte of an answer shows that its target is at work.
-void request_core::state::note_heard(request_row& row, time_point now)
+void request_core::state::note_activity(request_row& row, time_point now)
 {
     target_row& target = targets.at(row.attempt.target);
     target.heard = now;
     target.health.silent = false;
-    drop_pending(row);
+    clear_pending_tokens(row);
 }
 
-void request_core::state::drop_pending(request_row& row)
+void request_core::state::clear_pending_tokens(request_row& row)
 {
     target_row& target = targets.at(row.attempt.target);
     target.pending_tokens -= std::min(target.pending_tokens, row.attempt.pending_tokens);
@@ -161,9 +161,9 @@
 
 void request_core::state::note_first_part(request_row& row, time_point now)
 {
-    if (row.attempt.first_part_in || !head_comes_early(row))
+    if (row.attempt.first_part_received || !head_comes_early(row))
         return;
-    row.attempt.first_part_in = true;
+    row.attempt.first_part_received = true;
     const double took_s = seconds(now - row.attempt.started);
     pools.at(row.terms.pool).limit.note_first_token(took_s, seconds(row.terms.timeout));
     note_first_token(targets.at(row.attempt.target).health, took_s);
@@ -175,24 +175,24 @@
     if (row == nullptr)
         return;
     row->attempt.sent = true;
-    if (part.tokens > 0 && row->attempt.first_part_in && !row->attempt.waits_for_caller) {
+    if (part.tokens > 0 && row->attempt.first_part_received && !row->attempt.waits_for_caller) {
         constexpr double smoothing = 0.1;
         constexpr double ms_in_second = 1000.0;
         const double gap_ms = ms_in_second * seconds(now - row->attempt.last_part) / part.tokens;
         double& usual_ms = targets.at(row->attempt.target).health.gap_ms;
         usual_ms += smoothing * (gap_ms - usual_ms);
     }
-    note_heard(*row, now);
+    note_activity(*row, now);
     row->attempt.last_part = now;
     if (row->attempt.waits_for_caller) {
         row->attempt.waits_for_caller = false;
-        if (row->phase == request_phase::answering && row->wake > next_check(*row))
-            set_wake(*row, next_check(*row));
+        if (row->phase == request_phase::answering && row->wake > next_wake_time(*row))
+            set_wake(*row, next_wake_time(*row));
     }
     note_first_part(*row, now);
 }
 
-void request_core::state::on_waits(const attempt_waits& waiting)
+void request_core::state::on_writing_to_caller(const attempt_writing_to_caller& waiting)
 {
     request_row* row = find_attempt(waiting.request, waiting.attempt);
     if (row != nullptr && row->phase == request_phase::answering)
@@ -208,12 +208,12 @@
         return;
     }
     row->attempt.sent = true;
-    if (!finished.whole || row->phase != request_phase::answering) {
+    if (!finished.buffered || row->phase != request_phase::answering) {
         end_attempt(*row, attempt_failure::protocol, attempt_end::failed, now, out);
         return;
     }
     pools.at(row->terms.pool).note_service(seconds(now - row->attempt.started));
-    leave_target(*row);
+    release_target(*row);
     if (row->keyed)
         claims.record_ran(row->info.id, finished.answer, now);
     finish_complete(*row, out);
@@ -225,34 +225,34 @@
         end_attempt(*row, failed.reason, attempt_end::failed, now, out);
 }
 
-bool request_core::state::may_send_again(const request_row& row, attempt_failure reason) const
+bool request_core::state::may_retry(const request_row& row, attempt_failure reason) const
 {
-    const bool ran = may_have_run_there(row.attempt, reason);
+    const bool ran = may_have_run_at_target(row.attempt, reason);
     const bool may_have_run_now = row.may_have_run || ran;
     if (row.terms.most_servers > 0) {
         // Sendings that did not run use up none of the servers that it may run on.
         const std::uint32_t used = row.servers_used + (ran ? 1 : 0);
-        if (used >= row.terms.most_servers || row.retries_used >= most_sendings)
+        if (used >= row.terms.most_servers || row.retries_used >= max_retries_across_servers)
             return false;
-        if (row.head_given)
+        if (row.head_delivered)
             return row.terms.resumable;
     }
-    if (row.head_given)
+    if (row.head_delivered)
         return row.terms.resumable && row.retries_used < std::max(1U, row.terms.retries);
-    if (row.attempt.sent && !row.info.body_kept)
+    if (row.attempt.sent && !row.info.body_buffered)
         return false;
     switch (row.terms.repeat) {
     case repeat_policy::idempotent:
         if (may_have_run_now)
             return row.retries_used < row.terms.retries;
-        return row.retries_used < std::max(row.terms.retries, least_safe_retries);
+        return row.retries_used < std::max(row.terms.retries, min_safe_retries);
     case repeat_policy::keyed:
         // Without a key there is no claim, and it is as never.
         if (row.keyed)
-            return !may_have_run_now && row.retries_used < least_safe_retries;
+            return !may_have_run_now && row.retries_used < min_safe_retries;
         [[fallthrough]];
     case repeat_policy::never:
-        return !row.attempt.sent && !may_have_run_now && row.retries_used < least_safe_retries;
+        return !row.attempt.sent && !may_have_run_now && row.retries_used < min_safe_retries;
     }
     return false;
 }
@@ -260,8 +260,8 @@
 void request_core::state::end_attempt(request_row& row, attempt_failure reason, attempt_end end,
                                       time_point now, command_list& out)
 {
-    const bool again = may_send_again(row, reason);
-    if (may_have_run_there(row.attempt, reason)) {
+    const bool again = may_retry(row, reason);
+    if (may_have_run_at_target(row.attempt, reason)) {
         ++row.servers_used;
         row.may_have_run = true;
     }
@@ -269,18 +269,18 @@
     if (end == attempt_end::failed && reason != attempt_failure::refused_did_not_run &&
         reason != attempt_failure::version_changed)
         note_failure(targets.at(row.attempt.target).health);
-    const bool not_whole =
+    const bool group_incomplete =
         reason == attempt_failure::refused_did_not_run && pool.info.kind == pool_kind::model;
-    if (not_whole && settings.mechanisms.has(mechanism::refusal_pause))
+    if (group_incomplete && settings.mechanisms.has(mechanism::refusal_pause))
         note_refusal(targets.at(row.attempt.target).health, now);
-    leave_target(row);
+    release_target(row);
 
-    const bool in_time = row.head_given || now < row.deadline;
+    const bool in_time = row.head_delivered || now < row.deadline;
     if (!again || !in_time || row.caller_left) {
         finish_failed(row, error_for(reason), now, out);
         return;
     }
-    const bool charged = is_charged(row, end == attempt_end::failed && !not_whole);
+    const bool charged = is_charged_to_budget(row, end == attempt_end::failed && !group_incomplete);
     if (charged && !pool.budget.take()) {
         ++counters.retries_denied;
         finish_failed(row, error_for(reason), now, out);
@@ -296,10 +296,10 @@
 /// loss is no overload, a resumed stream is bounded by what was in flight, and a group that says it
 /// is not whole costs it nothing and gets no more for a moment: none of these is, unless every
 /// repeat is.
-bool request_core::state::is_charged(const request_row& row, bool servers_fault) const
+bool request_core::state::is_charged_to_budget(const request_row& row, bool servers_fault) const
 {
     const bool costs =
-        settings.charge_every_repeat ? row.attempt.sent : servers_fault && !row.head_given;
+        settings.charge_every_retry ? row.attempt.sent : servers_fault && !row.head_delivered;
     return settings.retry_budget && costs;
 }
 
@@ -309,12 +309,12 @@
     out.emplace_back(cancel_attempt{row.info.id, row.attempt.id, at.id, at.address, why});
 }
 
-void request_core::state::leave_target(request_row& row)
+void request_core::state::release_target(request_row& row)
 {
     if (!row.has_attempt)
         return;
     row.has_attempt = false;
-    drop_pending(row);
+    clear_pending_tokens(row);
     --targets.at(row.attempt.target).own;
     pool_row& pool = pools.at(row.terms.pool);
     pool.view.own -= pool.view.own > 0 ? 1 : 0;
@@ -340,7 +340,7 @@
     if (row.has_attempt) {
         row.may_have_run = row.may_have_run || row.attempt.sent;
         cancel(row, cancel_reason::caller_gone, out);
-        leave_target(row);
+        release_target(row);
     }
     finish_forget(row, now, out);
 }
--- a/routing/request_commands.h
+++ b/routing/request_commands.h
@@ -131,8 +131,8 @@
     };
 };
 
-/// Final answer to key_status_asked.
-struct report_key {
+/// Final answer to key_status_requested.
+struct report_key_status {
     request_id request;
     key_state state = key_state::no_record;
     std::optional<stored_answer> answer;
@@ -152,7 +152,7 @@
 };
 
 /// A leaving target has nothing of this node in flight any more.
-struct released {
+struct target_released {
     target_id target;
 };
 
@@ -176,8 +176,8 @@
 };
 
 using command = std::variant<send_attempt, deliver, cancel_attempt, complete, refuse, replay,
-                             end_truncated, forget, report_key, call_kv, grant_lease, released,
-                             target_silent, share_limit, share_demand>;
+                             end_truncated, forget, report_key_status, call_kv, grant_lease,
+                             target_released, target_silent, share_limit, share_demand>;
 using command_list = std::vector<command>;
 
 } // namespace jaynotch
--- a/routing/request_core.cc
+++ b/routing/request_core.cc
@@ -18,8 +18,7 @@
 } // namespace
 
 request_core::state::state(core_settings given, random_source source, time_point now)
-    : settings{std::move(given)}, random{source}, peers{settings.most_peers,
-                                                        settings.demand_keeping},
+    : settings{std::move(given)}, random{source}, peers{settings.max_peers, settings.demand_ttl},
       claims{settings}, limits{settings.node}, next_share{now}
 {
     // Attempts of different nodes and processes must not share an id: an engine cancels by it.
@@ -35,8 +34,8 @@
     if (settings.node.value().find('/') != std::string::npos)
         return error{error_kind::invalid_argument, "the node's name holds a '/'",
                      "choose a name without it"};
-    if (settings.most_requests == 0 || settings.most_queued_per_workspace == 0 ||
-        settings.most_claims_waiting == 0 || settings.prefix_index_entries == 0)
+    if (settings.max_requests == 0 || settings.max_queued_per_workspace == 0 ||
+        settings.max_pending_claims == 0 || settings.prefix_index_entries == 0)
         return error{error_kind::invalid_argument, "a bound of the request core is 0",
                      "set it to 1 or more"};
     return request_core{std::make_unique<state>(std::move(settings), random, now)};
@@ -49,7 +48,7 @@
 
 void request_core::handle(const event& happened, time_point now, command_list& out)
 {
-    m_state->take(happened, now, out);
+    m_state->process(happened, now, out);
 }
 
 const routing_counters& request_core::counters() const
@@ -67,7 +66,7 @@
     return m_state->limits.size();
 }
 
-bool request_core::hears(const vm_id& instance, time_point now) const
+bool request_core::responded_recently(const vm_id& instance, time_point now) const
 {
     constexpr std::chrono::milliseconds moment{400}; // longer than the pauses of a sound engine
     const target_table& targets = m_state->targets;
@@ -106,7 +105,7 @@
     return all;
 }
 
-void request_core::state::take(const event& happened, time_point now, command_list& out)
+void request_core::state::process(const event& happened, time_point now, command_list& out)
 {
     struct visitor {
         state& core;
@@ -117,11 +116,14 @@
         void operator()(const attempt_sent& e) const { core.on_sent(e, now); }
         void operator()(const attempt_head& e) const { core.on_head(e, now, out); }
         void operator()(const attempt_progress& e) const { core.on_progress(e, now); }
-        void operator()(const attempt_waits& e) const { core.on_waits(e); }
+        void operator()(const attempt_writing_to_caller& e) const { core.on_writing_to_caller(e); }
         void operator()(const attempt_finished& e) const { core.on_finished(e, now, out); }
         void operator()(const attempt_failed& e) const { core.on_failed(e, now, out); }
         void operator()(const caller_gone& e) const { core.on_caller_gone(e.request, now, out); }
-        void operator()(const key_status_asked& e) const { core.ask_key(e, now, out); }
+        void operator()(const key_status_requested& e) const
+        {
+            core.on_key_status_requested(e, now, out);
+        }
         void operator()(const kv_result& e) const { core.claims.on_kv(e.token, e.outcome, now); }
         void operator()(const lease_result& e) const
         {
@@ -139,21 +141,24 @@
             core.refresh_pools(now);
             core.dispatch_all(now, out);
         }
-        void operator()(const fleet_size_seen& e) const
+        void operator()(const fleet_size_updated& e) const
         {
             core.fleet_size = std::max<std::size_t>(1, e.nodes);
-            core.set_budgets();
+            core.update_retry_budgets();
+        }
+        void operator()(const fleet_updated& e) const { core.on_fleet_updated(e, now); }
+        void operator()(const response_limit_received& e) const
+        {
+            core.on_limit_received(e, now, out);
         }
-        void operator()(const fleet_seen& e) const { core.take_fleet(e, now); }
-        void operator()(const limit_answered& e) const { core.take_limit(e, now, out); }
-        void operator()(const limit_told& e) const { core.take_limit(e, now); }
-        void operator()(const group_broken& e) const { core.lose_group(e.group, now, out); }
+        void operator()(const peer_limit_received& e) const { core.on_limit_received(e, now); }
+        void operator()(const group_broken& e) const { core.on_group_broken(e.group, now, out); }
         void operator()(const target_leaving& e) const
         {
             core.targets.set_leaving(e.target, e.leaving, now);
             core.refresh_pools(now);
         }
-        void operator()(const load_seen& e) const
+        void operator()(const load_reported& e) const
         {
             const target_row_index row = core.targets.find(e.target);
             if (row == no_target)
@@ -164,20 +169,20 @@
             else
                 told.load.report(e.load, e.age, now);
         }
-        void operator()(const cache_events_seen& e) const { core.take_cache_events(e); }
+        void operator()(const cache_events_received& e) const { core.on_cache_events(e); }
         void operator()(const tables_installed& e) const
         {
             core.install_tables(e.tables, now, out);
         }
-        void operator()(const peer_demand_seen& e) const
+        void operator()(const peer_demand_received& e) const
         {
             core.peers.install(e.node, e.rows, now);
-            core.claims.note_seen(e.node);
+            core.claims.on_node_seen(e.node);
         }
         void operator()(const peer_left& e) const
         {
             core.peers.forget(e.node);
-            core.claims.note_left(e.node);
+            core.claims.on_node_left(e.node);
         }
         void operator()(const tick& /*e*/) const { core.run_tick(now, out); }
     };
@@ -189,12 +194,12 @@
                                std::holds_alternative<attempt_head>(happened);
     if (frees_a_place) {
         dispatch_all(now, out);
-        say_released(out);
+        emit_released(out);
     }
     if (std::holds_alternative<target_leaving>(happened) ||
         std::holds_alternative<groups_changed>(happened) ||
         std::holds_alternative<servers_changed>(happened))
-        say_released(out);
+        emit_released(out);
     // Claims wait for nobody's tick.
     run_claims(now, out);
 }
@@ -204,12 +209,12 @@
 {
     deployment = tables.deployment;
     routes = route_index{tables.routes};
-    std::erase_if(patience_by_route, [&](const auto& entry) {
+    std::erase_if(caller_timeouts_by_route, [&](const auto& entry) {
         return std::none_of(tables.routes.begin(), tables.routes.end(),
                             [&](const route& one) { return one.name.value() == entry.first; });
     });
     pools.replace(tables, settings);
-    set_budgets();
+    update_retry_budgets();
     workspaces_by_key.clear();
     workspaces_by_keys = !tables.workspaces.empty();
     for (const workspace_row& workspace : tables.workspaces) {
@@ -232,7 +237,7 @@
             out);
     }
     dispatch_all(now, out);
-    say_released(out);
+    emit_released(out);
 }
 
 void request_core::state::refresh_pools(time_point now)
@@ -262,10 +267,10 @@
         pool.refresh_all(targets, peers, fleet_size, now);
     }
     if (settings.mechanisms.has(mechanism::silence_detection))
-        find_silent(now, out);
+        detect_silent_targets(now, out);
     wake_requests(now, out);
     dispatch_all(now, out);
-    say_released(out);
+    emit_released(out);
     share_demand_if_due(now, out);
 }
 
@@ -273,7 +278,7 @@
 {
     if (now < next_share)
         return;
-    next_share = now + settings.share_interval;
+    next_share = now + settings.demand_share_interval;
     share_demand shared;
     for (pool_index index = 0; index < pools.size(); ++index) {
         const pool_row& pool = pools.at(index);
@@ -283,13 +288,13 @@
     out.emplace_back(std::move(shared));
 }
 
-void request_core::state::say_released(command_list& out)
+void request_core::state::emit_released(command_list& out)
 {
     for (target_id& id : targets.take_released())
-        out.emplace_back(released{std::move(id)});
+        out.emplace_back(target_released{std::move(id)});
 }
 
-void request_core::state::take_cache_events(const cache_events_seen& seen)
+void request_core::state::on_cache_events(const cache_events_received& seen)
 {
     const target_row_index at = targets.find(seen.target);
     if (at == no_target)
@@ -307,29 +312,29 @@
     }
 }
 
-void request_core::state::lose_group(const target_id& group, time_point now, command_list& out)
+void request_core::state::on_group_broken(const target_id& group, time_point now, command_list& out)
 {
     const target_row_index at = targets.find(group);
     if (at == no_target)
         return;
     targets.lose(at);
     refresh_pools(now);
-    move_requests(at, now, out);
-    say_released(out);
+    reroute_requests(at, now, out);
+    emit_released(out);
 }
 
 /// Sends what a lost target was to do elsewhere, as far as that may be repeated. What must not be
 /// is left to its connection: the target may still answer it.
-void request_core::state::move_requests(target_row_index from, time_point now, command_list& out)
+void request_core::state::reroute_requests(target_row_index from, time_point now, command_list& out)
 {
-    for (const request_id request : repeatable_at(from))
-        move_request(requests.at(request), cancel_reason::target_lost, now, out);
+    for (const request_id request : repeatable_requests_at(from))
+        reroute_request(requests.at(request), cancel_reason::target_lost, now, out);
 }
 
 /// A silent target may yet go on, so only what another can take over now leaves it. For the rest,
 /// waiting is the only chance that is left; the patience between two parts bounds it.
-void request_core::state::leave_silent(const pool_row& pool, target_row_index from, time_point now,
-                                       command_list& out)
+void request_core::state::reroute_from_silent(const pool_row& pool, target_row_index from,
+                                              time_point now, command_list& out)
 {
     const bool taken =
         std::any_of(pool.view.targets.begin(), pool.view.targets.end(), [&](target_row_index at) {
@@ -337,15 +342,15 @@
         });
     if (!taken)
         return;
-    for (const request_id request : repeatable_at(from)) {
+    for (const request_id request : repeatable_requests_at(from)) {
         request_row& row = requests.at(request);
-        const bool afforded = !is_charged(row, false) || pool.budget.has_one();
-        if (afforded && may_send_again(row, attempt_failure::cut))
-            move_request(row, cancel_reason::target_silent, now, out);
+        const bool afforded = !is_charged_to_budget(row, false) || pool.budget.has_retry();
+        if (afforded && may_retry(row, attempt_failure::cut))
+            reroute_request(row, cancel_reason::target_silent, now, out);
     }
 }
 
-std::vector<request_id> request_core::state::repeatable_at(target_row_index from) const
+std::vector<request_id> request_core::state::repeatable_requests_at(target_row_index from) const
 {
     std::vector<request_id> found;
     for (const auto& [request, row] : requests) {
@@ -357,8 +362,8 @@
     return found;
 }
 
-void request_core::state::move_request(request_row& row, cancel_reason why, time_point now,
-                                       command_list& out)
+void request_core::state::reroute_request(request_row& row, cancel_reason why, time_point now,
+                                          command_list& out)
 {
     cancel(row, why, out);
     end_attempt(row, attempt_failure::cut, attempt_end::group_lost, now, out);
@@ -368,7 +373,7 @@
 // knows itself broken. It shows as silence of all its streams at once, longer than the longest pass
 // of a sound engine. It gets nothing more but a request now and then to see whether it is back, and
 // what it had goes on elsewhere while callers still wait.
-void request_core::state::find_silent(time_point now, command_list& out)
+void request_core::state::detect_silent_targets(time_point now, command_list& out)
 {
     constexpr double times_usual = 4.0;
     constexpr std::chrono::milliseconds shortest{300}; // for the network and this node's own turns
@@ -400,18 +405,18 @@
             row.health.next_trial = now + trial;
             ++counters.silences;
             out.emplace_back(target_silent{row.info.id, row.info.instance});
-            leave_silent(pool, at, now, out);
+            reroute_from_silent(pool, at, now, out);
         }
     }
 }
 
 /// Each pool's part of the retries that the fleet may have: pools of one service share theirs.
-void request_core::state::set_budgets()
+void request_core::state::update_retry_budgets()
 {
     for (pool_index index = 0; index < pools.size(); ++index) {
         pool_row& pool = pools.at(index);
         double extra = settings.retry_extra;
-        if (settings.retry_extra_shared) {
+        if (settings.retry_extra_fleet_wide) {
             std::size_t sharing = 0;
             for (pool_index other = 0; other < pools.size(); ++other)
                 sharing +=
--- a/routing/request_core.h
+++ b/routing/request_core.h
@@ -30,21 +30,21 @@
     bool retry_budget = true; ///< false (baseline): plain retries
     mechanism_set mechanisms; ///< that are switched on
 
-    std::size_t most_requests = 16'384;             ///< held at once, in all
-    std::size_t most_queued_per_workspace = 1'024;  ///< of one pool and priority
-    std::size_t most_claims_waiting = 1'024;        ///< keyed calls before the claim is settled
-    std::size_t most_peers = 1'024;                 ///< nodes whose demand is kept
-    std::size_t prefix_index_entries = 65'536;      ///< block hashes with their targets
-    std::size_t largest_stored_answer = 64 * 1'024; ///< bytes of a keyed answer's body
-
-    std::chrono::milliseconds stall_timeout{5'000};  ///< between two parts of an answer
-    std::chrono::milliseconds kv_timeout{1'000};     ///< of a call on the key-value service
-    std::chrono::milliseconds claim_interval{5};     ///< between two claim transactions
-    std::chrono::milliseconds share_interval{500};   ///< between two share_demand
-    std::chrono::milliseconds demand_keeping{5'000}; ///< of a silent peer's demand
-    std::chrono::milliseconds repeat_wait{10'000};   ///< for a first call still in progress
-
-    std::chrono::milliseconds shortest_return{
+    std::size_t max_requests = 16'384;                ///< held at once, in all
+    std::size_t max_queued_per_workspace = 1'024;     ///< of one pool and priority
+    std::size_t max_pending_claims = 1'024;           ///< keyed calls before the claim is settled
+    std::size_t max_peers = 1'024;                    ///< nodes whose demand is kept
+    std::size_t prefix_index_entries = 65'536;        ///< block hashes with their targets
+    std::size_t max_stored_answer_bytes = 64 * 1'024; ///< bytes of a keyed answer's body
+
+    std::chrono::milliseconds stall_timeout{5'000};       ///< between two parts of an answer
+    std::chrono::milliseconds kv_timeout{1'000};          ///< of a call on the key-value service
+    std::chrono::milliseconds claim_interval{5};          ///< between two claim transactions
+    std::chrono::milliseconds demand_share_interval{500}; ///< between two share_demand
+    std::chrono::milliseconds demand_ttl{5'000};          ///< of a silent peer's demand
+    std::chrono::milliseconds max_repeat_wait{10'000};    ///< for a first call still in progress
+
+    std::chrono::milliseconds min_retry_after{
         1'000};                       ///< least that a refused caller is told to wait
     failure_domain_id failure_domain; ///< of this node; its targets are preferred
     /// Further sendings that one pool may have, of all nodes together: this share of its requests,
@@ -52,9 +52,9 @@
     double retry_share = 0.1;
     double retry_extra = 10.0;
     /// Whether `retry_extra` is of the whole fleet, to be split, or of each node.
-    bool retry_extra_shared = false;
+    bool retry_extra_fleet_wide = false;
     /// Charge every further sending of which a byte left, also those that cost the first nothing.
-    bool charge_every_repeat = false;
+    bool charge_every_retry = false;
 };
 
 /// What happened since the start; each counter only grows.
@@ -64,7 +64,7 @@
     std::uint64_t refused = 0;
     std::uint64_t replayed = 0;
     std::uint64_t truncated = 0;
-    std::uint64_t forgotten = 0;
+    std::uint64_t caller_disconnects = 0;
     std::uint64_t refused_early = 0;   ///< of refused: by the estimate of the wait, on arrival
     std::uint64_t refused_late = 0;    ///< of refused: by the deadline while queued
     std::uint64_t refused_limited = 0; ///< of refused: by what the servers say that they take
@@ -76,9 +76,9 @@
     std::uint64_t ejections = 0;
     std::uint64_t silences = 0; ///< times that a group gave nothing though requests waited
     std::uint64_t claim_transactions = 0;
-    std::uint64_t claims_settled = 0;
-    std::uint64_t prefix_blocks = 0;      ///< of requests sent to model pools
-    std::uint64_t prefix_blocks_held = 0; ///< of those: thought to be cached at the target chosen
+    std::uint64_t claims_resolved = 0;
+    std::uint64_t prefix_blocks = 0;        ///< of requests sent to model pools
+    std::uint64_t prefix_blocks_cached = 0; ///< of those: thought to be cached at the target chosen
 };
 
 /// How a target stands at this node, for status pages.
@@ -120,7 +120,7 @@
     /// Servers that limit the requests a second of all nodes together.
     [[nodiscard]] std::size_t limited_servers() const;
     /// Whether requests of this node at that server were answered a moment ago.
-    [[nodiscard]] bool hears(const vm_id& instance, time_point now) const;
+    [[nodiscard]] bool responded_recently(const vm_id& instance, time_point now) const;
     /// Requests that have no final command yet; 0 means that a stopping daemon may go.
     [[nodiscard]] std::size_t open_requests() const;
 
--- a/routing/request_core_test.cc
+++ b/routing/request_core_test.cc
@@ -23,7 +23,7 @@
 
 } // namespace
 
-Test(request_core, serves_a_stream_whole)
+Test(request_core, serves_a_complete_stream)
 {
     fixture world;
     const send_attempt sent = answer_head(world, world.chat(1));
@@ -37,7 +37,7 @@
 
 // A caller asks for a model nobody routes, or one whose groups are all gone. Both are told at once,
 // truthfully, that nothing ran; only the second is told to come back.
-Test(request_core, refuses_at_once_what_it_cannot_serve)
+Test(request_core, refuses_unroutable_requests_at_once)
 {
     fixture world{0};
     const command_list refused = world.chat(1);
@@ -127,7 +127,7 @@
 // A stream has begun on one group and goes on from another, which answers with a whole body: its
 // own failure, or a page of text. Written into the open stream, the caller would read the head of
 // an answer among the events. The sending has failed; a third group goes on where one is allowed.
-Test(request_core, a_whole_answer_never_completes_a_stream_that_has_begun)
+Test(request_core, a_buffered_answer_never_completes_a_started_stream)
 {
     for (const std::uint32_t status : {200U, 404U, 500U}) {
         fixture world{3};
@@ -137,7 +137,7 @@
         const send_attempt resumed = *first<send_attempt>(cut);
         world.send(attempt_sent{resumed.request, resumed.attempt});
         attempt_head head{resumed.request, resumed.attempt, status, resumed.attempt, false, "v1"};
-        head.whole = true;
+        head.buffered = true;
         const command_list answered = world.send(head);
         cr_assert_eq(count<deliver>(answered), 0, "status %u", status);
         cr_assert_eq(count<cancel_attempt>(answered), 1);
@@ -152,23 +152,23 @@
 
 // An operator takes a server out while it answers: no new request goes there from then on, the one
 // in flight is not cut, and when it ends the server is released, once.
-Test(request_core, drains_without_a_cut)
+Test(request_core, drains_without_cutting_requests)
 {
     fixture world;
     const send_attempt sent = answer_head(world, world.chat(1));
     const command_list told = world.send(target_leaving{sent.target, true});
     cr_assert_eq(count<cancel_attempt>(told), 0);
-    cr_assert_eq(count<released>(told), 0);
+    cr_assert_eq(count<target_released>(told), 0);
     for (std::uint64_t id = 2; id < 10; ++id)
         cr_assert(first<send_attempt>(world.chat(id))->target != sent.target);
     const command_list end = world.send(attempt_finished{sent.request, sent.attempt, true, {}});
     cr_assert_eq(count<complete>(end), 1);
-    cr_assert_eq(count<released>(end), 1);
-    cr_assert_eq(count<released>(world.pass(std::chrono::seconds{1})), 0);
+    cr_assert_eq(count<target_released>(end), 1);
+    cr_assert_eq(count<target_released>(world.pass(std::chrono::seconds{1})), 0);
 }
 
 // The word that a server is leaving overtakes the list that names the server. It still holds.
-Test(request_core, a_leaving_word_that_comes_first_is_kept)
+Test(request_core, a_leaving_notice_before_the_target_is_known_is_kept)
 {
     fixture world{0};
     world.send(target_leaving{target_id{"group-1"}, true});
@@ -268,7 +268,7 @@
     fixture world;
     const send_attempt sent = answer_head(world, world.chat(1));
     world.send(attempt_progress{sent.request, sent.attempt, 1});
-    world.send(attempt_waits{sent.request, sent.attempt});
+    world.send(attempt_writing_to_caller{sent.request, sent.attempt});
     cr_assert_eq(count<cancel_attempt>(world.pass(std::chrono::seconds{30})), 0);
     world.send(attempt_progress{sent.request, sent.attempt, 1});
     cr_assert_eq(count<cancel_attempt>(world.pass(std::chrono::seconds{4})), 0);
@@ -383,13 +383,13 @@
     const auto gossip = [&] {
         const command_list from_one = one.pass(std::chrono::milliseconds{510});
         const command_list from_two = two.pass(std::chrono::milliseconds{510});
-        two.send(peer_demand_seen{node_id{"entry-1"}, first<share_demand>(from_one)->rows});
-        one.send(peer_demand_seen{node_id{"entry-2"}, first<share_demand>(from_two)->rows});
+        two.send(peer_demand_received{node_id{"entry-1"}, first<share_demand>(from_one)->rows});
+        one.send(peer_demand_received{node_id{"entry-2"}, first<share_demand>(from_two)->rows});
     };
     // Each has told the other that it wants six before either sends.
     const std::vector<demand_row> six{{pool_id{"chat"}, workspace_id{"dealers"}, 0, 6}};
-    one.send(peer_demand_seen{node_id{"entry-2"}, six});
-    two.send(peer_demand_seen{node_id{"entry-1"}, six});
+    one.send(peer_demand_received{node_id{"entry-2"}, six});
+    two.send(peer_demand_received{node_id{"entry-1"}, six});
     for (std::uint64_t id = 1; id <= 6; ++id) {
         one.chat(id);
         two.chat(id);
--- a/routing/request_dispatch.cc
+++ b/routing/request_dispatch.cc
@@ -12,10 +12,10 @@
 
 namespace {
 
-constexpr std::size_t most_tried = 4;
+constexpr std::size_t max_tried_targets = 4;
 /// What is left before the deadline must be this many typical times to the first token; with less
 /// it would be worked on in vain.
-constexpr double times_typical_reserved = 2.0;
+constexpr double reserved_first_token_times = 2.0;
 
 duration from_seconds(double span)
 {
@@ -26,14 +26,15 @@
 
 void request_core::state::dispatch(pool_index index, time_point now, command_list& out)
 {
-    dispatch(index, turn::in_time, now, out);
-    dispatch(index, turn::late, now, out);
+    dispatch(index, queue_pass::in_time, now, out);
+    dispatch(index, queue_pass::late, now, out);
 }
 
-void request_core::state::dispatch(pool_index index, turn whose, time_point now, command_list& out)
+void request_core::state::dispatch(pool_index index, queue_pass pass, time_point now,
+                                   command_list& out)
 {
     const auto eligible = [&](const flow_key& flow) {
-        return flow.late == (whose == turn::late) &&
+        return flow.late == (pass == queue_pass::late) &&
                pools.at(index).below_limit(flow.workspace, settings.node);
     };
     while (pools.at(index).queue.size() > 0) {
@@ -74,7 +75,7 @@
 /// caller sees the pause.
 bool request_core::state::gives_way(const request_row& row) const
 {
-    return row.late && !row.head_given && settings.mechanisms.has(mechanism::late_gives_way);
+    return row.late && !row.head_delivered && settings.mechanisms.has(mechanism::late_gives_way);
 }
 
 double request_core::state::queue_weight(const request_row& row) const
@@ -96,9 +97,10 @@
     }
     const std::span<const std::uint64_t> blocks{
         row.info.prefix_blocks.data(), std::min(row.info.prefix_blocks.size(), most_prefix_blocks)};
-    const pick_request wanted{
-        blocks, row.terms.adapter,
-        row.head_given ? std::string_view{row.given_version} : std::string_view{}, row.tried};
+    const pick_request wanted{blocks, row.terms.adapter,
+                              row.head_delivered ? std::string_view{row.delivered_version}
+                                                 : std::string_view{},
+                              row.tried};
     const picked chosen =
         pick(targets, pool.view, pool.prefixes, settings.pick, wanted, random, now);
     if (chosen.row == no_target)
@@ -106,7 +108,7 @@
     for (const std::uint64_t block : blocks)
         pool.prefixes.note_stored(block, targets.at(chosen.row).slot(chosen.row));
     counters.prefix_blocks += blocks.size();
-    counters.prefix_blocks_held += chosen.blocks_held;
+    counters.prefix_blocks_cached += chosen.blocks_held;
     return chosen.row;
 }
 
@@ -121,7 +123,7 @@
     target_row& target = targets.at(chosen);
     if (target.own == 0)
         target.heard = now;
-    use_limit(target, now);
+    consume_limit(target, now);
     ++target.own;
     ++pool.view.own;
     ++pool.in_flight;
@@ -129,13 +131,13 @@
     pool.free = std::max(0.0, pool.free - 1.0);
 
     ++counters.attempts;
-    if (row.sendings == 0)
-        pool.budget.note_first_sending();
-    else if (row.head_given)
+    if (row.attempt_count == 0)
+        pool.budget.note_first_attempt();
+    else if (row.head_delivered)
         ++counters.resumes;
     else
         ++counters.retries;
-    ++row.sendings;
+    ++row.attempt_count;
     row.has_attempt = true;
     row.attempt = attempt_row{};
     row.attempt.id = attempt_id{next_attempt++};
@@ -161,11 +163,12 @@
     sent.repeat = row.terms.repeat;
     sent.instance = target.info.instance;
     sent.workspace = row.info.workspace;
-    sent.deadline = row.ends; // the server stops then; first events have a shorter patience
-    sent.resume = row.head_given;
+    sent.deadline =
+        row.answer_deadline; // the server stops then; first events have a shorter patience
+    sent.resume = row.head_delivered;
     sent.basis = basis_of(row, target, now);
     out.emplace_back(std::move(sent));
-    set_wake(row, next_check(row));
+    set_wake(row, next_wake_time(row));
     return true;
 }
 
@@ -177,7 +180,7 @@
         std::find(pool.view.targets.begin(), pool.view.targets.end(), row.attempt.target) -
         pool.view.targets.begin();
     pick_basis basis;
-    basis.sending = row.sendings;
+    basis.sending = row.attempt_count;
     basis.servers_used = row.servers_used;
     basis.most_servers = row.terms.most_servers;
     basis.route = row.terms.route;
@@ -201,18 +204,18 @@
 
 void request_core::state::requeue(request_row& row, time_point now)
 {
-    if (row.tried.size() < most_tried)
+    if (row.tried.size() < max_tried_targets)
         row.tried.push_back(row.attempt.target);
     row.has_attempt = false;
     row.phase = request_phase::queued;
-    if (row.head_given)
-        row.deadline = std::min(row.ends, now + settings.stall_timeout);
+    if (row.head_delivered)
+        row.deadline = std::min(row.answer_deadline, now + settings.stall_timeout);
     pool_row& pool = pools.at(row.terms.pool);
     const flow_key flow = flow_of(row);
     // At the head and free of cost: its flow has paid for it once.
     pool.queue.push_front(flow, queue_weight(row), {row.info.id, 0.0});
     ++pool.use_of(row.info.workspace, peers).queued;
-    set_wake(row, next_check(row));
+    set_wake(row, next_wake_time(row));
 }
 
 /// Moves a request that waits behind those that can still begin in time, which are worth more. It
@@ -230,7 +233,7 @@
     const queued_request waiting{row.info.id, 1.0};
     if (!pool.queue.push(flow_of(row), queue_weight(row), waiting, queue_end::front))
         pool.queue.push_front(flow_of(row), queue_weight(row), waiting);
-    set_wake(row, next_check(row));
+    set_wake(row, next_wake_time(row));
 }
 
 void request_core::state::set_wake(request_row& row, time_point at)
@@ -247,7 +250,7 @@
 }
 
 /// Between two parts of an answer.
-duration request_core::state::part_patience(const request_row& row) const
+duration request_core::state::part_timeout(const request_row& row) const
 {
     if (!pools.at(row.terms.pool).modelled())
         return settings.stall_timeout;
@@ -260,7 +263,7 @@
     return std::clamp<duration>(from_seconds(times_usual * usual_ms / 1000.0), shortest, longest);
 }
 
-duration request_core::state::head_patience(const request_row& row) const
+duration request_core::state::head_timeout(const request_row& row) const
 {
     if (pools.at(row.terms.pool).modelled()) {
         constexpr std::chrono::milliseconds modelled{1'200};
@@ -277,14 +280,14 @@
     return std::clamp<duration>(patience, shortest, settings.stall_timeout);
 }
 
-time_point request_core::state::next_check(const request_row& row) const
+time_point request_core::state::next_wake_time(const request_row& row) const
 {
     switch (row.phase) {
     case request_phase::queued: {
-        if (row.head_given)
+        if (row.head_delivered)
             return row.deadline;
         const double reserve_s =
-            times_typical_reserved * pools.at(row.terms.pool).limit.first_token_s();
+            reserved_first_token_times * pools.at(row.terms.pool).limit.first_token_s();
         const bool modelled = pools.at(row.terms.pool).modelled();
         const time_point last_chance = modelled && !row.may_have_run
                                            ? row.queue_until
@@ -292,15 +295,15 @@
         return row.late ? last_chance : std::min(last_chance, row.start_by);
     }
     case request_phase::sending:
-        if (head_comes_early(row) && may_send_again(row, attempt_failure::stalled))
-            return std::min(row.deadline, row.attempt.started + head_patience(row));
+        if (head_comes_early(row) && may_retry(row, attempt_failure::stalled))
+            return std::min(row.deadline, row.attempt.started + head_timeout(row));
         return row.deadline;
     case request_phase::answering:
         if (row.attempt.waits_for_caller)
-            return row.ends;
-        return std::min(row.ends, row.attempt.last_part + part_patience(row));
+            return row.answer_deadline;
+        return std::min(row.answer_deadline, row.attempt.last_part + part_timeout(row));
     case request_phase::claiming:
-    case request_phase::asking:
+    case request_phase::querying_key:
         break;
     }
     return row.deadline;
@@ -313,24 +316,24 @@
         wakes.erase(wakes.begin());
         const auto found = requests.find(request);
         if (found != requests.end())
-            check_time(found->second, now, out);
+            on_wake(found->second, now, out);
     }
 }
 
-void request_core::state::check_time(request_row& row, time_point now, command_list& out)
+void request_core::state::on_wake(request_row& row, time_point now, command_list& out)
 {
-    const time_point due = next_check(row);
+    const time_point due = next_wake_time(row);
     if (due > now) {
         set_wake(row, due);
         return;
     }
     switch (row.phase) {
     case request_phase::queued: {
-        if (!row.late && !row.head_given && now >= row.start_by && now < row.queue_until) {
+        if (!row.late && !row.head_delivered && now >= row.start_by && now < row.queue_until) {
             queue_as_late(row);
             return;
         }
-        if (row.head_given || row.may_have_run) {
+        if (row.head_delivered || row.may_have_run) {
             finish_failed(row,
                           {error_kind::unavailable,
                            "its backend server was lost and no other was "
@@ -350,7 +353,7 @@
     case request_phase::sending:
         if (now >= row.deadline) {
             row.may_have_run = row.may_have_run || row.attempt.sent;
-            if (now - row.attempt.started > head_patience(row)) {
+            if (now - row.attempt.started > head_timeout(row)) {
                 pools.at(row.terms.pool).limit.note_overload();
                 note_failure(targets.at(row.attempt.target).health);
             }
@@ -362,17 +365,19 @@
             return;
         }
         // Without a retry to spare the present sending is the best hope that there is.
-        if (settings.retry_budget && !row.head_given && !pools.at(row.terms.pool).budget.has_one())
-        {
-            set_wake(row, std::min(row.deadline, now + head_patience(row)));
+        if (settings.retry_budget && !row.head_delivered &&
+            !pools.at(row.terms.pool).budget.has_retry()) {
+            set_wake(row, std::min(row.deadline, now + head_timeout(row)));
             return;
         }
         cancel(row, cancel_reason::stalled, out);
         end_attempt(row, attempt_failure::stalled, attempt_end::failed, now, out);
         return;
     case request_phase::answering:
-        cancel(row, now >= row.ends ? cancel_reason::out_of_time : cancel_reason::stalled, out);
-        if (now >= row.ends) {
+        cancel(row,
+               now >= row.answer_deadline ? cancel_reason::out_of_time : cancel_reason::stalled,
+               out);
+        if (now >= row.answer_deadline) {
             row.may_have_run = true;
             finish_failed(row,
                           {error_kind::deadline_exceeded,
@@ -384,7 +389,7 @@
         }
         end_attempt(row, attempt_failure::stalled, attempt_end::failed, now, out);
         return;
-    case request_phase::asking:
+    case request_phase::querying_key:
         finish_refuse(row,
                       {error_kind::unavailable, "the record can't be read now",
                        "ask again with the same key"},
--- a/routing/request_events.h
+++ b/routing/request_events.h
@@ -69,7 +69,7 @@
     std::optional<time_point> deadline;
     bool stream = false;
     /// Whether the shell holds the whole body and can send it a second time.
-    bool body_kept = true;
+    bool body_buffered = true;
 };
 
 /// A request was read: its head, and for models and keyed calls its body.
@@ -93,10 +93,10 @@
     /// The attempt that the answer names; empty if it names none.
     std::optional<attempt_id> echoed;
     /// The backend server itself says that the request did not run (`jaynotch-ran: no`).
-    bool says_did_not_run = false;
+    bool reported_not_run = false;
     std::string version;         ///< model version that the engine names; empty if it names none
     bool wrong_instance = false; ///< another server answers at that address
-    bool whole = false;          ///< a whole answer, held by the shell, and no part of a stream
+    bool buffered = false;       ///< a whole answer, held by the shell, and no part of a stream
 };
 
 /// Part of an answer's body is in.
@@ -108,7 +108,7 @@
 
 /// A part of the answer was read from the target and is now being written to the caller. Until the
 /// attempt_progress that follows, a silence is the caller's and not the target's.
-struct attempt_waits {
+struct attempt_writing_to_caller {
     request_id request;
     attempt_id attempt;
 };
@@ -126,8 +126,8 @@
 struct attempt_finished {
     request_id request;
     attempt_id attempt;
-    bool whole = false;
-    /// Keyed calls: the answer; none if it is larger than `core_settings::largest_stored_answer`.
+    bool buffered = false;
+    /// Keyed calls: the answer; none if it is larger than `core_settings::max_stored_answer_bytes`.
     std::optional<stored_answer> answer;
 };
 
@@ -167,8 +167,8 @@
     request_id request;
 };
 
-/// A caller asks what became of a keyed call. Answered by `report_key` (or `refuse`).
-struct key_status_asked {
+/// A caller asks what became of a keyed call. Answered by `report_key_status` (or `refuse`).
+struct key_status_requested {
     request_id request; ///< chosen by the shell like a request's
     workspace_id workspace;
     std::string idempotency_key;
@@ -199,7 +199,7 @@
 };
 
 /// How many entry VMs share the budgets of retries.
-struct fleet_size_seen {
+struct fleet_size_updated {
     std::size_t nodes = 1;
 };
 
@@ -217,7 +217,7 @@
 };
 
 /// A target's load report.
-struct load_seen {
+struct load_reported {
     target_id target;
     target_load load;
     std::chrono::milliseconds age{0};
@@ -225,20 +225,20 @@
 
 /// An answer of a target came and named the requests a second that it takes of all entry VMs
 /// together, or named no limit.
-struct limit_answered {
+struct response_limit_received {
     target_id target;
     std::optional<double> per_second;
 };
 
 /// Another entry VM got such an answer, `age` ago.
-struct limit_told {
+struct peer_limit_received {
     vm_id server;
     std::optional<double> per_second;
     duration age{0};
 };
 
 /// The entry VMs that share servers' limits. About once a second, also if none has changed.
-struct fleet_seen {
+struct fleet_updated {
     std::vector<fleet_member> members;
 };
 
@@ -248,7 +248,7 @@
     bool evicted = false;     ///< else stored
 };
 
-struct cache_events_seen {
+struct cache_events_received {
     target_id target;
     std::vector<prefix_event> events;
     bool gap = false; ///< events between the last batch and this one are lost
@@ -270,7 +270,7 @@
 };
 
 /// Another entry VM's demand, by gossip; replaces what was known of that node.
-struct peer_demand_seen {
+struct peer_demand_received {
     node_id node;
     std::vector<demand_row> rows;
 };
@@ -284,10 +284,11 @@
 struct tick {};
 
 using event =
-    std::variant<request_arrived, attempt_sent, attempt_head, attempt_progress, attempt_waits,
-                 attempt_finished, attempt_failed, caller_gone, key_status_asked, kv_result,
-                 lease_result, groups_changed, servers_changed, fleet_size_seen, fleet_seen,
-                 group_broken, target_leaving, load_seen, limit_answered, limit_told,
-                 cache_events_seen, tables_installed, peer_demand_seen, peer_left, tick>;
+    std::variant<request_arrived, attempt_sent, attempt_head, attempt_progress,
+                 attempt_writing_to_caller, attempt_finished, attempt_failed, caller_gone,
+                 key_status_requested, kv_result, lease_result, groups_changed, servers_changed,
+                 fleet_size_updated, fleet_updated, group_broken, target_leaving, load_reported,
+                 response_limit_received, peer_limit_received, cache_events_received,
+                 tables_installed, peer_demand_received, peer_left, tick>;
 
 } // namespace jaynotch
--- a/routing/request_finish.cc
+++ b/routing/request_finish.cc
@@ -12,9 +12,9 @@
 void request_core::state::erase(request_row& row)
 {
     const request_id request = row.info.id;
-    leave_target(row); // whichever way it ended, its place must not stay taken
+    release_target(row); // whichever way it ended, its place must not stay taken
     wakes.erase({row.wake, request});
-    if (row.phase != request_phase::asking)
+    if (row.phase != request_phase::querying_key)
         --pools.at(row.terms.pool).requests;
     if (row.phase == request_phase::queued) {
         pool_row& pool = pools.at(row.terms.pool);
@@ -28,7 +28,7 @@
 void request_core::state::finish_complete(request_row& row, command_list& out)
 {
     if (row.caller_left) {
-        ++counters.forgotten;
+        ++counters.caller_disconnects;
         out.emplace_back(forget{row.info.id});
     }
     else {
@@ -45,7 +45,7 @@
     if (row.may_have_run)
         claims.record_unknown(row.info.id, now);
     else
-        claims.give_up(row.info.id, now);
+        claims.abandon(row.info.id, now);
 }
 
 void request_core::state::finish_refuse(request_row& row, error failure, ran_state ran,
@@ -54,7 +54,7 @@
 {
     settle_claim_on_failure(row, now);
     if (row.caller_left) {
-        ++counters.forgotten;
+        ++counters.caller_disconnects;
         out.emplace_back(forget{row.info.id});
     }
     else {
@@ -71,7 +71,7 @@
 void request_core::state::finish_failed(request_row& row, error failure, time_point now,
                                         command_list& out)
 {
-    if (!row.head_given || row.caller_left) {
+    if (!row.head_delivered || row.caller_left) {
         const ran_state ran = row.may_have_run ? ran_state::unknown : ran_state::no;
         if (ran == ran_state::unknown && row.terms.repeat != repeat_policy::idempotent) {
             failure.kind = error_kind::unknown_outcome;
@@ -102,22 +102,22 @@
 void request_core::state::finish_forget(request_row& row, time_point now, command_list& out)
 {
     settle_claim_on_failure(row, now);
-    ++counters.forgotten;
+    ++counters.caller_disconnects;
     out.emplace_back(forget{row.info.id});
     erase(row);
 }
 
-void request_core::state::finish_report(request_row& row, const claim_reported& report,
+void request_core::state::finish_report(request_row& row, const claim_status_reported& report,
                                         command_list& out)
 {
     ++counters.completed;
-    out.emplace_back(report_key{row.info.id, report.state, report.answer});
+    out.emplace_back(report_key_status{row.info.id, report.state, report.answer});
     erase(row);
 }
 
-void request_core::state::refuse_unseen(request_id request, error failure,
-                                        std::optional<std::chrono::milliseconds> after,
-                                        command_list& out)
+void request_core::state::refuse_untracked(request_id request, error failure,
+                                           std::optional<std::chrono::milliseconds> after,
+                                           command_list& out)
 {
     ++counters.refused;
     out.emplace_back(refuse{request, std::move(failure), ran_state::no, after, {}});
@@ -130,7 +130,7 @@
     constexpr double ms_in_second = 1000.0;
     const double spread_ms = wait_s * (1.0 + random.unit()) * ms_in_second;
     const std::chrono::milliseconds wait{static_cast<std::int64_t>(std::ceil(spread_ms))};
-    return std::clamp(wait, settings.shortest_return, longest);
+    return std::clamp(wait, settings.min_retry_after, longest);
 }
 
 } // namespace jaynotch
--- a/routing/account_test.cc
+++ b/routing/request_history_test.cc
@@ -1,6 +1,6 @@
 // Whole histories with an account on both sides: what backend servers ran against what callers were
 // told.
-#include "routing/history_world.h"
+#include "routing/history_simulation.h"
 
 #include <criterion/criterion.h>
 
@@ -13,7 +13,7 @@
 constexpr int callers_in_history = 60;
 
 /// Calls of all kinds over 10 s; every key is used about three times, at any node.
-void fill(history_world& world, random_source& random, int nodes)
+void add_random_calls(history_simulation& world, random_source& random, int nodes)
 {
     for (int caller = 0; caller < callers_in_history; ++caller) {
         const duration at = std::chrono::milliseconds{random.between(0, 10'000)};
@@ -33,14 +33,14 @@
     }
 }
 
-void check(const history_world& world, std::uint64_t seed)
+void check(const history_simulation& world, std::uint64_t seed)
 {
-    for (const auto& [key, runs] : world.runs_of_key)
+    for (const auto& [key, runs] : world.executions_by_key)
         cr_assert_leq(runs, 1, "seed %lu: %s ran %d times", seed, key.c_str(), runs);
     for (std::size_t number = 0; number < world.callers.size(); ++number) {
-        const caller_account& told = world.callers[number];
-        const auto found = world.runs_of_caller.find(number);
-        const int runs = found == world.runs_of_caller.end() ? 0 : found->second;
+        const caller_record& told = world.callers[number];
+        const auto found = world.executions_by_caller.find(number);
+        const int runs = found == world.executions_by_caller.end() ? 0 : found->second;
         if (told.node_died)
             cr_assert_eq(told.finals, 0, "seed %lu: an answer from the dead", seed);
         else
@@ -57,7 +57,7 @@
         }
         if (told.replayed) {
             cr_assert_eq(runs, 0, "seed %lu: replayed and run", seed);
-            cr_assert(world.answer_of_key.at(told.key) == told.answer,
+            cr_assert(world.answer_by_key.at(told.key) == told.answer,
                       "seed %lu: replay differs from what ran", seed);
             cr_assert(told.answer.starts_with("answer to " + told.body),
                       "seed %lu: replay for another body", seed);
@@ -65,18 +65,19 @@
     }
 }
 
-void run_histories(const fault_rates& faults, int nodes, std::uint64_t count, bool with_dark)
+void run_histories(const fault_rates& faults, int nodes, std::uint64_t count,
+                   bool with_store_outage)
 {
     std::size_t completed = 0;
     for (std::uint64_t seed = 1; seed <= count; ++seed) {
-        history_world world{seed, faults, nodes};
+        history_simulation world{seed, faults, nodes};
         random_source random{seed + 1'000};
-        fill(world, random, nodes);
-        if (with_dark)
-            world.dark(3s, 6s);
+        add_random_calls(world, random, nodes);
+        if (with_store_outage)
+            world.store_outage(3s, 6s);
         world.run(60s);
         check(world, seed);
-        for (const caller_account& told : world.callers)
+        for (const caller_record& told : world.callers)
             completed += told.completed ? 1 : 0;
     }
     // A world in which nothing works proves nothing.
@@ -87,44 +88,44 @@
 
 // A farmer confirms a standing order, hears nothing for a moment and presses again; the second
 // press enters by another entry VM. He must be billed once. No faults: the race alone.
-Test(account, two_entry_nodes_race_on_the_same_keys)
+Test(request_history, two_entry_nodes_race_on_the_same_keys)
 {
     run_histories({}, 2, 100, false);
 }
 
 // The same while the key-value service loses requests and replies, and lets some writes take effect
 // seconds after they were reported as failed.
-Test(account, lost_and_late_replies_of_the_store)
+Test(request_history, lost_and_delayed_store_replies)
 {
     fault_rates faults;
     faults.kv_reply_lost = 0.1;
     faults.kv_request_lost = 0.1;
-    faults.kv_late = 0.1;
+    faults.kv_delayed = 0.1;
     run_histories(faults, 2, 150, false);
 }
 
 // The same through three seconds in which the platform is dark.
-Test(account, platform_dark)
+Test(request_history, store_outage_of_three_seconds)
 {
     run_histories({}, 2, 100, true);
 }
 
 // Backend servers refuse, cut, stall, run without answering, and answer under another's name.
-Test(account, faulty_servers)
+Test(request_history, faulty_servers)
 {
     fault_rates faults;
     faults.connect_refused = 0.1;
     faults.did_not_run = 0.1;
     faults.cut_before_run = 0.05;
     faults.cut_after_run = 0.1;
-    faults.crossed = 0.05;
+    faults.wrong_attempt_id = 0.05;
     faults.stalled = 0.03;
     run_histories(faults, 2, 150, false);
 }
 
 // Entry VMs pause for up to 15 s at any point, a claim's reply or a connection just made included,
 // and go on as if nothing had happened; others die and come back empty; callers hang up.
-Test(account, paused_and_dying_entry_nodes)
+Test(request_history, paused_and_dying_entry_nodes)
 {
     fault_rates faults;
     faults.node_pauses = 0.05;
@@ -136,27 +137,27 @@
 // Servers that can't be reached make many calls give their claims up while replies of the store are
 // lost. A deletion that took effect unseen is repeated after somebody else has claimed the key; it
 // must not delete the new claim, under which a call may be running.
-Test(account, claims_given_up_while_replies_are_lost)
+Test(request_history, claims_given_up_while_replies_are_lost)
 {
     fault_rates faults;
     faults.kv_reply_lost = 0.3;
-    faults.kv_late = 0.1;
+    faults.kv_delayed = 0.1;
     faults.connect_refused = 0.6;
     run_histories(faults, 3, 300, false);
 }
 
 // All of it at once.
-Test(account, everything_at_once)
+Test(request_history, everything_at_once)
 {
     fault_rates faults;
     faults.kv_reply_lost = 0.05;
     faults.kv_request_lost = 0.05;
-    faults.kv_late = 0.05;
+    faults.kv_delayed = 0.05;
     faults.connect_refused = 0.05;
     faults.did_not_run = 0.05;
     faults.cut_before_run = 0.03;
     faults.cut_after_run = 0.05;
-    faults.crossed = 0.03;
+    faults.wrong_attempt_id = 0.03;
     faults.stalled = 0.02;
     faults.caller_leaves = 0.05;
     faults.node_pauses = 0.03;
--- a/routing/request_limits.cc
+++ b/routing/request_limits.cc
@@ -17,8 +17,8 @@
 
 } // namespace
 
-void request_core::state::take_limit(const limit_answered& answered, time_point now,
-                                     command_list& out)
+void request_core::state::on_limit_received(const response_limit_received& answered, time_point now,
+                                            command_list& out)
 {
     const target_row_index at = targets.find(answered.target);
     if (at == no_target || targets.at(at).info.instance.value().empty())
@@ -33,7 +33,7 @@
     out.emplace_back(share_limit{server, answered.per_second, share});
 }
 
-void request_core::state::take_limit(const limit_told& told, time_point now)
+void request_core::state::on_limit_received(const peer_limit_received& told, time_point now)
 {
     const target_row_index at = targets.find_instance(told.server);
     const failure_domain_id where =
@@ -41,7 +41,7 @@
     limits.told(told.server, where, told.per_second, now - told.age, now);
 }
 
-void request_core::state::use_limit(target_row& target, time_point now)
+void request_core::state::consume_limit(target_row& target, time_point now)
 {
     if (limits.empty())
         return;
@@ -49,9 +49,9 @@
     target.limit_used_up = !limits.may_send(target.info.instance, now);
 }
 
-void request_core::state::take_fleet(const fleet_seen& seen, time_point now)
+void request_core::state::on_fleet_updated(const fleet_updated& seen, time_point now)
 {
-    limits.fleet_seen(seen.members, now);
+    limits.fleet_updated(seen.members, now);
     const auto known = [&](const vm_id& server) {
         return targets.find_instance(server) != no_target;
     };
@@ -97,7 +97,7 @@
 bool request_core::state::refuse_limited(request_row& row, time_point now, command_list& out)
 {
     const duration wait = limit_wait(pools.at(row.terms.pool), now);
-    if (wait == duration{0} || seconds(wait) <= most_queued_part * seconds(row.deadline - now))
+    if (wait == duration{0} || seconds(wait) <= max_queued_fraction * seconds(row.deadline - now))
         return false;
     ++counters.refused_limited;
     row.keyed = false; // nothing is claimed yet
--- a/routing/request_limits_test.cc
+++ b/routing/request_limits_test.cc
@@ -30,7 +30,7 @@
         std::optional<double> named;
         if (limit != limits.end())
             named = limit->second;
-        here.send(limit_answered{order.target, named});
+        here.send(response_limit_received{order.target, named});
         here.begin(order);
         answer(here, here.send(attempt_finished{order.request, order.attempt, {}}));
     }
@@ -48,9 +48,9 @@
     return all.got;
 }
 
-void see_fleet(world& here, std::size_t nodes)
+void set_fleet(world& here, std::size_t nodes)
 {
-    fleet_seen seen;
+    fleet_updated seen;
     seen.members.push_back({node_id{"entry-1"}, {}, true});
     for (std::size_t index = 1; index < nodes; ++index)
         seen.members.push_back({node_id{"other-" + std::to_string(index)}, {}, true});
@@ -60,10 +60,10 @@
 } // namespace
 
 // Guards against a limited server that gets its usual part of the requests, or none.
-Test(request_limits, what_a_limited_server_does_not_take_goes_to_the_others)
+Test(request_limits, excess_over_a_server_limit_goes_to_other_servers)
 {
     world here{3};
-    see_fleet(here, 2);
+    set_fleet(here, 2);
     const auto sent = serve(here, 20s, 30, {{"g1", 2.0}});
     cr_assert_leq(sent.at("g1"), 25, "half of 2 a second, and what was sent before it said so");
     cr_assert_geq(sent.at("g1"), 12);
@@ -71,10 +71,10 @@
 }
 
 // Guards against requests that wait for a server whose limit leaves this node no part.
-Test(request_limits, a_node_without_a_part_refuses_at_once)
+Test(request_limits, a_node_without_a_share_refuses_at_once)
 {
     world here{1};
-    see_fleet(here, 60);
+    set_fleet(here, 60);
     servers all{{{"g1", 0.3}}, {}};
     int refused = 0;
     for (int round = 0; round < 40; ++round) {
@@ -92,23 +92,23 @@
 }
 
 // Guards against a server that stays limited though its answers no longer say so.
-Test(request_limits, a_server_that_names_no_limit_any_more_is_used_as_before)
+Test(request_limits, a_lifted_limit_restores_normal_use)
 {
     world here{1};
-    see_fleet(here, 2);
+    set_fleet(here, 2);
     (void)serve(here, 5s, 10, {{"g1", 1.0}});
     const auto sent = serve(here, 20s, 10, {});
     cr_assert_geq(sent.at("g1"), 150);
 }
 
 // Guards against a peer's word on a limit that is not kept to.
-Test(request_limits, a_limit_told_by_a_peer_holds)
+Test(request_limits, a_limit_reported_by_a_peer_holds)
 {
     world here{1};
-    see_fleet(here, 2);
-    here.send(limit_told{vm_id{"i-1"}, 2.0, 100ms});
+    set_fleet(here, 2);
+    here.send(peer_limit_received{vm_id{"i-1"}, 2.0, 100ms});
     const auto sent = serve(here, 10s, 20, {{"g1", 2.0}});
     cr_assert_leq(sent.at("g1"), 12);
-    here.send(limit_told{vm_id{"i-1"}, std::nullopt, 0ms});
+    here.send(peer_limit_received{vm_id{"i-1"}, std::nullopt, 0ms});
     cr_assert_eq(here.core.limited_servers(), 0U);
 }
--- a/routing/retry_budget.h
+++ b/routing/retry_budget.h
@@ -13,20 +13,20 @@
 public:
     /// Retries per first sending, in the long run, and how many are saved up at most; the latter is
     /// also what a quiet pool has for its first failure.
-    void set(double share, double most_saved)
+    void set(double share, double max_saved)
     {
         m_share = share;
-        m_saved = m_set ? std::min(m_saved, most_saved) : most_saved;
-        m_most_saved = most_saved;
+        m_saved = m_set ? std::min(m_saved, max_saved) : max_saved;
+        m_max_saved = max_saved;
         m_set = true;
     }
-    void note_first_sending() { m_saved = std::min(m_most_saved, m_saved + m_share); }
-    [[nodiscard]] bool has_one() const { return m_saved >= 1.0; }
+    void note_first_attempt() { m_saved = std::min(m_max_saved, m_saved + m_share); }
+    [[nodiscard]] bool has_retry() const { return m_saved >= 1.0; }
     [[nodiscard]] double left() const { return m_saved; }
     /// True, and one retry less, if there is one.
     bool take()
     {
-        if (!has_one())
+        if (!has_retry())
             return false;
         m_saved -= 1.0;
         return true;
@@ -34,7 +34,7 @@
 
 private:
     double m_share = 0.1;
-    double m_most_saved = 10.0;
+    double m_max_saved = 10.0;
     double m_saved = 10.0;
     bool m_set = false;
 };
--- a/routing/routing_bench.cc
+++ b/routing/routing_bench.cc
@@ -107,7 +107,7 @@
     random_source random{3};
     command_list out;
     for (std::int64_t peer = 0; peer < state.range(1); ++peer) {
-        peer_demand_seen seen{node_id{"peer-" + std::to_string(peer)}, {}};
+        peer_demand_received seen{node_id{"peer-" + std::to_string(peer)}, {}};
         for (int workspace = 0; workspace < 10; ++workspace)
             seen.rows.push_back(
                 {pool_id{"chat"}, workspace_id{"workspace-" + std::to_string(workspace)}, 2, 0});
@@ -134,7 +134,7 @@
     }
     world.send(groups_changed{groups});
     for (const target& one : groups)
-        world.send(load_seen{one.id, {3, 0, 0.0}, {}});
+        world.send(load_reported{one.id, {3, 0, 0.0}, {}});
     command_list out;
     for (auto step : state) {
         (void)step;
--- a/routing/servers_limit_test.cc
+++ b/routing/servers_limit_test.cc
@@ -73,7 +73,7 @@
             return m_world.send(attempt_progress{order.request, order.attempt, 1});
         case step::refused: {
             attempt_head refusal = head_of(order, unavailable);
-            refusal.says_did_not_run = true;
+            refusal.reported_not_run = true;
             return m_world.send(refusal);
         }
         case step::failure:
