--- a/routing/claim_record.cc
+++ b/routing/claim_record.cc
@@ -1,4 +1,5 @@
-// The body of a stored answer may hold any bytes, which JSON text can't; it goes in as base64.
+// JSON encoding of claim records. The body of a stored answer may hold arbitrary bytes, which JSON
+// text can't represent, so it is encoded as base64.
 #include "routing/claim_record.h"
 
 #include <boost/json.hpp>
@@ -9,8 +10,8 @@
 
 error malformed()
 {
-    return {error_kind::protocol, "a claim record can't be read",
-            "look at the key in the key-value service; something else writes under claim/"};
+    return {error_kind::protocol, "malformed claim record",
+            "inspect the key in the key-value service; another program writes under claim/"};
 }
 
 std::optional<std::string> text_field(const boost::json::object& record, std::string_view name)
@@ -83,7 +84,7 @@
                       std::string_view idempotency_key)
 {
     std::string named{workspace.value()};
-    named += '\0'; // neither part can hold it, so no two pairs make the same text
+    named += '\0'; // neither part can contain it, so different pairs give different texts
     named += idempotency_key;
     std::string key = "/jaynotch/";
     key += deployment;
--- a/routing/claim_record.h
+++ b/routing/claim_record.h
@@ -1,5 +1,5 @@
-// What the key-value service holds for a keyed call: who claimed it, for which body, and what came
-// of it. JSON, so that an operator can read it with any client of the service.
+// Record of a keyed call in the key-value service: its claimant, the digest of its body, and its
+// outcome. Stored as JSON, so that an operator can read it with any client of the service.
 #pragma once
 
 #include "routing/request_events.h"
@@ -9,11 +9,11 @@
 
 namespace jaynotch {
 
-/// How far a keyed call has come.
+/// State of a keyed call.
 enum class claim_progress {
-    claimed, ///< its creator may send it, may be sending it, or has died
-    ran,     ///< it ran; the answer is here unless it was too large
-    unknown, ///< it was sent and its outcome is lost
+    claimed, ///< its creator may send it, may have sent it, or has died
+    ran,     ///< it ran; the answer is in the record unless it was too large
+    unknown, ///< it was sent, and its outcome is unknown
 };
 
 template <>
@@ -27,7 +27,7 @@
 
 /// Value of `claim/<key digest>`.
 struct claim_record {
-    std::string claimant; ///< "node/incarnation/number", unlike any other claim's
+    std::string claimant; ///< "node/incarnation/number", unique to this claim
     std::string body_digest;
     claim_progress progress = claim_progress::claimed;
     std::optional<stored_answer> answer;
@@ -37,10 +37,11 @@
 
 std::string to_json(const claim_record& record);
 
-/// Refuses with error_kind::protocol what is not a claim record.
+/// Fails with error_kind::protocol if `text` is not a claim record.
 result<claim_record> parse_claim_record(std::string_view text);
 
-/// The key of a call: `/jaynotch/<deployment>/claim/<digest of workspace and idempotency key>`.
+/// Key of a call's record:
+/// `/jaynotch/<deployment>/claim/<digest of workspace and idempotency key>`.
 std::string claim_key(std::string_view deployment, const workspace_id& workspace,
                       std::string_view idempotency_key);
 
--- a/routing/claim_record_fuzz.cc
+++ b/routing/claim_record_fuzz.cc
@@ -1,4 +1,5 @@
-// The value of a claim key may have been written by anybody who has the key-value service's key.
+// Parses claim records. Anyone with write access to the key-value service can store arbitrary bytes
+// under a claim key.
 #include "routing/claim_record.h"
 
 #include <cstdlib>
@@ -9,7 +10,7 @@
     const auto parsed = jaynotch::parse_claim_record(text);
     if (!parsed)
         return 0;
-    // What parses must come back the same from its own text.
+    // A parsed record must survive a round trip through its JSON text.
     const auto again = jaynotch::parse_claim_record(jaynotch::to_json(parsed.value()));
     if (!again || !(again.value() == parsed.value()))
         std::abort();
--- a/routing/refusal_test.cc
+++ b/routing/refusal_test.cc
@@ -36,7 +36,7 @@
         attempt_finished finished;
         finished.request = order.request;
         finished.attempt = order.attempt;
-        finished.buffered = true;
+        finished.complete = true;
         place.send(finished);
         return true;
     }
--- a/routing/request_attempt.cc
+++ b/routing/request_attempt.cc
@@ -208,7 +208,7 @@
         return;
     }
     row->attempt.sent = true;
-    if (!finished.buffered || row->phase != request_phase::answering) {
+    if (!finished.complete || row->phase != request_phase::answering) {
         end_attempt(*row, attempt_failure::protocol, attempt_end::failed, now, out);
         return;
     }
--- a/routing/request_commands.h
+++ b/routing/request_commands.h
@@ -1,63 +1,63 @@
-// What the request core tells the shell to do.
+// Commands: the outputs of the request core. The shell carries them out in order.
 #pragma once
 
 #include "routing/request_events.h"
 
 namespace jaynotch {
 
-/// What a choice of a target rested on, for the log.
+/// The inputs of a target choice, for the log.
 struct pick_basis {
-    std::uint32_t sending = 1;      ///< of this request, from 1
-    std::uint32_t servers_used = 0; ///< of `most_servers`, before this sending
-    std::uint32_t most_servers = 0; ///< that the route lets it run on; 0: as its retries allow
-    std::uint32_t own = 0;          ///< requests of this node at the target, this one not counted
-    double others = 0.0;            ///< of the other nodes, as estimated
-    std::int64_t load_age_ms = -1;  ///< since the target told its load; -1: never
+    std::uint32_t sending = 1;      ///< number of this attempt of the request, from 1
+    std::uint32_t servers_used = 0; ///< of `most_servers`, before this attempt
+    std::uint32_t most_servers = 0; ///< servers the route allows; 0: limited by its retries only
+    std::uint32_t own = 0;          ///< other requests of this node at the target
+    double others = 0.0;            ///< estimated requests of the other nodes at the target
+    std::int64_t load_age_ms = -1;  ///< since the target reported its load; -1: never
     double predicted_ms = 0.0;      ///< to the first event; 0: not predicted
-    std::size_t candidates = 0;     ///< targets of the pool at that moment
+    std::size_t candidates = 0;     ///< targets in the pool
     std::int64_t waited_ms = 0;     ///< since the request arrived
-    std::string route;              ///< that the request came by
-    std::chrono::milliseconds first_target{0}; ///< of the route, for the first event; 0: none
-    std::chrono::milliseconds gap_target{0};   ///< of the route, between two events; 0: none
+    std::string route;
+    std::chrono::milliseconds first_target{0}; ///< the route's target for the first event; 0: none
+    std::chrono::milliseconds gap_target{0};   ///< the route's target between two events; 0: none
 };
 
 /// Connect to `address` and send the request there.
 struct send_attempt {
     request_id request;
-    attempt_id attempt; ///< goes out as `jaynotch-attempt`; unlike any other node's
+    attempt_id attempt; ///< sent as `jaynotch-attempt`; unique across nodes
     target_id target;
     std::string address; ///< "ip:port"
     pool_kind kind = pool_kind::plain;
     group_id group;         ///< model pools
     fencing_number fencing; ///< model pools
-    std::string model;      ///< model pools: the name that the engine knows
+    std::string model;      ///< model pools: the engine's name for the model
     std::string version;    ///< model pools
     std::string adapter;    ///< model pools; empty for none
     priority_class priority = priority_class::standard;
     vm_id instance; ///< the only server that may run it; empty: any at the address
-    repeat_policy repeat = repeat_policy::never; ///< whether the client may send it twice
-    workspace_id workspace;                      ///< whose request it is; empty if nobody proved it
-    time_point deadline;                         ///< after it nobody waits for the answer
+    repeat_policy repeat = repeat_policy::never; ///< whether the HTTP client may resend it
+    workspace_id workspace;                      ///< of the caller; empty if not authenticated
+    time_point deadline;                         ///< latest useful end of the answer
     pick_basis basis;
-    /// Continue after the text already given to the caller, whose head has been sent.
+    /// Continue after the text already delivered to the caller, who has received the head.
     bool resume = false;
 };
 
-/// Hand the head just reported, and the body that follows, to the caller. Bytes of any other
-/// attempt of this request are dropped. After a resume only the body is handed on.
+/// Deliver the head just reported, and the body that follows, to the caller. Bytes of any other
+/// attempt of this request are dropped. After a resume only the body is delivered.
 struct deliver {
     request_id request;
     attempt_id attempt;
 };
 
-/// Why the node gives up a sending that has not ended.
+/// Why the node cancels an attempt that has not ended.
 enum class cancel_reason {
-    answer_unusable, ///< a refusal, a failure, or an answer that is not this sending's
+    answer_unusable, ///< a refusal, a failure, or an answer for another attempt
     target_lost,     ///< the group lost a member
-    target_silent,   ///< nothing of this node moves at the target
-    stalled,         ///< no byte of this answer for too long
-    out_of_time,     ///< the request's own time is over
-    caller_gone,
+    target_silent,   ///< the target sends nothing on any of this node's requests
+    stalled,         ///< no byte of this answer within the timeout
+    out_of_time,     ///< the request's deadline has passed
+    caller_gone,     ///< the caller disconnected
 };
 
 template <>
@@ -72,7 +72,7 @@
     };
 };
 
-/// Stop the attempt: close its connection, and cancel it at the engine if it was sent.
+/// Cancel the attempt: close its connection, and cancel it at the engine if it was sent.
 struct cancel_attempt {
     request_id request;
     attempt_id attempt;
@@ -81,44 +81,44 @@
     cancel_reason reason = cancel_reason::answer_unusable;
 };
 
-/// Final: the answer is whole; send its terminal mark.
+/// Final: the answer is complete; send its terminal marker.
 struct complete {
     request_id request;
 };
 
-/// Final, nothing handed on yet: answer with this error.
+/// Final, nothing delivered yet: answer with this error.
 struct refuse {
     request_id request;
     error failure;
     ran_state ran = ran_state::no;
     std::optional<std::chrono::milliseconds> retry_after;
-    std::string route; ///< that the request came by; empty if none takes it
+    std::string route; ///< of the request; empty if none matches or it was refused before routing
 };
 
-/// Final: answer with the stored outcome of an earlier call of the same key.
+/// Final: answer with the stored answer of an earlier call with the same key.
 struct replay {
     request_id request;
     stored_answer answer;
 };
 
-/// Final, part of the answer was handed on: end it so that no client takes it for whole (an error
-/// event without the terminal mark in a stream, a reset elsewhere).
+/// Final, part of the answer was delivered: end it so that no client takes it for complete (in a
+/// stream an error event without the terminal marker, otherwise a connection reset).
 struct end_truncated {
     request_id request;
     error failure;
 };
 
-/// Final, the caller is gone: free what the request holds.
+/// Final, the caller has disconnected: free the request's resources.
 struct forget {
     request_id request;
 };
 
-/// What is known of a keyed call.
+/// Status of a keyed call.
 enum class key_state {
-    no_record,   ///< never claimed, given up before it was sent, or past its keeping
-    in_progress, ///< claimed; its outcome is not in yet
+    no_record,   ///< never claimed, abandoned before it was sent, or its record has expired
+    in_progress, ///< claimed, without an outcome so far
     ran,         ///< ran; the answer is stored unless it was too large
-    unknown,     ///< sent, and its outcome is lost
+    unknown,     ///< may have run; its outcome is unknown
 };
 
 template <>
@@ -138,39 +138,39 @@
     std::optional<stored_answer> answer;
 };
 
-/// Carry out a transaction; the result comes back as kv_result with the token. A call that takes
+/// Run a transaction; its result is reported as kv_result with the same token. A call that takes
 /// longer than `core_settings::kv_timeout` is reported as an error.
 struct call_kv {
     kv_token token;
     kv_transaction transaction;
 };
 
-/// Ask the key-value service for a lease that nobody renews; answered by lease_result.
+/// Request a lease from the key-value service, which is never renewed; answered by lease_result.
 struct grant_lease {
     kv_token token;
     std::chrono::seconds ttl{0};
 };
 
-/// A leaving target has nothing of this node in flight any more.
+/// A leaving target has no requests of this node in flight any more. Issued once per departure.
 struct target_released {
     target_id target;
 };
 
-/// A group gives nothing although this node's requests wait for it: find out why.
+/// A group sends nothing although requests of this node are in flight there: investigate it.
 struct target_silent {
     target_id target;
     vm_id instance;
 };
 
-/// A server has named a limit on the requests a second of all entry VMs together, or names none any
-/// more: tell the other entry VMs.
+/// A server stated a limit on the requests per second of all entry VMs together, or no longer
+/// states one: inform the other entry VMs.
 struct share_limit {
     vm_id server;
     std::optional<double> per_second;
-    double own_share = 0.0; ///< of this node
+    double own_share = 0.0; ///< this node's part of it, requests per second
 };
 
-/// Tell the other entry VMs what this one wants.
+/// Send this node's demand to the other entry VMs.
 struct share_demand {
     std::vector<demand_row> rows;
 };
--- a/routing/request_core.h
+++ b/routing/request_core.h
@@ -1,4 +1,5 @@
-// The decision core of requests: routing, admission, picking, retries, claims and drain.
+// The request core decides about routing, admission, target selection, retries, idempotency claims
+// and draining. It does no I/O: it takes events and returns commands. See routing.h for an example.
 #pragma once
 
 #include "routing/request_commands.h"
@@ -8,7 +9,7 @@
 
 namespace jaynotch {
 
-/// How a pool's target is chosen. All but two_choices are baselines for measurements.
+/// Load-balancing policy of a pool. Policies other than two_choices are baselines for benchmarks.
 enum class pick_policy { two_choices, round_robin, least_own };
 
 template <>
@@ -20,108 +21,110 @@
     };
 };
 
-/// Bounds and timings; the defaults suit the sizes of today and of the target.
+/// Limits and timeouts. The defaults suit deployments up to the largest supported size.
 struct core_settings {
     node_id node;            ///< this entry VM
-    std::string incarnation; ///< differs each time the process starts
+    std::string incarnation; ///< unique to this run of the process
 
     pick_policy pick = pick_policy::two_choices;
-    bool admission = true;    ///< false (baseline): no queue, no refusal for load
-    bool retry_budget = true; ///< false (baseline): plain retries
-    mechanism_set mechanisms; ///< that are switched on
-
-    std::size_t max_requests = 16'384;                ///< held at once, in all
-    std::size_t max_queued_per_workspace = 1'024;     ///< of one pool and priority
-    std::size_t max_pending_claims = 1'024;           ///< keyed calls before the claim is settled
-    std::size_t max_peers = 1'024;                    ///< nodes whose demand is kept
+    bool admission = true;    ///< false (baseline): no queueing and no load shedding
+    bool retry_budget = true; ///< false (baseline): retries are not limited by a budget
+    mechanism_set mechanisms; ///< enabled optional mechanisms
+
+    std::size_t max_requests = 16'384;                ///< open requests of this node
+    std::size_t max_queued_per_workspace = 1'024;     ///< per pool and priority
+    std::size_t max_pending_claims = 1'024;           ///< keyed calls with an unresolved claim
+    std::size_t max_peers = 1'024;                    ///< nodes whose demand is stored
     std::size_t prefix_index_entries = 65'536;        ///< block hashes with their targets
-    std::size_t max_stored_answer_bytes = 64 * 1'024; ///< bytes of a keyed answer's body
+    std::size_t max_stored_answer_bytes = 64 * 1'024; ///< body size of a keyed answer
 
     std::chrono::milliseconds stall_timeout{5'000};       ///< between two parts of an answer
-    std::chrono::milliseconds kv_timeout{1'000};          ///< of a call on the key-value service
-    std::chrono::milliseconds claim_interval{5};          ///< between two claim transactions
-    std::chrono::milliseconds demand_share_interval{500}; ///< between two share_demand
-    std::chrono::milliseconds demand_ttl{5'000};          ///< of a silent peer's demand
-    std::chrono::milliseconds max_repeat_wait{10'000};    ///< for a first call still in progress
-
-    std::chrono::milliseconds min_retry_after{
-        1'000};                       ///< least that a refused caller is told to wait
-    failure_domain_id failure_domain; ///< of this node; its targets are preferred
-    /// Further sendings that one pool may have, of all nodes together: this share of its requests,
-    /// and `retry_extra` saved up.
+    std::chrono::milliseconds kv_timeout{1'000};          ///< for a call to the key-value service
+    std::chrono::milliseconds claim_interval{5};          ///< minimum between claim transactions
+    std::chrono::milliseconds demand_share_interval{500}; ///< between share_demand commands
+    std::chrono::milliseconds demand_ttl{5'000};          ///< of a peer's demand without an update
+    std::chrono::milliseconds max_repeat_wait{10'000};    ///< of a repeat for the first call
+
+    std::chrono::milliseconds min_retry_after{1'000}; ///< lower bound of Retry-After
+    failure_domain_id failure_domain;                 ///< of this node; targets in it are preferred
+    /// Retry budget of a pool: retries may be this fraction of its requests, plus a burst of up to
+    /// `retry_extra`.
     double retry_share = 0.1;
     double retry_extra = 10.0;
-    /// Whether `retry_extra` is of the whole fleet, to be split, or of each node.
+    /// True: `retry_extra` is for the whole fleet and is divided among its nodes and the pools of a
+    /// service. False: it is for each pool of each node.
     bool retry_extra_fleet_wide = false;
-    /// Charge every further sending of which a byte left, also those that cost the first nothing.
+    /// Charge the budget for every retry of an attempt of which a byte may have been sent,
+    /// including retries that are otherwise free (see request_core::state::is_charged_to_budget).
     bool charge_every_retry = false;
 };
 
-/// What happened since the start; each counter only grows.
+/// Counters since the start of the process.
 struct routing_counters {
     std::uint64_t arrived = 0;
     std::uint64_t completed = 0;
     std::uint64_t refused = 0;
     std::uint64_t replayed = 0;
     std::uint64_t truncated = 0;
-    std::uint64_t caller_disconnects = 0;
-    std::uint64_t refused_early = 0;   ///< of refused: by the estimate of the wait, on arrival
-    std::uint64_t refused_late = 0;    ///< of refused: by the deadline while queued
-    std::uint64_t refused_limited = 0; ///< of refused: by what the servers say that they take
+    std::uint64_t caller_disconnects = 0; ///< requests whose caller disconnected before the end
+    std::uint64_t refused_early = 0;      ///< of refused: on arrival, by the estimated wait
+    std::uint64_t refused_late = 0;       ///< of refused: deadline reached while queued
+    std::uint64_t refused_limited = 0;    ///< of refused: by the servers' own rate limits
     std::uint64_t attempts = 0;
     std::uint64_t retries = 0;
     std::uint64_t resumes = 0;
     std::uint64_t retries_denied = 0;  ///< by the retry budget
-    std::uint64_t answers_dropped = 0; ///< late, crossed, or of another version
+    std::uint64_t answers_dropped = 0; ///< too late, for another attempt, or of another version
     std::uint64_t ejections = 0;
-    std::uint64_t silences = 0; ///< times that a group gave nothing though requests waited
+    std::uint64_t silences = 0; ///< times a group with requests in flight was found silent
     std::uint64_t claim_transactions = 0;
     std::uint64_t claims_resolved = 0;
-    std::uint64_t prefix_blocks = 0;        ///< of requests sent to model pools
-    std::uint64_t prefix_blocks_cached = 0; ///< of those: thought to be cached at the target chosen
+    std::uint64_t prefix_blocks = 0;        ///< prompt blocks sent to model pools
+    std::uint64_t prefix_blocks_cached = 0; ///< of those: expected in the chosen target's cache
 };
 
-/// How a target stands at this node, for status pages.
+/// State of a target as seen by this node, for status pages.
 struct target_status {
     target_id target;
     pool_id pool;
-    std::uint32_t in_flight = 0; ///< of this node
-    double load = 0.0;           ///< estimate over all nodes
+    std::uint32_t in_flight = 0; ///< requests of this node
+    double load = 0.0;           ///< estimated requests of all nodes
     bool leaving = false;
     bool ejected = false;
 };
 
-/// How a pool stands at this node, for status pages.
+/// State of a pool at this node, for status pages.
 struct pool_status {
     pool_id pool;
     std::uint32_t in_flight = 0;
     std::uint32_t queued = 0;
-    std::uint32_t allowed = 0; ///< in flight, of this node, at present
-    double retries_left = 0.0; ///< of this node's part
+    std::uint32_t allowed = 0; ///< current limit on this node's requests in flight
+    double retries_left = 0.0; ///< in this node's retry budget
 };
 
 /// See routing.h for how to use it. Not thread-safe; handle() never throws for any event.
 class request_core {
 public:
-    /// Refuses settings with a bound of 0 or without a node's name.
+    /// Fails if a limit is 0, the node or incarnation is empty, or the node's name contains '/'.
     static result<request_core> create(core_settings settings, random_source random,
                                        time_point now);
     request_core(request_core&&) noexcept;
     request_core& operator=(request_core&&) noexcept;
     ~request_core();
 
-    /// Takes one event in and appends what is to be done. Events of requests or attempts that are
-    /// over are dropped (and counted, if they are answers).
+    /// Processes one event and appends the resulting commands to `out`. Events of requests or
+    /// attempts that have ended are ignored (answers among them are counted).
     void handle(const event& happened, time_point now, command_list& out);
 
     [[nodiscard]] const routing_counters& counters() const;
     [[nodiscard]] std::vector<target_status> targets() const;
     [[nodiscard]] std::vector<pool_status> pools() const;
-    /// Servers that limit the requests a second of all nodes together.
+    /// Number of servers with a limit on the requests per second of all nodes together.
     [[nodiscard]] std::size_t limited_servers() const;
-    /// Whether requests of this node at that server were answered a moment ago.
+    /// Whether this node has requests at that server and received part of an answer to one of them
+    /// within the last 400 ms.
     [[nodiscard]] bool responded_recently(const vm_id& instance, time_point now) const;
-    /// Requests that have no final command yet; 0 means that a stopping daemon may go.
+    /// Requests without a final command; at 0 a stopping daemon may exit.
     [[nodiscard]] std::size_t open_requests() const;
 
 private:
--- a/routing/request_events.h
+++ b/routing/request_events.h
@@ -1,4 +1,5 @@
-// What the shell tells the request core: one struct for each thing that can happen.
+// Events: the inputs of the request core, one struct for each kind. The shell (the I/O code around
+// the core) passes them to request_core::handle().
 #pragma once
 
 #include "base/base.h"
@@ -15,20 +16,21 @@
 
 namespace jaynotch {
 
-/// Who can be sent a request: a complete group (its id) or a plain backend server ("address:port").
+/// Destination of requests: a complete group (its id) or a plain backend server ("address:port").
 using target_id = strong_id<struct target_tag, std::string>;
 
-/// Names a call on the key-value service until its result is in; unique within one core.
+/// Matches a call to the key-value service with its result; unique within one core.
 using kv_token = strong_id<struct kv_token_tag, std::uint64_t>;
 
-/// Load as a target last reported it.
+/// Load as last reported by a target.
 struct target_load {
-    std::uint32_t running = 0; ///< requests in the engine's batch, of all entry VMs
+    std::uint32_t running = 0; ///< requests in the engine's batch, from all entry VMs
     std::uint32_t waiting = 0; ///< requests queued in the engine
-    double kv_used = 0.0;      ///< share of the KV cache in use, 0..1
+    double kv_used = 0.0;      ///< fraction of the KV cache in use, 0..1
 };
 
-/// A complete group, as the holder of its completeness ticket describes it.
+/// A complete group, as described by the holder of its completeness ticket, or a plain backend
+/// server.
 struct target {
     target_id id;
     pool_id pool;
@@ -38,82 +40,82 @@
     std::string version;
     std::vector<std::string> adapters;
     target_load load;
-    std::chrono::milliseconds load_age{0}; ///< since the engine reported it
-    bool leaving = false;                  ///< finishes what it has, gets nothing new
-    vm_id instance;                        ///< the only server that may run what is sent; or empty
-    failure_domain_id failure_domain;      ///< where it stands; empty if not known
-    std::uint32_t places = 0;              ///< requests at once; 0: as the pool says
+    std::chrono::milliseconds load_age{0}; ///< since the engine reported `load`
+    bool leaving = false;                  ///< draining: gets no new requests
+    vm_id instance;                        ///< the only server that may run the requests, or empty
+    failure_domain_id failure_domain;      ///< empty if unknown
+    std::uint32_t places = 0;              ///< max concurrent requests; 0: the pool's setting
 
     friend bool operator==(const target& a, const target& b) { return a.id == b.id; }
 };
 
-/// What the caller asks for.
+/// The caller's request.
 struct request_info {
-    request_id id; ///< chosen by the shell, never used twice
+    request_id id; ///< assigned by the shell, never reused
     request_kind kind = request_kind::plain;
-    std::string method; ///< plain requests: "GET"
-    std::string path;   ///< plain requests: path without the query
-    std::string host;   ///< plain requests: as the caller names it, in lower case, without a port
-    std::string credential; ///< key of the caller, where the tables name workspaces by keys
-    std::string model;      ///< chat and completion: as the caller names it
+    std::string method;     ///< plain requests: "GET"
+    std::string path;       ///< plain requests: path without the query
+    std::string host;       ///< plain requests: from the request, in lower case, without the port
+    std::string credential; ///< the caller's key, if the tables identify workspaces by keys
+    std::string model;      ///< chat and completion: name given by the caller
     workspace_id workspace;
     std::string idempotency_key; ///< empty for none
-    /// Digest over method, path with query, and body; needed with an idempotency key.
+    /// Digest over method, path with query, and body; required with an idempotency key.
     std::string body_digest;
     /// Chained hashes of the prompt's blocks: element i covers blocks 0..i. Only the first 64
-    /// count.
+    /// are used.
     std::vector<std::uint64_t> prefix_blocks;
     std::uint32_t prompt_tokens = 0; ///< estimate
     std::uint32_t answer_tokens = 0; ///< estimate, for example max_tokens
-    /// When the caller stops waiting for the first byte; the route's timeout bounds it too.
+    /// When the caller stops waiting for the first byte. The route's timeout applies as well.
     std::optional<time_point> deadline;
     bool stream = false;
-    /// Whether the shell holds the whole body and can send it a second time.
+    /// Whether the shell has buffered the body and can send it again.
     bool body_buffered = true;
 };
 
-/// A request was read: its head, and for models and keyed calls its body.
+/// A request was read: its headers, and for model and keyed calls its body.
 struct request_arrived {
     request_info request;
 };
 
-/// The first byte is about to leave. Report it BEFORE the write starts: a request of which a byte
-/// may have left is never called "did not run". Once more if the attempt is sent to the same server
-/// on a new connection.
+/// The first byte is about to be written. Must be reported BEFORE the write starts: a request of
+/// which a byte may have been sent is never reported as "did not run". Reported again if the
+/// attempt is resent to the same server on a new connection.
 struct attempt_sent {
     request_id request;
     attempt_id attempt;
 };
 
-/// The head of an answer is in.
+/// The head (status and headers) of an answer was received.
 struct attempt_head {
     request_id request;
     attempt_id attempt;
     std::uint32_t status = 0;
-    /// The attempt that the answer names; empty if it names none.
+    /// The attempt id that the answer carries, if any.
     std::optional<attempt_id> echoed;
-    /// The backend server itself says that the request did not run (`jaynotch-ran: no`).
+    /// The backend server reported that the request did not run (`jaynotch-ran: no`).
     bool reported_not_run = false;
-    std::string version;         ///< model version that the engine names; empty if it names none
-    bool wrong_instance = false; ///< another server answers at that address
-    bool buffered = false;       ///< a whole answer, held by the shell, and no part of a stream
+    std::string version;         ///< model version stated by the engine, or empty
+    bool wrong_instance = false; ///< a server other than target::instance answered
+    bool buffered = false;       ///< a complete answer buffered by the shell, not a stream
 };
 
-/// Part of an answer's body is in.
+/// Part of an answer's body was received.
 struct attempt_progress {
     request_id request;
     attempt_id attempt;
-    std::uint32_t tokens = 0; ///< or chunks, for plain answers
+    std::uint32_t tokens = 0; ///< chunks, for plain answers
 };
 
-/// A part of the answer was read from the target and is now being written to the caller. Until the
-/// attempt_progress that follows, a silence is the caller's and not the target's.
+/// Part of the answer was read from the target and is being written to the caller. Until the next
+/// attempt_progress, a pause is due to the caller and does not count as a stall of the target.
 struct attempt_writing_to_caller {
     request_id request;
     attempt_id attempt;
 };
 
-/// What is kept of an answer, to be given again to a repeat of a keyed call.
+/// Stored answer of a keyed call, replayed when the call is repeated.
 struct stored_answer {
     std::uint32_t status = 0;
     std::string content_type;
@@ -122,24 +124,24 @@
     friend bool operator==(const stored_answer&, const stored_answer&) = default;
 };
 
-/// The answer ended. `whole`: by its terminal mark and at its stated length.
+/// The answer ended.
 struct attempt_finished {
     request_id request;
     attempt_id attempt;
-    bool buffered = false;
-    /// Keyed calls: the answer; none if it is larger than `core_settings::max_stored_answer_bytes`.
+    bool complete = false; ///< with its terminal marker and the stated length
+    /// Keyed calls: the answer; none if it exceeds `core_settings::max_stored_answer_bytes`.
     std::optional<stored_answer> answer;
 };
 
-/// Why an attempt came to nothing.
+/// Why an attempt failed.
 enum class attempt_failure {
-    not_connected,       ///< no byte left
-    refused_did_not_run, ///< the backend server says that it did not run
-    cut,                 ///< the connection ended before the answer did
-    stalled,             ///< no byte for too long
-    protocol,            ///< the answer breaks the protocol: wrong lengths, empty 200, twice
-    wrong_attempt,       ///< the answer names another attempt
-    version_changed,     ///< the answer is of another model version or adapter
+    not_connected,       ///< no byte was sent
+    refused_did_not_run, ///< the backend server reported that the request did not run
+    cut,                 ///< the connection was closed before the answer was complete
+    stalled,             ///< no byte received within the timeout
+    protocol,            ///< protocol violation: wrong length, empty 200, second answer
+    wrong_attempt,       ///< the answer carries another attempt's id
+    version_changed,     ///< the answer is from another model version or adapter
 };
 
 template <>
@@ -155,111 +157,112 @@
     };
 };
 
-/// An attempt came to nothing. Its connection must be closed, never used again.
+/// An attempt failed. The shell must close its connection and not reuse it.
 struct attempt_failed {
     request_id request;
     attempt_id attempt;
     attempt_failure reason = attempt_failure::cut;
 };
 
-/// The caller's connection ended before its answer did.
+/// The caller's connection was closed before its answer was complete.
 struct caller_gone {
     request_id request;
 };
 
-/// A caller asks what became of a keyed call. Answered by `report_key_status` (or `refuse`).
+/// A caller asks for the status of a keyed call. Answered by `report_key_status` (or `refuse`).
 struct key_status_requested {
-    request_id request; ///< chosen by the shell like a request's
+    request_id request; ///< assigned by the shell, from the ids of requests
     workspace_id workspace;
     std::string idempotency_key;
 };
 
-/// Answer to a `call_kv`. An error means: not known whether it took effect.
+/// Result of a `call_kv`. On an error the transaction may or may not have taken effect.
 struct kv_result {
     kv_token token;
     result<kv_outcome> outcome;
 };
 
-/// Answer to a `grant_lease`.
+/// Result of a `grant_lease`.
 struct lease_result {
     kv_token token;
     result<lease_id> lease;
 };
 
-/// The complete groups, all of them; replaces what was known. A group that is not in it any more
-/// gets nothing new, and what it has goes on (see group_broken).
+/// All complete groups; replaces the previous list. A group no longer listed gets no new requests;
+/// its requests in flight continue (see group_broken).
 struct groups_changed {
     std::vector<target> groups;
 };
 
-/// The plain servers that the platform lists, all of them; replaces what was known. From then on
-/// those of the tables don't count.
+/// All plain servers listed by the platform; replaces the previous list. After the first such event
+/// the servers in the tables are ignored.
 struct servers_changed {
     std::vector<target> servers;
 };
 
-/// How many entry VMs share the budgets of retries.
+/// Number of entry VMs that share the retry budgets.
 struct fleet_size_updated {
     std::size_t nodes = 1;
 };
 
-/// A group lost a member: what it has in flight will not come; it is sent elsewhere if its route
-/// allows.
+/// A group lost a member: its requests in flight will not be answered. They are sent to another
+/// target if their routes allow it.
 struct group_broken {
     target_id group;
 };
 
-/// A target says that it is leaving (or, restarted, that it is not any more): the VM list, the
-/// server's own word or a peer. Ends in `released` once nothing of this node is in flight there.
+/// A target is leaving, according to the VM list, the server itself or a peer (or has restarted and
+/// is no longer leaving). Leads to `target_released` once no request of this node is in flight
+/// there.
 struct target_leaving {
     target_id target;
     bool leaving = true;
 };
 
-/// A target's load report.
+/// A target reported its load, `age` ago.
 struct load_reported {
     target_id target;
     target_load load;
     std::chrono::milliseconds age{0};
 };
 
-/// An answer of a target came and named the requests a second that it takes of all entry VMs
-/// together, or named no limit.
+/// An answer of a target stated its limit on the requests per second of all entry VMs together, or
+/// stated none.
 struct response_limit_received {
     target_id target;
     std::optional<double> per_second;
 };
 
-/// Another entry VM got such an answer, `age` ago.
+/// Another entry VM received such an answer (see response_limit_received), `age` ago.
 struct peer_limit_received {
     vm_id server;
     std::optional<double> per_second;
     duration age{0};
 };
 
-/// The entry VMs that share servers' limits. About once a second, also if none has changed.
+/// The entry VMs that share the servers' rate limits. Sent about once a second, changed or not.
 struct fleet_updated {
     std::vector<fleet_member> members;
 };
 
-/// One change of an engine's prefix cache. Late, with gaps, a hint.
+/// A change of an engine's prefix cache. Only a hint: it may be late, and others may be missing.
 struct prefix_event {
     std::uint64_t prefix = 0; ///< chained block hash as in request_info::prefix_blocks
-    bool evicted = false;     ///< else stored
+    bool evicted = false;     ///< false: stored
 };
 
 struct cache_events_received {
     target_id target;
     std::vector<prefix_event> events;
-    bool gap = false; ///< events between the last batch and this one are lost
+    bool gap = false; ///< events between the previous batch and this one were lost
 };
 
-/// A new configuration is in force.
+/// A new configuration takes effect.
 struct tables_installed {
     configuration tables;
 };
 
-/// How much one node wants of a pool for one workspace.
+/// Demand of one node for a pool on behalf of one workspace.
 struct demand_row {
     pool_id pool;
     workspace_id workspace;
@@ -269,18 +272,19 @@
     friend bool operator==(const demand_row&, const demand_row&) = default;
 };
 
-/// Another entry VM's demand, by gossip; replaces what was known of that node.
+/// Another entry VM's demand, received by gossip; replaces the previous demand of that node.
 struct peer_demand_received {
     node_id node;
     std::vector<demand_row> rows;
 };
 
-/// A node has left the membership; its demand is forgotten.
+/// A node has left the membership; its demand is discarded, and its unfinished claims count as of
+/// unknown outcome.
 struct peer_left {
     node_id node;
 };
 
-/// Time goes on: queues, timeouts, ejections, claims. Every 10 to 50 ms.
+/// Drives timeouts, queues, ejections and claims. Sent every 10 to 50 ms.
 struct tick {};
 
 using event =
--- a/routing/request_state.h
+++ b/routing/request_state.h
@@ -1,5 +1,5 @@
-// Inside the request core: the tables of entities and the systems that run over them. Not part of
-// the public interface.
+// Internals of the request core: its state and the functions that handle each event, grouped by the
+// source file that defines them. Not part of the public interface.
 #pragma once
 
 #include "routing/caller_timeout_estimate.h"
@@ -15,39 +15,40 @@
 
 namespace jaynotch {
 
-/// Part of the time left that may go into waiting. The estimate is a mean, and what is dispatched
-/// at the last moment misses its deadline in the engine, where its work is lost.
+/// Fraction of a request's remaining time that its estimated wait may take before it is refused.
+/// Below 1 because the estimate is a mean, and a request dispatched at the last moment misses its
+/// deadline in the engine, which wastes the engine's work.
 constexpr double max_queued_fraction = 0.5;
 
-/// Where a request stands.
+/// Phase of a request.
 enum class request_phase {
-    claiming,     ///< keyed: its claim is not settled
-    queued,       ///< waits for a place in its pool
-    sending,      ///< an attempt is on its way; no head yet
-    answering,    ///< the attempt's answer is handed on
-    querying_key, ///< a question for a key
+    claiming,     ///< keyed: waits for its claim to be resolved
+    queued,       ///< waits in its pool's queue
+    sending,      ///< an attempt is in flight; no head received
+    answering,    ///< the attempt's answer is being delivered
+    querying_key, ///< not a call but a status query for an idempotency key
 };
 
-/// The present sending of a request.
+/// The current attempt of a request.
 struct attempt_row {
     attempt_id id;
     target_row_index target = no_target;
-    bool sent = false;     ///< a byte may have left
-    bool repeated = false; ///< sent to the same server once more: the first may have run
+    bool sent = false;     ///< a byte may have been sent
+    bool repeated = false; ///< resent to the same server: the first sending may have run
     bool first_part_received = false;
-    bool waits_for_caller = false;    ///< a part is being written to a slow caller
-    std::uint32_t pending_tokens = 0; ///< of its prompt, counted at the target until a part is in
+    bool waits_for_caller = false;    ///< a part of the answer is being written to the caller
+    std::uint32_t pending_tokens = 0; ///< prompt tokens counted at the target until it answers
     time_point started;
-    time_point last_part; ///< of the answer; valid while answering
+    time_point last_part; ///< when the last part of the answer was received; valid in `answering`
     std::string version;
 };
 
-/// What of the route holds for the request even if the tables change meanwhile.
+/// The request's copy of its route's settings, so that a change of the tables does not affect it.
 struct request_terms {
     pool_index pool = 0;
     std::string route;
-    std::chrono::milliseconds first_target{0}; ///< for the first event; 0: none
-    std::chrono::milliseconds gap_target{0};   ///< between two events; 0: none
+    std::chrono::milliseconds first_target{0}; ///< latency target for the first event; 0: none
+    std::chrono::milliseconds gap_target{0};   ///< latency target between two events; 0: none
     std::string adapter;
     priority_class priority = priority_class::standard;
     repeat_policy repeat = repeat_policy::idempotent;
@@ -55,48 +56,49 @@
     std::chrono::milliseconds timeout{0};
     std::chrono::milliseconds longest_stream{0};
     std::chrono::seconds key_keeping{0};
-    bool resumable = false;         ///< a stream that was cut may go on from another target
-    bool repeat_failures = false;   ///< a server's 500 may be asked for elsewhere
-    std::uint32_t most_servers = 0; ///< that it may run on; 0: as `retries` allow
+    bool resumable = false;         ///< an interrupted stream may resume on another target
+    bool repeat_failures = false;   ///< a status 500 may be retried on another server
+    std::uint32_t most_servers = 0; ///< servers it may run on; 0: limited by `retries` only
 };
 
 struct request_row {
     request_info info;
     request_terms terms;
     request_phase phase = request_phase::queued;
-    bool keyed = false;          ///< has a claim, or is about to
-    bool may_have_run = false;   ///< some sending was cut with its outcome unknown; never unset
-    bool head_delivered = false; ///< part of an answer was handed on
-    bool caller_left = false;    ///< keyed: goes on for the record's sake
+    bool keyed = false;          ///< has a claim, or is about to make one
+    bool may_have_run = false;   ///< an attempt ended with unknown outcome; never reset
+    bool head_delivered = false; ///< the head of an answer was delivered to the caller
+    bool caller_left = false;    ///< keyed: continues without its caller to record the outcome
     bool has_attempt = false;
-    bool late =
-        false; ///< waits beyond its route's first target: those that can still meet theirs go first
-    std::string delivered_version; ///< of the answer handed on in part
+    /// Can no longer meet its route's first target: queued behind requests that still can.
+    bool late = false;
+    std::string delivered_version; ///< model version of the partly delivered answer
     std::uint32_t attempt_count = 0;
-    std::uint32_t servers_used = 0; ///< sendings that may have run
+    std::uint32_t servers_used = 0; ///< attempts that may have run
     std::uint32_t retries_used = 0;
     std::vector<target_row_index> tried;
     attempt_row attempt;
     time_point arrived;
-    time_point deadline;    ///< of the first byte, or of the resumption
-    time_point queue_until; ///< modelled pools: refused if it has not been sent by then
-    /// Sent later than this, its answer would begin later than the route's first target and be
-    /// worth less; max if the route has none.
+    time_point deadline;    ///< for the first byte, or for the resumption of a stream
+    time_point queue_until; ///< modelled pools: refused if still queued then
+    /// Latest dispatch at which the answer is expected to begin within the route's first target;
+    /// time_point::max() if the route has none.
     time_point start_by;
     time_point answer_deadline; ///< latest end of the answer
     time_point wake;
 };
 
-/// Whose turn it is in a queue.
+/// A queue is served in two passes: first the requests that can still begin in time, then the late
+/// ones.
 enum class queue_pass { in_time, late };
 
-/// An attempt's end as the core judges it; adds to the shell's reasons one of its own.
+/// Why an attempt ended: a failure reported by the shell, or the loss of its group.
 enum class attempt_end { failed, group_lost };
 
 struct request_core::state {
     state(core_settings given, random_source source, time_point now);
 
-    // request_core.cc: events of the surroundings
+    // request_core.cc: events of targets, tables, peers and time
     void process(const event& happened, time_point now, command_list& out);
     void install_tables(const configuration& tables, time_point now, command_list& out);
     void refresh_pools(time_point now);
@@ -113,7 +115,7 @@
     void detect_silent_targets(time_point now, command_list& out);
     void update_retry_budgets();
 
-    // request_limits.cc: servers that limit the requests a second of all nodes together
+    // request_limits.cc: servers that limit the requests per second of all nodes together
     void on_limit_received(const response_limit_received& answered, time_point now,
                            command_list& out);
     void on_limit_received(const peer_limit_received& told, time_point now);
@@ -121,8 +123,8 @@
     void consume_limit(target_row& target, time_point now);
     void refresh_limits(time_point now);
     bool refuse_limited(request_row& row, time_point now, command_list& out);
-    /// How long its targets' limits would keep one more request of the pool waiting; 0 if a target
-    /// has none, max() if this node has no part of any.
+    /// How long the targets' rate limits would delay one more request of the pool; 0 if some target
+    /// has no limit, max() if this node has no share of any limit.
     [[nodiscard]] duration limit_wait(const pool_row& pool, time_point now) const;
 
     // request_arrival.cc: from arrival to the queue
@@ -147,7 +149,8 @@
     void dispatch(pool_index pool, queue_pass pass, time_point now, command_list& out);
     void dispatch_all(time_point now, command_list& out);
     bool try_send(request_row& row, time_point now, command_list& out);
-    /// Whether the answer's head comes before the work is done, so that its absence says something.
+    /// Whether the head is sent before the answer is generated, so that a missing head is a sign of
+    /// a stalled target.
     [[nodiscard]] bool head_comes_early(const request_row& row) const;
     target_row_index choose_target(request_row& row, time_point now);
     [[nodiscard]] pick_basis basis_of(const request_row& row, const target_row& target,
@@ -164,7 +167,7 @@
     [[nodiscard]] duration head_timeout(const request_row& row) const;
     [[nodiscard]] duration part_timeout(const request_row& row) const;
 
-    // request_attempt.cc: what becomes of a sending
+    // request_attempt.cc: progress and end of an attempt
     request_row* find_attempt(request_id request, attempt_id attempt);
     void on_sent(const attempt_sent& sent, time_point now);
     void on_head(const attempt_head& head, time_point now, command_list& out);
@@ -183,7 +186,7 @@
     void cancel(request_row& row, cancel_reason why, command_list& out);
     void release_target(request_row& row);
 
-    // request_finish.cc: the final command, exactly one for each request
+    // request_finish.cc: the final command, exactly one per request
     void finish_complete(request_row& row, command_list& out);
     void finish_refuse(request_row& row, error failure, ran_state ran,
                        std::optional<std::chrono::milliseconds> retry_after, time_point now,
@@ -207,11 +210,11 @@
     demand_table peers;
     claim_manager claims;
     rate_limits limits;
-    bool limits_in_use = false; ///< some target may be marked by `limits`
+    bool limits_in_use = false; ///< some target_row::limit_used_up may be set
     time_point next_limit_refresh;
     std::unordered_map<std::string, caller_timeout_estimate> caller_timeouts_by_route;
     std::unordered_map<std::string, workspace_row> workspaces_by_key;
-    bool workspaces_by_keys = false; ///< callers must prove theirs
+    bool workspaces_by_keys = false; ///< callers authenticate with their workspace's key
     std::size_t fleet_size = 1;
     std::unordered_map<request_id, request_row> requests;
 
--- a/routing/retry_budget.h
+++ b/routing/retry_budget.h
@@ -1,18 +1,23 @@
-// How many retries a pool may have: a share of its first sendings, so that retries can't multiply
-// the load of a pool that fails (a retry storm). Retries of all nodes are bounded alike, since each
-// node's budget follows its own traffic; what may be saved up is set by whoever knows how many
-// nodes there are.
+// A token bucket that limits a pool's retries to a fraction of its requests, so that retries can't
+// multiply the load on a failing pool (a retry storm). Each node's budget follows its own traffic,
+// so the retries of all nodes together have the same bound. The caller chooses the capacity, which
+// has to take the number of nodes into account.
+//
+//   retry_budget budget;
+//   budget.set(0.1, 10.0);
+//   budget.note_first_attempt();
+//   if (budget.take()) ...                          // may retry
 #pragma once
 
 #include <algorithm>
 
 namespace jaynotch {
 
-/// A bucket of retries; each first sending adds a part of one.
+/// Token bucket of retries, refilled by first attempts.
 class retry_budget {
 public:
-    /// Retries per first sending, in the long run, and how many are saved up at most; the latter is
-    /// also what a quiet pool has for its first failure.
+    /// Sets the retries added per first attempt and the capacity. The bucket starts full, so a pool
+    /// with little traffic can retry its first failures.
     void set(double share, double max_saved)
     {
         m_share = share;
@@ -23,7 +28,7 @@
     void note_first_attempt() { m_saved = std::min(m_max_saved, m_saved + m_share); }
     [[nodiscard]] bool has_retry() const { return m_saved >= 1.0; }
     [[nodiscard]] double left() const { return m_saved; }
-    /// True, and one retry less, if there is one.
+    /// Takes a retry from the budget; false if there is none.
     bool take()
     {
         if (!has_retry())
