--- a/routing/modelled_test.cc
+++ b/routing/modelled_test.cc
@@ -108,8 +108,8 @@
 Test(modelled, each_node_has_guaranteed_places_in_a_full_group)
 {
     world sim{1};
-    sim.send(fleet_size_seen{4});
-    sim.send(load_seen{target_id{"g1"}, {8, 3, 0.0}, {}});
+    sim.send(fleet_size_updated{4});
+    sim.send(load_reported{target_id{"g1"}, {8, 3, 0.0}, {}});
     sim.begin(*last_command<send_attempt>(sim.submit()));
     cr_assert(last_command<send_attempt>(sim.submit()), "two of eight places are ours");
     cr_assert(!last_command<send_attempt>(sim.submit()));
@@ -121,14 +121,14 @@
 Test(modelled, a_guarantee_below_one_place_still_admits_requests)
 {
     world sim{6};
-    sim.send(fleet_size_seen{35});
+    sim.send(fleet_size_updated{35});
     for (int number = 1; number <= 6; ++number)
-        sim.send(load_seen{target_id{"g" + std::to_string(number)}, {8, 3, 0.0}, {}});
+        sim.send(load_reported{target_id{"g" + std::to_string(number)}, {8, 3, 0.0}, {}});
     const auto first = last_command<send_attempt>(sim.submit());
     cr_assert(first);
     sim.begin(*first);
     cr_assert(!last_command<send_attempt>(sim.submit()), "the rest waits for news");
-    const command_list out = sim.send(load_seen{first->target, {1, 0, 0.0}, {}});
+    const command_list out = sim.send(load_reported{first->target, {1, 0, 0.0}, {}});
     const command_list later = sim.pass(50ms);
     cr_assert(last_command<send_attempt>(out) || last_command<send_attempt>(later),
               "which it has now");
@@ -150,14 +150,15 @@
         all.back().failure_domain = failure_domain_id{number <= 6 ? "a" : "b"};
     }
     sim.send(groups_changed{all});
-    sim.send(fleet_size_seen{100});
+    sim.send(fleet_size_updated{100});
     return sim;
 }
 
 void report(modelled_world& sim, int from, int to, std::uint32_t running)
 {
     for (int number = from; number <= to; ++number)
-        sim.send(load_seen{target_id{"g" + std::to_string(number)}, {running, 0, 0.0}, report_age});
+        sim.send(
+            load_reported{target_id{"g" + std::to_string(number)}, {running, 0, 0.0}, report_age});
     sim.pass(10ms);
 }
 
@@ -172,7 +173,7 @@
         const bool there = std::stoi(order->target.value().substr(1)) > 6;
         sent += there ? 1 : 0;
         if (there && running_there)
-            sim.send(load_seen{order->target, {*running_there, 0, 0.0}, report_age});
+            sim.send(load_reported{order->target, {*running_there, 0, 0.0}, report_age});
         sim.begin(*order);
         sim.send(attempt_finished{order->request, order->attempt, {}});
     }
@@ -340,9 +341,9 @@
 {
     core_settings settings = modelled_settings();
     settings.retry_extra = 40.0;
-    settings.retry_extra_shared = true;
+    settings.retry_extra_fleet_wide = true;
     world sim{4, settings};
-    sim.send(fleet_size_seen{4});
+    sim.send(fleet_size_updated{4});
     std::size_t firsts = 0;
     std::size_t repeats = 0;
     for (int index = 0; index < 200; ++index) {
--- a/routing/overload_test.cc
+++ b/routing/overload_test.cc
@@ -35,7 +35,7 @@
     {
         for (std::size_t node = 0; node < m_parameters.parts.size(); ++node) {
             m_nodes.push_back(std::make_unique<world>(m_parameters.groups));
-            m_nodes.back()->send(fleet_size_seen{m_parameters.parts.size()});
+            m_nodes.back()->send(fleet_size_updated{m_parameters.parts.size()});
         }
     }
 
@@ -123,7 +123,7 @@
         const auto running = static_cast<std::uint32_t>(std::min(jobs.size(), places));
         const auto waiting = static_cast<std::uint32_t>(jobs.size()) - running;
         for (const job& one : begun) {
-            m_nodes[one.node]->send(load_seen{one.order.target, {running, waiting, 0.0}, {}});
+            m_nodes[one.node]->send(load_reported{one.order.target, {running, waiting, 0.0}, {}});
             handle_commands(one.node, m_nodes[one.node]->begin(one.order));
         }
     }
--- a/routing/rate_limits.h
+++ b/routing/rate_limits.h
@@ -2,7 +2,7 @@
 // entry VMs together; this class computes and enforces the share of this node.
 //
 //   rate_limits limits{self};
-//   limits.fleet_seen(members, now);                           // about once a second
+//   limits.fleet_updated(members, now);                           // about once a second
 //   if (limits.server_report(server, domain, 1.9, now)) ...    // a response named it: send to
 //   peers limits.peer_report(server, domain, 1.9, observed, now);    // received from a peer if
 //   (limits.may_send(server, now)) limits.consume(server, now);
@@ -30,7 +30,7 @@
     explicit rate_limits(node_id self);
 
     /// Updates the list of members, with or without this node.
-    void fleet_seen(const std::vector<fleet_member>& members, time_point now);
+    void fleet_updated(const std::vector<fleet_member>& members, time_point now);
     /// A response of the server named a limit in requests a second, or none. `server_domain` is the
     /// failure domain of the server. Returns true if the report has to be sent to the other nodes.
     bool server_report(const vm_id& server, const failure_domain_id& server_domain,
--- a/routing/rate_limits_test.cc
+++ b/routing/rate_limits_test.cc
@@ -185,7 +185,7 @@
                 members.push_back(
                     {other.name, other.domain, m_now - last->second < failure_detection_time});
         }
-        one.limits->fleet_seen(members, m_now);
+        one.limits->fleet_updated(members, m_now);
     }
 
     double m_per_second;
@@ -287,7 +287,7 @@
     for (int index = 0; index < 40; ++index)
         members.push_back({node_id{"node-" + std::to_string(index)}, home, true});
     vm_id refused;
-    limits.fleet_seen(members, now);
+    limits.fleet_updated(members, now);
     for (int index = 0; limits.share(refused).value_or(1.0) > 0.0; ++index) {
         refused = vm_id{"i-" + std::to_string(index)};
         limits.peer_report(refused, home, 1.0, now, now);
@@ -296,7 +296,7 @@
     cr_assert_eq(limits.wait(refused, now), duration::max());
     std::size_t trials = 0;
     for (const time_point until = now + 400s; now < until; now += 1s) {
-        limits.fleet_seen(members, now);
+        limits.fleet_updated(members, now);
         limits.tick(now);
         if (limits.may_send(refused, now)) {
             limits.consume(refused, now);
