--- a/config/store.cc
+++ b/config/store.cc
@@ -196,16 +196,16 @@
             co_return out;
         }
         if (stored.value().head_mod_revision != 0) {
-            auto base_tables =
+            auto base_configuration =
                 co_await read_base_tables(base, stored.value().head, stored.value().current, known);
-            if (!base_tables) {
-                last_error = base_tables.error();
+            if (!base_configuration) {
+                last_error = base_configuration.error();
                 if (last_error.kind == error_kind::unavailable ||
                     last_error.kind == error_kind::deadline_exceeded)
                     continue;
                 co_return last_error;
             }
-            stored.value().base = std::move(base_tables).value();
+            stored.value().base = std::move(base_configuration).value();
         }
         auto plan = plan_acceptance(m_keys, stored.value(), wanted);
         if (!plan)
