--- a/groups/fake_check.cc
+++ b/groups/fake_check.cc
@@ -90,9 +90,9 @@
     }
 }
 
-std::vector<complete_group> fake_world::complete_on(std::size_t at) const
+std::vector<complete_group> fake_world::complete_on(std::size_t node_index) const
 {
-    return m_nodes[at]->board->complete(m_now);
+    return m_nodes[node_index]->board->complete(m_now);
 }
 
 std::vector<complete_group> fake_world::complete_everywhere() const
--- a/groups/fake_registry.cc
+++ b/groups/fake_registry.cc
@@ -68,9 +68,9 @@
     chosen.self = m_peers[manager].node;
     chosen.own_domain = m_peers[manager].failure_domain;
     chosen.domain = m_peers[manager].failure_domain;
-    auto known = std::make_unique<runner_registry>();
-    formation core{chosen, *known};
-    return {std::move(known), std::move(core)};
+    auto registry = std::make_unique<runner_registry>();
+    formation core{chosen, *registry};
+    return {std::move(registry), std::move(core)};
 }
 
 void fake_registry::deliver_initial_state(std::size_t manager)
@@ -153,16 +153,16 @@
 {
     m_store_down = false;
     // The watch is re-established, and the entries that it missed are delayed like any other.
-    for (auto& [at, row] : m_delayed_entries)
-        at = std::max(at, m_now + m_entry_delay);
-    for (auto& [id, at] : m_runners) {
-        if (!at.alive) {
-            unlist(at);
+    for (auto& [due, row] : m_delayed_entries)
+        due = std::max(due, m_now + m_entry_delay);
+    for (auto& [id, target] : m_runners) {
+        if (!target.alive) {
+            unlist(target);
             continue;
         }
-        at.list_at = m_now + entries_late;
+        target.list_at = m_now + entries_late;
         // A write in flight at the outage takes effect first, even if it is outdated by now.
-        if (const auto first = std::exchange(at.pending_entry, std::nullopt))
+        if (const auto first = std::exchange(target.pending_entry, std::nullopt))
             publish_entry(*first);
     }
     publish_key();
@@ -209,9 +209,10 @@
         (due.at <= m_now ? now : later).push_back(std::move(due));
     m_due = std::move(later);
     for (const due_order& due : now) {
-        fake_runner* at = find(due.order.vm.value());
-        const bool delivered = due.carried_out && at != nullptr && at->alive && at->reachable;
-        const order_reply reply = delivered ? execute(*at, due.order) : order_reply::lost;
+        fake_runner* target = find(due.order.vm.value());
+        const bool delivered =
+            due.carried_out && target != nullptr && target->alive && target->reachable;
+        const order_reply reply = delivered ? execute(*target, due.order) : order_reply::lost;
         if (due.answered)
             deliver(due.manager, order_answered{due.order.token, due.order.vm, reply});
     }
@@ -237,11 +238,11 @@
 {
     if (!m_managers[manager].alive)
         return;
-    runner_registry& known = *m_managers[manager].known;
+    runner_registry& registry = *m_managers[manager].registry;
     if (const auto* seen = std::get_if<runner_seen>(&event))
-        known.take(seen->row, m_now);
+        registry.take(seen->row, m_now);
     else if (const auto* absent = std::get_if<runner_gone>(&event))
-        known.drop(absent->vm, m_now);
+        registry.drop(absent->vm, m_now);
     for (const formation_command& command : m_managers[manager].core.handle(event, m_now))
         carry_out(manager, command);
 }
@@ -258,13 +259,13 @@
         deliver(manager, lease_result{token, result<lease_id>{unreachable}});
     }
     else if (const auto* asked = std::get_if<ask_runner>(&command)) {
-        const fake_runner* at = find(asked->vm.value());
-        if (at != nullptr && at->alive && at->reachable)
-            deliver(manager, runner_reported{report_of(*at)});
+        const fake_runner* target = find(asked->vm.value());
+        if (target != nullptr && target->alive && target->reachable)
+            deliver(manager, runner_reported{report_of(*target)});
     }
     else if (const auto* shared = std::get_if<share_runner>(&command)) {
         for (const fake_manager& other : m_managers)
-            other.known->tell(shared->word, m_now);
+            other.registry->tell(shared->word, m_now);
     }
     else if (std::holds_alternative<ask_about_outage>(command)) {
         if (!m_store_down || peers_reach_store)
@@ -294,8 +295,9 @@
         send(manager, *order);
     }
     else if (const auto* asked = std::get_if<probe_member>(&command)) {
-        const fake_runner* at = find(asked->vm.value());
-        deliver(manager, member_probed{asked->vm, at != nullptr && at->alive && at->reachable});
+        const fake_runner* target = find(asked->vm.value());
+        deliver(manager,
+                member_probed{asked->vm, target != nullptr && target->alive && target->reachable});
     }
     else if (const auto* doubted = std::get_if<ask_peers>(&command)) {
         deliver(manager, peers_word{doubted->vm, peers_reach_runner});
@@ -313,10 +315,10 @@
         m_due.push_back({m_now + answer_wait, manager, order, true, false});
 }
 
-runner_report fake_registry::report_of(const fake_runner& at) const
+runner_report fake_registry::report_of(const fake_runner& target) const
 {
-    runner_report current{{at.row.id, at.row.born_ms, std::nullopt, {}}, 0};
-    for (const auto& [since, report] : at.reports) {
+    runner_report current{{target.row.id, target.row.born_ms, std::nullopt, {}}, 0};
+    for (const auto& [since, report] : target.reports) {
         if (since <= m_now - m_report_delay)
             current = report;
     }
@@ -324,13 +326,13 @@
 }
 
 /// Records the runner's present state as the one that its reports show from `now` on.
-void fake_registry::note_report(fake_runner& at, time_point now)
+void fake_registry::note_report(fake_runner& target, time_point now)
 {
-    at.reports.emplace_back(
-        now,
-        runner_report{{at.row.id, at.row.born_ms, at.row.group, at.row.model}, at.begun_orders});
-    while (at.reports.size() > 1 && at.reports[1].first < now - report_retention)
-        at.reports.pop_front();
+    target.reports.emplace_back(
+        now, runner_report{{target.row.id, target.row.born_ms, target.row.group, target.row.model},
+                           target.begun_orders});
+    while (target.reports.size() > 1 && target.reports[1].first < now - report_retention)
+        target.reports.pop_front();
 }
 
 void fake_registry::publish(fake_runner& changed)
@@ -378,17 +380,18 @@
 {
     return static_cast<std::size_t>(
         std::count_if(m_runners.begin(), m_runners.end(), [&](const auto& entry) {
-            const fake_runner& at = entry.second;
-            return at.alive && at.row.group && at.row.group->phase == member_phase::open &&
-                   at.row.model == model;
+            const fake_runner& target = entry.second;
+            return target.alive && target.row.group &&
+                   target.row.group->phase == member_phase::open && target.row.model == model;
         }));
 }
 
 std::string fake_registry::head_of(const std::string& model, std::size_t index) const
 {
-    for (const auto& [id, at] : m_runners) {
-        const bool head = at.alive && at.row.group && at.row.group->phase == member_phase::open &&
-                          at.row.model == model;
+    for (const auto& [id, target] : m_runners) {
+        const bool head = target.alive && target.row.group &&
+                          target.row.group->phase == member_phase::open &&
+                          target.row.model == model;
         if (head && index-- == 0)
             return id;
     }
@@ -406,15 +409,15 @@
 std::vector<std::string> fake_registry::spare() const
 {
     std::set<std::string> used;
-    for (const auto& [id, at] : m_runners) {
-        if (!at.alive || !at.row.group || at.row.group->phase != member_phase::open)
+    for (const auto& [id, target] : m_runners) {
+        if (!target.alive || !target.row.group || target.row.group->phase != member_phase::open)
             continue;
-        for (const vm_id& member : at.members)
+        for (const vm_id& member : target.members)
             used.insert(member.value());
     }
     std::vector<std::string> ids;
-    for (const auto& [id, at] : m_runners) {
-        if (at.alive && !used.contains(id))
+    for (const auto& [id, target] : m_runners) {
+        if (target.alive && !used.contains(id))
             ids.push_back(id);
     }
     return ids;
--- a/groups/fake_registry.h
+++ b/groups/fake_registry.h
@@ -127,7 +127,7 @@
         std::deque<std::pair<time_point, runner_report>> reports;
     };
     struct fake_manager {
-        std::unique_ptr<runner_registry> known;
+        std::unique_ptr<runner_registry> registry;
         formation core;
         bool alive = true;
     };
@@ -146,17 +146,17 @@
     void broadcast(const formation_event& event);
     void deliver(std::size_t manager, const formation_event& event);
     void carry_out(std::size_t manager, const formation_command& command);
-    static void note_report(fake_runner& at, time_point now);
+    static void note_report(fake_runner& target, time_point now);
     void send(std::size_t manager, const send_order& order);
-    [[nodiscard]] runner_report report_of(const fake_runner& at) const;
+    [[nodiscard]] runner_report report_of(const fake_runner& target) const;
     void publish(fake_runner& changed);
     void publish_entry(const runner& row);
     void publish_key();
-    order_reply execute(fake_runner& at, const send_order& order);
-    void count_order(fake_runner& at);
-    order_reply join(fake_runner& at, const join_group& order);
-    order_reply open(fake_runner& at, const open_group& order);
-    void advance(fake_runner& at);
+    order_reply execute(fake_runner& target, const send_order& order);
+    void count_order(fake_runner& target);
+    order_reply join(fake_runner& target, const join_group& order);
+    order_reply open(fake_runner& target, const open_group& order);
+    void advance(fake_runner& target);
     void record_violation(const std::string& what);
     fake_runner* find(const std::string& id);
 
--- a/groups/fake_runner.cc
+++ b/groups/fake_runner.cc
@@ -19,140 +19,143 @@
 
 } // namespace
 
-void fake_registry::advance(fake_runner& at)
+void fake_registry::advance(fake_runner& target)
 {
-    if (at.listed && !m_store_down && m_now >= at.unlist_at)
-        unlist(at);
-    if (!at.alive)
+    if (target.listed && !m_store_down && m_now >= target.unlist_at)
+        unlist(target);
+    if (!target.alive)
         return;
-    if (m_now >= at.list_at) {
-        at.list_at = time_point::max();
-        at.unlist_at = time_point::max();
-        at.listed = true;
-        publish(at);
+    if (m_now >= target.list_at) {
+        target.list_at = time_point::max();
+        target.unlist_at = time_point::max();
+        target.listed = true;
+        publish(target);
     }
-    if (m_now >= at.staged_at) {
-        at.staged_at = time_point::max();
-        at.row.staged = {at.staging};
-        publish(at);
+    if (m_now >= target.staged_at) {
+        target.staged_at = time_point::max();
+        target.row.staged = {target.staging};
+        publish(target);
     }
-    if (m_now >= at.joined_at) {
-        at.joined_at = time_point::max();
-        at.row.staged = {at.joining_model};
-        at.row.model = at.joining_model;
-        at.loaded_model = at.joining_model;
-        at.row.group->phase = member_phase::ready;
-        at.was_ready.insert({at.row.group->group, at.row.group->epoch});
-        publish(at);
+    if (m_now >= target.joined_at) {
+        target.joined_at = time_point::max();
+        target.row.staged = {target.joining_model};
+        target.row.model = target.joining_model;
+        target.loaded_model = target.joining_model;
+        target.row.group->phase = member_phase::ready;
+        target.was_ready.insert({target.row.group->group, target.row.group->epoch});
+        publish(target);
     }
-    if (m_now >= at.opens_at) {
-        at.opens_at = time_point::max();
-        at.row.group->phase = member_phase::open;
-        publish(at);
+    if (m_now >= target.opens_at) {
+        target.opens_at = time_point::max();
+        target.row.group->phase = member_phase::open;
+        publish(target);
     }
 }
 
-order_reply fake_registry::execute(fake_runner& at, const send_order& order)
+order_reply fake_registry::execute(fake_runner& target, const send_order& order)
 {
-    if (order.fence.value() < at.fence)
+    if (order.fence.value() < target.fence)
         return order_reply::outdated;
-    at.fence = order.fence.value();
+    target.fence = order.fence.value();
     if (const auto* wanted = std::get_if<join_group>(&order.order))
-        return join(at, *wanted);
+        return join(target, *wanted);
     if (const auto* wanted = std::get_if<open_group>(&order.order))
-        return open(at, *wanted);
+        return open(target, *wanted);
     if (const auto* wanted = std::get_if<stage_model>(&order.order)) {
-        const bool under_way = at.staging == wanted->model && at.staged_at != time_point::max();
+        const bool under_way =
+            target.staging == wanted->model && target.staged_at != time_point::max();
         if (under_way)
             return order_reply::begun;
-        at.staging = wanted->model;
-        at.staged_at = m_now + load_time(wanted->model, m_traffic);
-        ++at.begun_orders;
-        note_report(at, m_now);
+        target.staging = wanted->model;
+        target.staged_at = m_now + load_time(wanted->model, m_traffic);
+        ++target.begun_orders;
+        note_report(target, m_now);
         return order_reply::begun;
     }
     const auto named = [&](const group_id& group, std::int64_t epoch) {
-        return at.row.group && at.row.group->group == group && at.row.group->epoch == epoch;
+        return target.row.group && target.row.group->group == group &&
+               target.row.group->epoch == epoch;
     };
     if (const auto* wanted = std::get_if<leave_group>(&order.order)) {
         if (!named(wanted->group, wanted->epoch))
             return order_reply::holds;
-        at.row.group.reset();
-        at.row.model.clear();
-        at.joined_at = time_point::max();
-        at.opens_at = time_point::max();
-        count_order(at);
+        target.row.group.reset();
+        target.row.model.clear();
+        target.joined_at = time_point::max();
+        target.opens_at = time_point::max();
+        count_order(target);
         return order_reply::holds; // nothing remains to be done, but the order counts
     }
     const auto& closed = std::get<close_group>(order.order);
     if (!named(closed.group, closed.epoch))
         return order_reply::misfit;
-    at.row.group->phase = member_phase::ready; // there are no requests in flight
-    count_order(at);
+    target.row.group->phase = member_phase::ready; // there are no requests in flight
+    count_order(target);
     return order_reply::begun;
 }
 
 /// Counts an order that changes the runner's state, and publishes the new state.
-void fake_registry::count_order(fake_runner& at)
+void fake_registry::count_order(fake_runner& target)
 {
-    ++at.begun_orders;
-    publish(at);
+    ++target.begun_orders;
+    publish(target);
 }
 
-order_reply fake_registry::join(fake_runner& at, const join_group& order)
+order_reply fake_registry::join(fake_runner& target, const join_group& order)
 {
-    if (order.epoch < at.epoch)
+    if (order.epoch < target.epoch)
         return order_reply::outdated;
-    if (order.orders_before && *order.orders_before != at.begun_orders)
+    if (order.orders_before && *order.orders_before != target.begun_orders)
         return order_reply::misfit;
-    const bool same =
-        at.row.group && at.row.group->group == order.group && at.row.group->epoch == order.epoch;
+    const bool same = target.row.group && target.row.group->group == order.group &&
+                      target.row.group->epoch == order.epoch;
     if (same)
         return order_reply::holds;
-    if (at.row.group) {
+    if (target.row.group) {
         for (const auto& [id, other] : m_runners) {
             const bool head = other.alive && other.row.group && other.row.group->rank == 0 &&
-                              other.row.group->group == at.row.group->group &&
-                              other.row.group->epoch == at.row.group->epoch;
+                              other.row.group->group == target.row.group->group &&
+                              other.row.group->epoch == target.row.group->epoch;
             if (head && other.row.group->phase == member_phase::open)
-                record_violation(at.row.id.value() + " joined " + order.group.value() + " while " +
-                                 id + " served its group");
+                record_violation(target.row.id.value() + " joined " + order.group.value() +
+                                 " while " + id + " served its group");
         }
     }
-    const auto place = std::find(order.members.begin(), order.members.end(), at.row.id);
-    at.epoch = order.epoch;
-    at.members = order.members;
-    at.row.group = membership{order.group, order.epoch,
-                              static_cast<std::uint32_t>(place - order.members.begin()),
-                              member_phase::joining};
-    at.row.model.clear();
-    at.joining_model = order.model;
-    at.opens_at = time_point::max();
+    const auto place = std::find(order.members.begin(), order.members.end(), target.row.id);
+    target.epoch = order.epoch;
+    target.members = order.members;
+    target.row.group = membership{order.group, order.epoch,
+                                  static_cast<std::uint32_t>(place - order.members.begin()),
+                                  member_phase::joining};
+    target.row.model.clear();
+    target.joining_model = order.model;
+    target.opens_at = time_point::max();
     duration takes = load_time(order.model, m_traffic);
-    const bool staged =
-        std::find(at.row.staged.begin(), at.row.staged.end(), order.model) != at.row.staged.end();
+    const bool staged = std::find(target.row.staged.begin(), target.row.staged.end(),
+                                  order.model) != target.row.staged.end();
     if (staged)
         takes = 1'100ms;
-    if (at.loaded_model == order.model)
+    if (target.loaded_model == order.model)
         takes = 200ms;
-    at.joined_at = m_now + takes;
-    count_order(at);
+    target.joined_at = m_now + takes;
+    count_order(target);
     return order_reply::begun;
 }
 
-order_reply fake_registry::open(fake_runner& at, const open_group& order)
+order_reply fake_registry::open(fake_runner& target, const open_group& order)
 {
-    const bool head = at.row.group && at.row.group->group == order.group &&
-                      at.row.group->epoch == order.epoch && at.row.group->rank == 0;
-    if (head && (at.row.group->phase == member_phase::open || at.opens_at != time_point::max()))
+    const bool head = target.row.group && target.row.group->group == order.group &&
+                      target.row.group->epoch == order.epoch && target.row.group->rank == 0;
+    if (head &&
+        (target.row.group->phase == member_phase::open || target.opens_at != time_point::max()))
         return order_reply::holds;
-    if (!head || at.row.group->phase != member_phase::ready)
+    if (!head || target.row.group->phase != member_phase::ready)
         return order_reply::misfit;
-    const std::size_t size = at.row.model == "big" ? 4 : 3;
-    if (at.members.size() != size)
-        record_violation(order.group.value() + " opened with " + std::to_string(at.members.size()) +
-                         " members");
-    for (const vm_id& member : at.members) {
+    const std::size_t size = target.row.model == "big" ? 4 : 3;
+    if (target.members.size() != size)
+        record_violation(order.group.value() + " opened with " +
+                         std::to_string(target.members.size()) + " members");
+    for (const vm_id& member : target.members) {
         const fake_runner* other = find(member.value());
         // Only live members are checked, as a member may be lost after it has been ready.
         const bool was_ready =
@@ -161,9 +164,9 @@
             record_violation(order.group.value() + " opened before " + member.value() +
                              " was ready");
     }
-    at.opens_at = m_now + 300ms;
-    ++at.begun_orders;
-    note_report(at, m_now);
+    target.opens_at = m_now + 300ms;
+    ++target.begun_orders;
+    note_report(target, m_now);
     return order_reply::begun;
 }
 
--- a/groups/fake_world.cc
+++ b/groups/fake_world.cc
@@ -69,33 +69,35 @@
     }
 }
 
-void fake_world::deliver(std::size_t at, const manager_event& event, std::size_t domain)
+void fake_world::deliver(std::size_t node_index, const manager_event& event, std::size_t domain)
 {
-    node& to = *m_nodes[at];
+    node& to = *m_nodes[node_index];
     if (m_now < to.paused_until) {
-        to.deferred.emplace_back([this, at, event, domain] { deliver(at, event, domain); });
+        to.deferred.emplace_back(
+            [this, node_index, event, domain] { deliver(node_index, event, domain); });
         return;
     }
     for (const manager_command& command : to.managers[domain].handle(event, m_now))
-        execute(at, domain, command);
+        execute(node_index, domain, command);
 }
 
-void fake_world::deliver_to_board(std::size_t at, const board_event& event)
+void fake_world::deliver_to_board(std::size_t node_index, const board_event& event)
 {
-    node& to = *m_nodes[at];
+    node& to = *m_nodes[node_index];
     if (m_now < to.paused_until) {
-        to.deferred.emplace_back([this, at, event] { deliver_to_board(at, event); });
+        to.deferred.emplace_back(
+            [this, node_index, event] { deliver_to_board(node_index, event); });
         return;
     }
     for (const board_command& command : to.board->handle(event, m_now))
-        execute(at, command);
+        execute(node_index, command);
 }
 
-void fake_world::execute(std::size_t at, std::size_t domain, const manager_command& command)
+void fake_world::execute(std::size_t node_index, std::size_t domain, const manager_command& command)
 {
     const bool lost = m_platform_down || m_random.chance(m_reply_loss);
     if (const auto* call = std::get_if<kv_call>(&command)) {
-        schedule(delay(), [this, at, domain, call = *call, lost] {
+        schedule(delay(), [this, node_index, domain, call = *call, lost] {
             kv_result answer{call.token, error{error_kind::unknown_outcome, "no reply", ""}};
             if (!m_platform_down) {
                 const kv_outcome outcome = m_store.apply(call.transaction, m_now);
@@ -103,47 +105,51 @@
                     answer.outcome = outcome;
             }
             schedule(lost ? std::chrono::seconds{1} : delay(),
-                     [this, at, domain, answer] { deliver(at, answer, domain); });
+                     [this, node_index, domain, answer] { deliver(node_index, answer, domain); });
         });
     }
     else if (const auto* grant = std::get_if<lease_grant>(&command)) {
-        schedule(delay(), [this, at, domain, grant = *grant, lost] {
+        schedule(delay(), [this, node_index, domain, grant = *grant, lost] {
             lease_result answer{grant.token, error{error_kind::unavailable, "no reply", ""}};
             if (!m_platform_down) {
                 const lease_id lease = m_store.grant(grant.ttl, m_now);
                 if (!lost)
                     answer.lease = lease;
             }
-            schedule(delay(), [this, at, domain, answer] { deliver(at, answer, domain); });
+            schedule(delay(),
+                     [this, node_index, domain, answer] { deliver(node_index, answer, domain); });
         });
     }
     else if (const auto* renew = std::get_if<lease_renew>(&command)) {
-        schedule(delay(), [this, at, domain, renew = *renew, lost] {
+        schedule(delay(), [this, node_index, domain, renew = *renew, lost] {
             lease_result answer{renew.token, error{error_kind::unavailable, "no reply", ""}};
             if (!m_platform_down) {
                 auto lease = m_store.renew(renew.lease, m_now);
                 if (!lost)
                     answer.lease = lease;
             }
-            schedule(delay(), [this, at, domain, answer] { deliver(at, answer, domain); });
+            schedule(delay(),
+                     [this, node_index, domain, answer] { deliver(node_index, answer, domain); });
         });
     }
     else if (const auto* asked = std::get_if<probe>(&command)) {
-        probe_vm(at, asked->vm);
+        probe_vm(node_index, asked->vm);
     }
     else if (!std::holds_alternative<notice>(command)) {
         // A pause may begin between the decision and the sending. The node then checks `not_after`
         // when it resumes; m_send_late_orders simulates a pause that begins after that check.
-        schedule(std::chrono::milliseconds{1},
-                 [this, at, domain, command] { dispatch_order(at, domain, command); });
+        schedule(std::chrono::milliseconds{1}, [this, node_index, domain, command] {
+            dispatch_order(node_index, domain, command);
+        });
     }
 }
 
-void fake_world::dispatch_order(std::size_t at, std::size_t domain, const manager_command& command)
+void fake_world::dispatch_order(std::size_t node_index, std::size_t domain,
+                                const manager_command& command)
 {
-    if (m_now < m_nodes[at]->paused_until) {
-        m_nodes[at]->deferred.emplace_back(
-            [this, at, domain, command] { dispatch_order(at, domain, command); });
+    if (m_now < m_nodes[node_index]->paused_until) {
+        m_nodes[node_index]->deferred.emplace_back(
+            [this, node_index, domain, command] { dispatch_order(node_index, domain, command); });
         return;
     }
     std::visit(
@@ -152,7 +158,7 @@
                 if (m_now > given.not_after && !m_send_late_orders)
                     return;
                 ++m_orders;
-                schedule(delay(), [this, at, domain, given] {
+                schedule(delay(), [this, node_index, domain, given] {
                     const auto to = m_engines.find(given.vm);
                     if (to == m_engines.end() || !to->second->answers(m_now))
                         return;
@@ -161,50 +167,52 @@
                         answer.answer = to->second->assign(given);
                     else
                         answer.answer = to->second->release(given);
-                    schedule(delay(), [this, at, domain, answer] { deliver(at, answer, domain); });
+                    schedule(delay(), [this, node_index, domain, answer] {
+                        deliver(node_index, answer, domain);
+                    });
                 });
             }
         },
         command);
 }
 
-void fake_world::execute(std::size_t at, const board_command& command)
+void fake_world::execute(std::size_t node_index, const board_command& command)
 {
     if (const auto* asked = std::get_if<probe>(&command))
-        probe_vm(at, asked->vm);
+        probe_vm(node_index, asked->vm);
     if (const auto* change = std::get_if<ticket_changed>(&command); change != nullptr)
-        push_ticket(at, *change);
+        push_ticket(node_index, *change);
 }
 
-void fake_world::push_ticket(std::size_t at, const ticket_changed& change)
+void fake_world::push_ticket(std::size_t node_index, const ticket_changed& change)
 {
-    if (!m_nodes[at]->board->watches(change.group.group))
+    if (!m_nodes[node_index]->board->watches(change.group.group))
         return;
     for (std::size_t n = 0; n < m_nodes.size(); ++n) {
-        if (n == at)
+        if (n == node_index)
             continue;
         // The receiver sent its latest message to this node up to a second ago.
         const time_point sent_at = m_now - std::chrono::milliseconds{m_random.between(0, 1000)};
-        const ticket_seen seen{m_nodes[at]->name, change.group, change.complete,
+        const ticket_seen seen{m_nodes[node_index]->name, change.group, change.complete,
                                change.group.valid_until - m_now, sent_at};
         schedule(delay(), [this, n, seen] { deliver_to_board(n, seen); });
     }
 }
 
-void fake_world::probe_vm(std::size_t at, const vm_id& vm)
+void fake_world::probe_vm(std::size_t node_index, const vm_id& vm)
 {
     const time_point sent_at = m_now;
-    schedule(delay(), [this, at, vm, sent_at] {
+    schedule(delay(), [this, node_index, vm, sent_at] {
         const auto to = m_engines.find(vm);
         if (to == m_engines.end() || !to->second->answers(m_now))
             return;
         report_seen seen{vm, to->second->current_report, sent_at};
         if (to->second->fault == engine_fault::names_another_vm)
             seen.report.vm = vm_id{"another"};
-        schedule(delay(), [this, at, seen] {
+        schedule(delay(), [this, node_index, seen] {
             for (std::size_t d = 0; d < m_domains.size(); ++d)
-                deliver(at, seen, d);
-            deliver_to_board(at, seen);
+                deliver(node_index, seen, d);
+            deliver_to_board(node_index, seen);
         });
     });
 }
@@ -260,9 +268,9 @@
     }
 }
 
-void fake_world::pause_node(std::size_t at, duration span)
+void fake_world::pause_node(std::size_t node_index, duration span)
 {
-    m_nodes[at]->paused_until = std::max(m_nodes[at]->paused_until, m_now + span);
+    m_nodes[node_index]->paused_until = std::max(m_nodes[node_index]->paused_until, m_now + span);
 }
 
 void fake_world::maybe_inject_fault()
--- a/groups/fake_world.h
+++ b/groups/fake_world.h
@@ -45,14 +45,14 @@
     [[nodiscard]] std::string describe() const;
     /// Groups with a valid ticket on every node that is not paused.
     [[nodiscard]] std::vector<complete_group> complete_everywhere() const;
-    [[nodiscard]] std::vector<complete_group> complete_on(std::size_t node) const;
+    [[nodiscard]] std::vector<complete_group> complete_on(std::size_t node_index) const;
     [[nodiscard]] domain_record record(std::size_t domain) const;
 
     // Faults and state, controlled directly by tests of a single scenario.
     fake_engine& engine(const vm_id& vm) { return *m_engines.at(vm); }
     std::map<vm_id, std::shared_ptr<fake_engine>>& engines() { return m_engines; }
     void kill(const vm_id& vm) { engine(vm).alive = false; }
-    void pause_node(std::size_t node, duration span);
+    void pause_node(std::size_t node_index, duration span);
     void platform_down(bool down) { m_platform_down = down; }
     void lose_replies(double probability) { m_reply_loss = probability; }
     void set_extra_rows(std::vector<vm_row> extra) { m_extra_rows = std::move(extra); }
@@ -74,13 +74,13 @@
 
     void schedule(duration delay, std::function<void()> action);
     duration delay();
-    void deliver(std::size_t node, const manager_event& event, std::size_t domain);
-    void deliver_to_board(std::size_t node, const board_event& event);
-    void execute(std::size_t node, std::size_t domain, const manager_command& command);
-    void execute(std::size_t node, const board_command& command);
-    void probe_vm(std::size_t node, const vm_id& vm);
-    void push_ticket(std::size_t node, const ticket_changed& change);
-    void dispatch_order(std::size_t node, std::size_t domain, const manager_command& command);
+    void deliver(std::size_t node_index, const manager_event& event, std::size_t domain);
+    void deliver_to_board(std::size_t node_index, const board_event& event);
+    void execute(std::size_t node_index, std::size_t domain, const manager_command& command);
+    void execute(std::size_t node_index, const board_command& command);
+    void probe_vm(std::size_t node_index, const vm_id& vm);
+    void push_ticket(std::size_t node_index, const ticket_changed& change);
+    void dispatch_order(std::size_t node_index, std::size_t domain, const manager_command& command);
     void maybe_inject_fault();
     void deliver_updates();
     void advance_loads();
--- a/groups/manager.cc
+++ b/groups/manager.cc
@@ -28,7 +28,7 @@
     return left.groups == right.groups;
 }
 
-bool names(const domain_record& record, const vm_id& vm)
+bool is_assigned(const domain_record& record, const vm_id& vm)
 {
     const auto is = [&](const member& one) { return one.vm == vm; };
     return std::any_of(record.groups.begin(), record.groups.end(), [&](const auto& group) {
@@ -53,7 +53,7 @@
     order_book orders;
     std::shared_ptr<const configuration> tables;
     std::vector<peer_row> peers;
-    record_map others;    ///< records by domain, this one's included
+    record_map records;   ///< by domain, this one's included
     domain_record record; ///< as last read or written
     bool record_read = false;
     bool list_read = false;
@@ -106,7 +106,7 @@
                    "the report names another VM or too many members; the VM is quarantined"});
     // A fencing number above the known revision: the record has been changed by another writer, or
     // another domain's manager sent this VM an order while the list named it in both domains.
-    if (seen.report.fencing > record.revision && names(record, seen.vm)) {
+    if (seen.report.fencing > record.revision && is_assigned(record, seen.vm)) {
         reread_record = true;
         highest_reported_fencing = std::max(highest_reported_fencing, seen.report.fencing);
     }
@@ -150,11 +150,11 @@
             record = read;
         record_read = true;
     }
-    const auto known = others.find(read.domain);
-    if (known == others.end() && others.size() >= max_records)
+    const auto known = records.find(read.domain);
+    if (known == records.end() && records.size() >= max_records)
         return;
-    if (known == others.end() || known->second.revision < read.revision)
-        others[read.domain] = read;
+    if (known == records.end() || known->second.revision < read.revision)
+        records[read.domain] = read;
 }
 
 void domain_manager::state::on_event(const kv_result& answer, time_point now)
@@ -185,7 +185,7 @@
         pending_record.revision = fencing_number{outcome.revision};
         if (record.revision < pending_record.revision)
             record = pending_record;
-        others[record.domain] = record;
+        records[record.domain] = record;
         return;
     }
     const std::string manager = manager_key(settings.deployment, settings.domain);
@@ -250,7 +250,7 @@
 
 plan_input domain_manager::state::make_plan_input(time_point now) const
 {
-    return {settings, record, vms, *tables, others, now};
+    return {settings, record, vms, *tables, records, now};
 }
 
 void domain_manager::state::send_probes(time_point now)
@@ -281,7 +281,7 @@
     const time_point latest = now + settings.order_timeout;
     const order_input in{settings,
                          record,
-                         others,
+                         records,
                          plan.health_by_group(),
                          now,
                          without_platform ? latest : std::min(latest, lead.until()),
--- a/groups/repair_world.cc
+++ b/groups/repair_world.cc
@@ -75,7 +75,7 @@
     };
     struct fault_event {
         double at;
-        std::size_t kind;
+        std::size_t kind; ///< index in `rates`
     };
     std::vector<fault_event> events;
     const double vms = static_cast<double>(fleet);
--- a/groups/repair_world.h
+++ b/groups/repair_world.h
@@ -17,14 +17,15 @@
     std::uint64_t seed = 1;
     std::size_t domains = 2;
     std::size_t vms_per_domain = 25;
-    std::uint32_t replica_vms = 4;
-    std::uint32_t replicas = 11;
+    std::uint32_t replica_vms = 4;  ///< VMs of each replica
+    std::uint32_t replicas = 11;    ///< wanted, in all domains
     std::uint32_t accelerators = 2; ///< of each VM
-    double weight_down = 1.0;
-    double weight_idle = 1.0;
+    double weight_down = 1.0;       ///< cost of a group-second down
+    double weight_idle = 1.0;       ///< cost of an idle accelerator-second
     std::chrono::hours span{24 * 14};
 };
 
+/// The changes that a schedule makes to a VM.
 enum class vm_change { fail, notice_leaving, leave, pause, resume, arrive };
 
 /// One change of one VM.
--- a/groups/types.h
+++ b/groups/types.h
@@ -151,8 +151,8 @@
     std::string address;
 };
 /// POST /control/assign. `order` is the order's unique name. Send it at most once, and drop it if
-/// it can't be sent before `not_after`: the fencing number and the order horizon guard against
-/// stale orders, and a resend would be one.
+/// it can't be sent before `not_after`: a delayed or repeated order may be stale, which the fencing
+/// number and the order horizon guard against.
 struct order_assign {
     call_token token;
     std::string order;
--- a/groups/vm_table.cc
+++ b/groups/vm_table.cc
@@ -1,9 +1,8 @@
 // Two rules keep a VM from being in two groups even if engines ignore fencing numbers:
 //
 // - `same_group_since` is the receipt of the first answer that showed the group, since a VM may
-// move
-//   just before it answers. A VM is therefore assignable only if it has been in no group for a full
-//   `order_horizon`, which is longer than any order or ticket of its former group stays valid.
+//   move just before it answers. A VM is therefore assignable only if it has been in no group for a
+//   full `order_horizon`, which is longer than any order or ticket of its former group stays valid.
 // - A VM that the list names in two domains is not newly assigned by either domain's manager.
 #include "groups/vm_table.h"
 
