--- a/groups/manager.cc
+++ b/groups/manager.cc
@@ -81,7 +81,7 @@
     void on_event(const tick&, time_point now);
 
     void apply_entry(const kv_entry& entry, time_point now);
-    void settle_write(const kv_result& answer, time_point now);
+    void finish_record_call(const kv_result& answer, time_point now);
     void write_record(domain_record next, time_point now);
     void read_record(time_point now);
     void send_probes(time_point now);
@@ -160,7 +160,7 @@
 void domain_manager::state::on_event(const kv_result& answer, time_point now)
 {
     if (record_call.kind != call_kind::none && answer.token == record_call.token) {
-        settle_write(answer, now);
+        finish_record_call(answer, now);
         return;
     }
     std::vector<kv_entry> entries;
@@ -171,7 +171,7 @@
         apply_entry(entry, now);
 }
 
-void domain_manager::state::settle_write(const kv_result& answer, time_point now)
+void domain_manager::state::finish_record_call(const kv_result& answer, time_point now)
 {
     const pending_call call = std::exchange(record_call, {});
     if (!answer.outcome) {
@@ -188,10 +188,10 @@
         records[record.domain] = record;
         return;
     }
-    const std::string manager = manager_key(settings.deployment, settings.domain);
+    const std::string own_manager_key = manager_key(settings.deployment, settings.domain);
     bool ours = false;
     for (const kv_entry& entry : outcome.entries) {
-        ours = ours || (entry.key == manager && entry.mod_revision == lead.key_revision());
+        ours = ours || (entry.key == own_manager_key && entry.mod_revision == lead.key_revision());
         apply_entry(entry, now);
     }
     if (!ours)
@@ -201,7 +201,7 @@
 void domain_manager::state::write_record(domain_record next, time_point now)
 {
     const std::string own_record_key = record_key(settings.deployment, settings.domain);
-    const std::string manager = manager_key(settings.deployment, settings.domain);
+    const std::string own_manager_key = manager_key(settings.deployment, settings.domain);
     record_call = {call_kind::write, lead.next_token(), now};
     next.change = settings.self.value() + "/" + std::to_string(record.revision.value()) + "/" +
                   std::to_string(record_call.token.value());
@@ -210,36 +210,37 @@
     out.emplace_back(
         kv_call{record_call.token,
                 kv_transaction{{kv_compare{own_record_key, record.revision.value()},
-                                kv_compare{manager, lead.key_revision()}},
+                                kv_compare{own_manager_key, lead.key_revision()}},
                                {kv_put{own_record_key, format_record(pending_record), lease_id{0}}},
-                               {kv_get{own_record_key}, kv_get{manager}}}});
+                               {kv_get{own_record_key}, kv_get{own_manager_key}}}});
 }
 
 void domain_manager::state::read_record(time_point now)
 {
     const std::string own_record_key = record_key(settings.deployment, settings.domain);
-    const std::string manager = manager_key(settings.deployment, settings.domain);
+    const std::string own_manager_key = manager_key(settings.deployment, settings.domain);
     reread_record = false;
     last_read = now;
     record_call = {call_kind::read, lead.next_token(), now};
-    out.emplace_back(kv_call{record_call.token,
-                             kv_transaction{{}, {kv_get{own_record_key}, kv_get{manager}}, {}}});
+    out.emplace_back(
+        kv_call{record_call.token,
+                kv_transaction{{}, {kv_get{own_record_key}, kv_get{own_manager_key}}, {}}});
 }
 
 bool domain_manager::state::is_among_first(std::size_t count) const
 {
-    std::vector<std::string> names;
+    std::vector<std::string> node_names;
     const auto self = std::find_if(peers.begin(), peers.end(),
                                    [&](const peer_row& row) { return row.node == settings.self; });
     if (self == peers.end())
         return true; // no peers are known, so this node may be the only one
     for (const peer_row& row : peers) {
         if (row.failure_domain == self->failure_domain)
-            names.push_back(row.node.value());
+            node_names.push_back(row.node.value());
     }
-    const auto first = rendezvous(settings.domain.value(), names, count);
+    const auto first = rendezvous(settings.domain.value(), node_names, count);
     return std::any_of(first.begin(), first.end(),
-                       [&](std::size_t at) { return names[at] == settings.self.value(); });
+                       [&](std::size_t at) { return node_names[at] == settings.self.value(); });
 }
 
 bool domain_manager::state::platform_unreachable(time_point now) const
