--- a/groups/repair.cc
+++ b/groups/repair.cc
@@ -31,8 +31,8 @@
     for (const place_health& place : health.places) {
         if (!place.lost || place.substitute)
             continue;
-        // An overdue replacement is not expected at once: at least a quarter of the usual time is
-        // assumed to remain.
+        // An overdue replacement is not expected at once: the longer it has taken, the less is
+        // known about it, so at least a quarter of the usual time is assumed to remain.
         const duration left = settings.expected_replacement_time - (now - place.lost_since);
         longest = std::max(longest, std::max(left, settings.expected_replacement_time / 4));
     }
