--- a/groups/vm_table.cc
+++ b/groups/vm_table.cc
@@ -111,9 +111,9 @@
 vm_condition vm_table::condition(const vm_view& view, time_point now) const
 {
     if (now < view.quarantined_until)
-        return vm_condition::excluded;
+        return vm_condition::unusable;
     if (!fresh(view, now))
-        return view.listed ? vm_condition::unresponsive : vm_condition::excluded;
+        return view.listed ? vm_condition::unresponsive : vm_condition::unusable;
     if (view.report->leaving)
         return vm_condition::leaving;
     if (view.leaving && view.leaves_at - now <= m_settings->leave_notice)
--- a/groups/vm_table.h
+++ b/groups/vm_table.h
@@ -17,7 +17,7 @@
     healthy,      ///< has a fresh report and is not about to leave
     unresponsive, ///< listed, but without a fresh report
     leaving,      ///< leaves soon, according to the list or its own report
-    excluded,     ///< quarantined, or neither listed nor freshly reported
+    unusable,     ///< quarantined, or neither listed nor freshly reported
 };
 
 /// The last order sent to a VM, to distinguish an order without effect from one not sent yet.
