--- a/groups/manager.cc
+++ b/groups/manager.cc
@@ -28,7 +28,7 @@
     return left.groups == right.groups;
 }
 
-bool names(const domain_record& record, const vm_id& vm)
+bool is_assigned(const domain_record& record, const vm_id& vm)
 {
     const auto is = [&](const member& one) { return one.vm == vm; };
     return std::any_of(record.groups.begin(), record.groups.end(), [&](const auto& group) {
@@ -53,7 +53,7 @@
     order_book orders;
     std::shared_ptr<const configuration> tables;
     std::vector<peer_row> peers;
-    record_map others;    ///< records by domain, this one's included
+    record_map records;   ///< by domain, this one's included
     domain_record record; ///< as last read or written
     bool record_read = false;
     bool list_read = false;
@@ -81,7 +81,7 @@
     void on_event(const tick&, time_point now);
 
     void apply_entry(const kv_entry& entry, time_point now);
-    void settle_write(const kv_result& answer, time_point now);
+    void finish_record_call(const kv_result& answer, time_point now);
     void write_record(domain_record next, time_point now);
     void read_record(time_point now);
     void send_probes(time_point now);
@@ -106,7 +106,7 @@
                    "the report names another VM or too many members; the VM is quarantined"});
     // A fencing number above the known revision: the record has been changed by another writer, or
     // another domain's manager sent this VM an order while the list named it in both domains.
-    if (seen.report.fencing > record.revision && names(record, seen.vm)) {
+    if (seen.report.fencing > record.revision && is_assigned(record, seen.vm)) {
         reread_record = true;
         highest_reported_fencing = std::max(highest_reported_fencing, seen.report.fencing);
     }
@@ -150,17 +150,17 @@
             record = read;
         record_read = true;
     }
-    const auto known = others.find(read.domain);
-    if (known == others.end() && others.size() >= max_records)
+    const auto known = records.find(read.domain);
+    if (known == records.end() && records.size() >= max_records)
         return;
-    if (known == others.end() || known->second.revision < read.revision)
-        others[read.domain] = read;
+    if (known == records.end() || known->second.revision < read.revision)
+        records[read.domain] = read;
 }
 
 void domain_manager::state::on_event(const kv_result& answer, time_point now)
 {
     if (record_call.kind != call_kind::none && answer.token == record_call.token) {
-        settle_write(answer, now);
+        finish_record_call(answer, now);
         return;
     }
     std::vector<kv_entry> entries;
@@ -171,7 +171,7 @@
         apply_entry(entry, now);
 }
 
-void domain_manager::state::settle_write(const kv_result& answer, time_point now)
+void domain_manager::state::finish_record_call(const kv_result& answer, time_point now)
 {
     const pending_call call = std::exchange(record_call, {});
     if (!answer.outcome) {
@@ -185,13 +185,13 @@
         pending_record.revision = fencing_number{outcome.revision};
         if (record.revision < pending_record.revision)
             record = pending_record;
-        others[record.domain] = record;
+        records[record.domain] = record;
         return;
     }
-    const std::string manager = manager_key(settings.deployment, settings.domain);
+    const std::string own_manager_key = manager_key(settings.deployment, settings.domain);
     bool ours = false;
     for (const kv_entry& entry : outcome.entries) {
-        ours = ours || (entry.key == manager && entry.mod_revision == lead.key_revision());
+        ours = ours || (entry.key == own_manager_key && entry.mod_revision == lead.key_revision());
         apply_entry(entry, now);
     }
     if (!ours)
@@ -201,7 +201,7 @@
 void domain_manager::state::write_record(domain_record next, time_point now)
 {
     const std::string own_record_key = record_key(settings.deployment, settings.domain);
-    const std::string manager = manager_key(settings.deployment, settings.domain);
+    const std::string own_manager_key = manager_key(settings.deployment, settings.domain);
     record_call = {call_kind::write, lead.next_token(), now};
     next.change = settings.self.value() + "/" + std::to_string(record.revision.value()) + "/" +
                   std::to_string(record_call.token.value());
@@ -210,36 +210,37 @@
     out.emplace_back(
         kv_call{record_call.token,
                 kv_transaction{{kv_compare{own_record_key, record.revision.value()},
-                                kv_compare{manager, lead.key_revision()}},
+                                kv_compare{own_manager_key, lead.key_revision()}},
                                {kv_put{own_record_key, format_record(pending_record), lease_id{0}}},
-                               {kv_get{own_record_key}, kv_get{manager}}}});
+                               {kv_get{own_record_key}, kv_get{own_manager_key}}}});
 }
 
 void domain_manager::state::read_record(time_point now)
 {
     const std::string own_record_key = record_key(settings.deployment, settings.domain);
-    const std::string manager = manager_key(settings.deployment, settings.domain);
+    const std::string own_manager_key = manager_key(settings.deployment, settings.domain);
     reread_record = false;
     last_read = now;
     record_call = {call_kind::read, lead.next_token(), now};
-    out.emplace_back(kv_call{record_call.token,
-                             kv_transaction{{}, {kv_get{own_record_key}, kv_get{manager}}, {}}});
+    out.emplace_back(
+        kv_call{record_call.token,
+                kv_transaction{{}, {kv_get{own_record_key}, kv_get{own_manager_key}}, {}}});
 }
 
 bool domain_manager::state::is_among_first(std::size_t count) const
 {
-    std::vector<std::string> names;
+    std::vector<std::string> node_names;
     const auto self = std::find_if(peers.begin(), peers.end(),
                                    [&](const peer_row& row) { return row.node == settings.self; });
     if (self == peers.end())
         return true; // no peers are known, so this node may be the only one
     for (const peer_row& row : peers) {
         if (row.failure_domain == self->failure_domain)
-            names.push_back(row.node.value());
+            node_names.push_back(row.node.value());
     }
-    const auto first = rendezvous(settings.domain.value(), names, count);
+    const auto first = rendezvous(settings.domain.value(), node_names, count);
     return std::any_of(first.begin(), first.end(),
-                       [&](std::size_t at) { return names[at] == settings.self.value(); });
+                       [&](std::size_t at) { return node_names[at] == settings.self.value(); });
 }
 
 bool domain_manager::state::platform_unreachable(time_point now) const
@@ -250,7 +251,7 @@
 
 plan_input domain_manager::state::make_plan_input(time_point now) const
 {
-    return {settings, record, vms, *tables, others, now};
+    return {settings, record, vms, *tables, records, now};
 }
 
 void domain_manager::state::send_probes(time_point now)
@@ -281,7 +282,7 @@
     const time_point latest = now + settings.order_timeout;
     const order_input in{settings,
                          record,
-                         others,
+                         records,
                          plan.health_by_group(),
                          now,
                          without_platform ? latest : std::min(latest, lead.until()),
