--- a/groups/formation.cc
+++ b/groups/formation.cc
@@ -1,14 +1,14 @@
-// Level-triggered: each tick compares what the registry shows with what should be and orders the
-// difference. An order that was lost, refused or carried out late is therefore simply due again, or
-// done already.
+// Level-triggered: each tick compares the state shown by the registry with the desired state and
+// sends orders for the difference. An order that was lost or refused is therefore sent again, and
+// one that was executed late needs no further action.
 //
-// Why a late order does no harm. Orders may be carried out seconds after they were sent, behind
-// newer ones. Each composition has a name and an epoch of its own, never used again and higher than
-// all before it (the manager's term, then a counter). A join also names how many orders the runner
-// had begun when it was free; one that comes behind any other is refused. So no join takes a runner
-// out of a group, and none brings it back into one that it has left. A late open, close or leave
-// names a composition that is over. A manager that was replaced has a lower term, which runners
-// refuse once they have met the new one.
+// Late orders are harmless. An order may be executed seconds after it was sent, after newer ones.
+// Every composition has a unique name and an epoch that is higher than all earlier ones (the
+// manager's term, then a counter). A join carries the number of orders that the runner had executed
+// when it was free, and the runner refuses the join after any other order. So a join never takes a
+// runner out of a group and never returns it to a group that it has left. A late open, close or
+// leave names a composition that no longer exists. A replaced manager has a lower term, and runners
+// refuse its orders once they have received one from its successor.
 #include "groups/formation.h"
 
 #include "groups/formation_state.h"
@@ -142,8 +142,8 @@
         {
             if (runner_view* view = core.find(e.vm); view != nullptr && view->unresponsive) {
                 view->dead = !e.answers;
-                view->unresponsive =
-                    !e.answers; // one that others hear works on behind a cut of our own
+                // A runner that answers other nodes is alive; only this node can't reach it.
+                view->unresponsive = !e.answers;
             }
             core.run_tick(now);
         }
@@ -167,7 +167,7 @@
     std::visit(visitor{*this, now}, event);
 }
 
-/// Begins to manage with what the registry shows of the domain.
+/// Starts managing with the runners of the domain that the registry shows.
 void formation_manager::state::adopt_runners()
 {
     managing = true;
@@ -223,13 +223,14 @@
         view.row.model = model;
     }
     else {
-        // One that contradicts its word is older or newer than that: it has to be asked.
+        // An entry that contradicts the runner's last report or reply may be older or newer than
+        // it, so the runner has to be asked again.
         const bool stays = row.group ? group && key_of(*group) == key_of(*row.group) : !group;
         view.membership_confirmed = view.membership_confirmed && stays;
         view.joined_before_entry.reset();
     }
     view.listed = true;
-    view.dead = false; // it has just written its entry
+    view.dead = false; // it has just written its entry, so it is alive
     if (!row.model.empty())
         view.warm_model = row.model;
     const bool staged =
@@ -262,7 +263,8 @@
         return;
     }
     if (!taken) {
-        // One that is lost has waited for its timeout already; the probe tells whether to go on.
+        // A lost order has already waited for its timeout, and the probe shows whether the runner
+        // is still usable.
         if (answer.reply != order_reply::lost)
             view->next_order_at = now + settings.order_retry_delay;
         if (answer.reply == order_reply::lost || answer.reply == order_reply::elsewhere)
@@ -270,16 +272,16 @@
         const bool refused_join = answer.reply == order_reply::misfit &&
                                   std::holds_alternative<join_group>(view->pending_order);
         if (refused_join)
-            view->membership_confirmed =
-                false; // it has begun an order that this manager knows nothing of
+            // It has executed an order that this manager does not know of.
+            view->membership_confirmed = false;
         return;
     }
     apply_accepted_order(*view, view->pending_order, answer.reply, now);
     run_tick(now);
 }
 
-// What an accepted order does is taken for done at once; the registry confirms it some milliseconds
-// later, or shows that it was not so.
+// Applies the effect of an accepted order immediately; the runner's entry confirms or corrects it
+// some milliseconds later.
 void formation_manager::state::apply_accepted_order(runner_view& view, const member_order& order,
                                                     order_reply reply, time_point now)
 {
@@ -292,11 +294,12 @@
         apply_leave(view, *left, now);
         return;
     }
-    // One that was begun already is answered alike but not counted, so only its report tells.
+    // A runner replies `begun` also to a repeated order that it is already executing and does not
+    // count again, so its order count is unknown until its next report.
     view.membership_confirmed = view.membership_confirmed && !begun;
     view.next_report_query = now + settings.max_report_age;
     if (std::holds_alternative<open_group>(order))
-        view.next_order_at = now + 2 * settings.order_retry_delay; // it takes a moment to open
+        view.next_order_at = now + 2 * settings.order_retry_delay; // opening takes some time
 }
 
 void formation_manager::state::apply_join(runner_view& view, const join_group& joined, bool begun,
@@ -305,8 +308,8 @@
     view.membership_confirmed = begun;
     if (begun)
         view.begun_orders = view.begun_orders_before_pending + 1;
-    // Its entry may have been faster than this answer. A head that is open already must not be
-    // taken for one that still joins: its members would count as free.
+    // The entry may have arrived before this reply. Resetting a head that is already open to
+    // `joining` would make its members count as free.
     if (is_in(view, {joined.group, joined.epoch}))
         return;
     const auto at = std::find(joined.members.begin(), joined.members.end(), view.row.id);
@@ -373,16 +376,17 @@
     return delay_before_claim;
 }
 
-/// Nodes claim one after the other, not all at once: those of the domain by rank, then those of the
-/// other domains, one domain after the other.
+/// Staggers the claims of the nodes: first the nodes of the managed failure domain by rank, then
+/// those of the other failure domains, one failure domain after another.
 duration formation_manager::state::compute_claim_delay() const
 {
     const duration own_turn =
         static_cast<duration::rep>(registry_state.rank) * settings.claim_stagger;
-    // Also while no node there is known: at a start of everything they are not heard of yet, and
-    // one node that took all domains would leave all of them without a manager when it dies.
     if (settings.own_domain == settings.domain)
         return own_turn;
+    // Nodes elsewhere wait even if no node of the managed domain is known: when the whole system
+    // starts, its nodes are not known yet, and a node that claimed all domains would leave all of
+    // them without a manager if it failed.
     std::set<std::string> others{settings.own_domain.value()};
     for (const peer_row& peer : peers) {
         if (peer.failure_domain != settings.domain)
@@ -453,7 +457,7 @@
     log_runner_use(now);
 }
 
-/// What every runner of the domain does, so that accelerators that serve nobody are seen.
+/// Logs the use of all runners of the domain, so that idle accelerators are visible.
 void formation_manager::state::log_runner_use(time_point now)
 {
     constexpr duration interval = 2s;
--- a/groups/formation_groups.cc
+++ b/groups/formation_groups.cc
@@ -1,13 +1,13 @@
-// What becomes of the groups that there are: whole ones are opened, those that have lost a member
-// are ended so that the survivors can be used again, those that a member is about to leave are
-// closed in time.
+// Management of existing groups: complete groups are opened, groups that lost a member are
+// dissolved so that the survivors can be used again, and groups with a leaving member are closed
+// before it leaves.
 //
-// When a member may be taken. A head that is open, closing, or standing still because a member is
-// missing, still holds requests. So the head is told to leave first, which ends the group at once.
-// A head that can't be reached may be dead, or alive behind a cut that others are not behind: if
-// another node is answered, the group is left alone. In any case each member leaves before it joins
-// anything else, so that none is in two groups whatever the head believes: an open order that was
-// lost may be carried out seconds later, after the group was given up.
+// Rules for dissolving a group. A head that is open or closing, or blocked because a member is
+// missing, still holds requests, so the head is ordered to leave first, which ends the group at
+// once. An unreachable head may be dead, or alive behind a partition that affects only this node:
+// if it answers any other node, the group is kept. In every case each member leaves before it joins
+// another group, so that no member is in two groups whatever state the head is in: an open order
+// whose reply was lost may be executed seconds later, after the group was dissolved.
 #include "groups/formation_state.h"
 
 namespace jaynotch::groups {
@@ -27,7 +27,7 @@
 
 } // namespace
 
-/// In the registry, and not known to be unreachable.
+/// Whether the runner has an entry and is not known to be unresponsive.
 bool formation_manager::state::is_reachable(const runner_view& view) const
 {
     return view.listed && !view.unresponsive;
@@ -47,7 +47,7 @@
     return found == pools.end() ? nullptr : &*found;
 }
 
-/// Null if its entry names another group, or none.
+/// Null if no known runner is the head of the group.
 runner_view* formation_manager::state::head_of(const observed_group& observed)
 {
     const auto found = observed.members.find(0);
@@ -81,13 +81,13 @@
     for (const auto& [key, group] : all)
         review_group(group, now);
     resend_joins(now);
-    // One that none of its members has joined, and that can't become whole, is forgotten.
+    // Planned groups that no member has joined and that can't become complete are dropped.
     std::erase_if(planned, [&](const auto& entry) {
         return !all.contains(entry.first) && !still_forming(entry.first, now);
     });
 }
 
-/// A join that was lost on its way is sent again: it names the same composition.
+/// Sends lost joins again, for the same composition.
 void formation_manager::state::resend_joins(time_point now)
 {
     for (const auto& [key, plan] : planned) {
@@ -114,7 +114,7 @@
     const bool serving = head != nullptr && is_reachable(*head) && holds_requests(*head);
     if (serving) {
         if (!head->membership_confirmed)
-            query_runner(*head, now); // so that it can be used at once if the group ends
+            query_runner(*head, now); // allows its immediate use if the group ends
         if (complete)
             close_before_leave(observed, *head, now);
         else
@@ -125,14 +125,14 @@
         open_if_ready(observed, *head, now);
         return;
     }
-    // Joins of some members may not be in the registry yet.
+    // The entries of some members may not show their joins yet.
     if (!still_forming(key_of(observed), now))
         dissolve(observed, now);
 }
 
-/// Whether a member has just told of this group while the registry shows another, as after an
-/// outage of the store. The entries of the others are as old as its own was: that they don't name
-/// the group says nothing until they have been written anew.
+/// Whether a member has recently reported this group while its entry showed another state, as
+/// happens after an outage of the store. The entries of the other members may be as old, so an
+/// entry that does not name the group is no evidence until it has been written again.
 bool formation_manager::state::reported_recently(const observed_group& observed,
                                                  time_point now) const
 {
@@ -144,9 +144,10 @@
     });
 }
 
-/// An entry that has run out is a suspicion, not a loss: when a cut heals between two members'
-/// entries running out, the others can be ordered again while all of them live and serve. So the
-/// member itself is asked. Only one that doesn't answer, or whose entry stays away, is lost.
+/// An expired entry does not prove that the runner is lost: if a partition heals after the entries
+/// of some members have expired, the other members become reachable again while the whole group is
+/// alive and serving. So the runner is probed, and counts as lost only if it does not answer or its
+/// entry does not return within `entry_grace_period`.
 bool formation_manager::state::entry_may_return(runner_view& view, time_point now)
 {
     const bool probed = settings.mechanisms.has(mechanism::probes_before_ending);
@@ -160,7 +161,7 @@
            now - view.liveness_queried_at < settings.peer_probe_timeout;
 }
 
-/// Whether a group misses nothing but entries that may return.
+/// Whether the group is incomplete only because of expired entries that may return.
 bool formation_manager::state::entries_may_return(const observed_group& observed, time_point now)
 {
     bool missing = false;
@@ -222,7 +223,7 @@
     }
     if (due && head.row.group->phase == member_phase::open &&
         order(head, close_group{observed.group, observed.epoch}, now))
-        add_notice(log_level::info, "group_closed", observed.group.value(), "a member leaves");
+        add_notice(log_level::info, "group_closed", observed.group.value(), "a member is leaving");
 }
 
 void formation_manager::state::dissolve(const observed_group& observed, time_point now)
@@ -233,23 +234,24 @@
     if (reachable && holds_requests(*head)) {
         if (order(*head, leave_group{observed.group, observed.epoch}, now))
             add_notice(log_level::warning, "group_ended", observed.group.value(),
-                       "a member is lost");
+                       "a member was lost");
         query_survivors(observed, now);
         return;
     }
     if (head != nullptr && holds_requests(*head) && !head->dead && head->unresponsive &&
         now - head->unresponsive_since < settings.peer_probe_timeout)
-        return; // the other nodes' word on it is due
+        return; // waiting for the other nodes' probes
     for (const auto& [rank, vm] : observed.members) {
         runner_view* view = find(vm);
         if (view != nullptr && is_reachable(*view) &&
             order(*view, leave_group{observed.group, observed.epoch}, now))
             add_notice(log_level::info, "member_taken", vm.value(),
-                       observed.group.value() + " is over");
+                       observed.group.value() + " was dissolved");
     }
 }
 
-/// Survivors that have to leave next can be used at once if they have told of themselves by then.
+/// Requests reports from the survivors, so that their membership is confirmed and they can be used
+/// immediately after they have left.
 void formation_manager::state::query_survivors(const observed_group& observed, time_point now)
 {
     for (const auto& [rank, vm] : observed.members) {
@@ -258,7 +260,7 @@
     }
 }
 
-/// Whether a composition may still become whole.
+/// Whether a composition may still become complete.
 bool formation_manager::state::still_forming(const group_key& key, time_point now) const
 {
     const auto plan = planned.find(key);
@@ -270,13 +272,14 @@
                                return view != nullptr && is_reachable(*view) &&
                                       (!view->row.group || is_in(*view, key));
                            });
-    // The manager before this one had it formed; who else belongs to it is not known here. One that
-    // has been in the registry for longer was whole and has lost somebody.
+    // Ordered by an earlier manager, so its full member list is unknown. A composition that has
+    // been in the registry for longer was complete and has lost a member.
     const std::optional<time_point> since = first_seen(key);
     return since && now - *since < settings.adopted_group_timeout;
 }
 
-/// When the composition first stood in the registry, or else when a member first told of it.
+/// When the composition first appeared in the registry; if it never did, when a member first
+/// reported it.
 std::optional<time_point> formation_manager::state::first_seen(const group_key& key) const
 {
     std::optional<time_point> since = registry.first_seen(key);
--- a/groups/formation_outage.cc
+++ b/groups/formation_outage.cc
@@ -1,18 +1,19 @@
-// Managing while the platform's store is down. The registry then shows nothing new: neither that a
-// member has joined nor that one is gone. What a manager has to know it asks the runners themselves
-// for, and tells the other nodes, whose registry is as dark; they need to know which groups are
-// open.
+// Managing while the platform's store is unreachable. The registry then shows neither that a member
+// has joined nor that one is gone. The manager therefore asks the runners directly and broadcasts
+// their answers to the other nodes, which cannot read the store either and need to know which
+// groups are open.
 //
-// What is told holds until the runner's next entry in the registry, which it writes as soon as the
-// store is back.
+// A broadcast state holds until the runner's next entry in the registry, which it writes as soon as
+// the store is reachable again.
 #include "groups/formation_state.h"
 
 namespace jaynotch::groups {
 
 namespace {
 
-/// A report from before the last order that the runner has begun says nothing. Where this manager
-/// doesn't know how many it has begun, the compositions tell.
+/// Whether the report is older than what the manager knows of the runner. If the manager knows how
+/// many orders the runner has executed, the report's order count decides, otherwise the epochs of
+/// the compositions.
 bool is_outdated(const runner_report& report, const runner_view& view)
 {
     const std::optional<membership>& reported = report.word.group;
@@ -43,7 +44,7 @@
     out.emplace_back(query_peers_about_outage{});
 }
 
-/// Asks the members of the compositions that are to become groups.
+/// While the store is unreachable, asks the members of the planned groups how far they have joined.
 void formation_manager::state::query_members(time_point now)
 {
     if (!store_unreachable(now))
@@ -82,7 +83,8 @@
         view != nullptr && view->listed && (word.born_ms == 0 || view->row.born_ms == word.born_ms);
     if (!holds || is_outdated(report, *view))
         return;
-    // How far it has come there its entry tells, sooner than a report, unless the registry is dark.
+    // If only the phase differs, the runner's entry shows it sooner than a report, unless the store
+    // is unreachable.
     const bool same = word.group ? is_in(*view, key_of(*word.group)) : !view->row.group;
     const bool unchanged = view->row.group == word.group && view->row.model == word.model;
     if (!unchanged && (!same || store_unreachable(now)))
@@ -98,7 +100,7 @@
     runner row = view.row;
     row.group = word.group;
     row.model = word.model;
-    view.joined_before_entry.reset(); // this is later than what it said before
+    view.joined_before_entry.reset(); // superseded by this report
     update_runner(row, now);
     if (view.row.group)
         view.joined_before_entry = key_of(*view.row.group);
@@ -112,8 +114,9 @@
             broadcast_runner{{view.row.id, view.row.born_ms, view.row.group, view.row.model}});
 }
 
-/// The registry drops the entry of a dead runner in the time for which it isn't used. While it is
-/// dark it can't, so the runner has to answer before it is used again.
+/// Called when the hold time of an unresponsive runner ends. By then the registry has dropped the
+/// entry if the runner is dead. While the store is unreachable no entry is dropped, so the runner
+/// has to answer a probe before it is used again.
 void formation_manager::state::recheck_unresponsive(runner_view& view, time_point now)
 {
     if (!store_unreachable(now)) {
--- a/groups/formation_plan.cc
+++ b/groups/formation_plan.cc
@@ -1,22 +1,23 @@
-// What is made of free runners.
+// Use of free runners.
 //
-// Before the first request weights load ten times faster and without a bound on their rate, so
-// every fabric domain is filled then, as the allotment of the whole fleet says (groups/allot.h);
-// each manager works it out alone from the registry.
+// Before the first request, weights load ten times faster and without a rate limit. So every fabric
+// domain is filled then, according to the allocation of the whole fleet
+// (groups/group_allocation.h), which each manager computes on its own from the registry.
 //
-// Later a load takes longer than anything else, so a group is made only of runners whose hosts have
-// the weights: survivors of groups that lost a member and spares, the model that lacks groups most
-// first. Runners without weights, newcomers mostly, are staged with the model whose next group in
-// their domain lacks the fewest runners. Spares that are staged are warmed up in turn.
+// After that, loading weights is the slowest step by far. So groups are formed only from runners
+// whose hosts have the weights staged, i.e. spares and survivors of dissolved groups, beginning
+// with the model that has the fewest groups for its share of the work. Runners without weights
+// (mostly new ones) are staged with the model whose next group in their domain lacks the fewest
+// runners. Staged spares are then warmed up.
 #include "groups/formation_state.h"
 
 namespace jaynotch::groups {
 
 namespace {
 
-constexpr duration warm_join = 200ms;     ///< of a runner whose last group had the model
-constexpr duration formation_slack = 10s; ///< beyond the time that joins and loads should take
-constexpr double load_burst = 3.0;        ///< loads that may begin at once, of those saved up
+constexpr duration warm_join = 200ms;     ///< join of a runner whose last group had the model
+constexpr duration formation_slack = 10s; ///< added to the expected time of joins and loads
+constexpr double load_burst = 3.0;        ///< capacity of the token bucket for loads
 constexpr double need_tolerance = 1.3;    ///< needs within this factor count as equal
 constexpr std::int64_t epochs_in_term = 4096;
 
@@ -26,7 +27,7 @@
            view.row.staged.end();
 }
 
-/// Has weights of some model of `pools` on its host, or gets them.
+/// Whether weights of any model of `pools` are staged on the runner's host, or being staged.
 bool is_prepared(const runner_view& view, const std::vector<pool>& pools)
 {
     return !view.staging.empty() ||
@@ -46,14 +47,15 @@
     return model_pool.forming.load;
 }
 
-/// Runners that are in no group, by the registry and by their own word.
+/// Runners that are in no group according to both the registry and themselves.
 ///
-/// The registry alone is not enough. Runners write nothing while the store is down, and the manager
-/// may meanwhile make a group of one that was a spare. A node that starts as the store comes back
-/// and becomes the manager reads what was before; it would order a member of an open group to join
-/// another, and one VM would serve in two. So a manager asks each runner once before it uses it.
-/// What a runner said may be over too: an order may reach it late, behind the word. So a join names
-/// how many orders the runner had begun by that word, and the runner refuses it after any other.
+/// The registry alone is not sufficient. Runners can't write entries while the store is down, and
+/// the manager may use a spare for a group meanwhile. A node that starts and becomes the manager
+/// just as the store returns reads the state from before the outage; it would order a member of an
+/// open group to join another one, and the VM would serve in both. So a manager asks each runner
+/// once before it uses it. The runner's answer may be outdated as well, because an earlier order
+/// can reach it later. So a join carries the number of orders that the runner had executed at its
+/// answer, and the runner refuses the join after any other order.
 std::vector<runner_view*> formation_manager::state::free_runners(const fabric_domain_id& domain,
                                                                  time_point now)
 {
@@ -61,8 +63,8 @@
     for (runner_view* view : by_fabric.at(domain)) {
         const bool usable = is_reachable(*view) && !view->row.leaving && !view->pending &&
                             now >= view->next_order_at;
-        // One whose entry names a group has to leave it first, whatever its head last said: an open
-        // order that was lost may still be carried out there.
+        // A runner whose entry names a group has to leave it first, whatever the head reported: an
+        // open order whose reply was lost may still be executed there.
         if (!usable || view->row.group)
             continue;
         if (view->membership_confirmed)
@@ -73,7 +75,7 @@
     return free;
 }
 
-/// The models in the order of their groups for their share, the fewest first.
+/// The models by their number of groups relative to their share of the work, ascending.
 std::vector<model_need> formation_manager::state::models_by_need() const
 {
     std::map<std::string, double> groups;
@@ -102,7 +104,8 @@
     return ranked;
 }
 
-/// Takes one load out of this domain's part of the weight store's rate, if there is one.
+/// Takes a token for one load from this failure domain's part of the weight store's rate limit;
+/// false if none is left. Always true before the first request or without a rate limit.
 bool formation_manager::state::take_load_token(const pool& model_pool, time_point now)
 {
     if (!traffic || model_pool.forming.loads_per_s <= 0.0)
@@ -123,7 +126,7 @@
 {
     for (const vm_id& vm : plan.members) {
         runner_view* view = find(vm);
-        // One that has turned up in another composition has to leave that first.
+        // A runner that is in a composition already has to leave it first.
         if (view == nullptr || view->row.group)
             continue;
         if (view->membership_confirmed)
@@ -140,7 +143,7 @@
                                            time_point now)
 {
     if (last_group_number + 1 >= epochs_in_term) {
-        lease_election.outdated(now); // a new term brings new epochs
+        lease_election.outdated(now); // epochs of this term are used up; only a new term has more
         return;
     }
     planned_group plan;
@@ -163,7 +166,8 @@
     planned.emplace(key, std::move(plan));
 }
 
-/// Makes one group of `kind` whose members are all ready within `longest`; false if it can't.
+/// Starts one group of `model_pool` from free runners that can be ready within `longest`; false if
+/// there are too few.
 bool formation_manager::state::form_group(const fabric_domain_id& domain, const pool& model_pool,
                                           duration longest, time_point now)
 {
@@ -182,7 +186,7 @@
     return true;
 }
 
-/// Fills every fabric domain of the own failure domain as the allotment of the whole fleet says.
+/// Fills every fabric domain of this failure domain according to the allocation of the whole fleet.
 void formation_manager::state::form_initial_groups(time_point now)
 {
     const bool settled = now - registry.last_joined() >= settings.settle_time ||
@@ -211,7 +215,7 @@
     }
 }
 
-/// Of those that have a group in the domain. Null if none has.
+/// The model with the largest groups among those that have a group in the domain; null if none has.
 const pool* formation_manager::state::largest_model(const fabric_domain_id& domain) const
 {
     const pool* largest = nullptr;
@@ -227,11 +231,11 @@
     return largest;
 }
 
-/// The model with the largest groups of the domain until it has spares for the losses that the
-/// domain is to bear: a large group without a spare strands the most runners. Then a model whose
-/// next group the bare runners complete, or that clearly lacks groups. Otherwise the largest again:
-/// two or three runners with another model would wait beside a broken group that they could make
-/// whole.
+/// Chooses the model to stage on spares. First the model with the largest groups of the domain,
+/// until it has `tolerated_losses` spares, because a large group without a spare idles the most
+/// runners. Then a model whose next group the runners without weights can complete, or that has
+/// clearly too few groups. Otherwise the largest again: a few runners with another model would idle
+/// next to an incomplete group that they could complete.
 const pool* formation_manager::state::model_to_stage(const fabric_domain_id& domain,
                                                      const std::vector<runner_view*>& spare,
                                                      const std::vector<model_need>& ranked) const
@@ -260,8 +264,9 @@
             }));
         const std::size_t runners_missing =
             model_pool->replica_vms - have % model_pool->replica_vms;
-        // A model that has clearly fewer groups for its share goes first, however many runners its
-        // next group still lacks; among models of about equal need the one that lacks the fewest.
+        // A model with clearly fewer groups for its share comes first, however many runners its
+        // next group lacks. Among models of similar need, the one whose next group lacks the
+        // fewest.
         const bool needier = best != nullptr && groups_per_share > need_tolerance * best_need;
         const bool nearer =
             runners_missing <= bare && (fewest_missing > bare || runners_missing < fewest_missing);
@@ -292,9 +297,9 @@
     }
 }
 
-/// A spare whose host has the weights joins in more than a second, one whose last group had them in
-/// a fifth of that. Each spare therefore joins a composition of its own and leaves it again, at a
-/// time when nobody waits for it.
+/// Warms up staged spares. A join takes more than a second if the weights are only staged on the
+/// host, and a fifth of that if the runner's last group had the same model. So each spare joins a
+/// composition of its own and leaves it again before it is needed.
 void formation_manager::state::warm_spares(const fabric_domain_id& domain, time_point now)
 {
     for (runner_view* view : free_runners(domain, now)) {
--- a/groups/formation_state.h
+++ b/groups/formation_state.h
@@ -1,5 +1,4 @@
-// Inside the formation manager: what it knows and the systems that run over it. Not part of the
-// public interface.
+// Internal state of formation_manager, shared by formation*.cc. Not part of the public interface.
 #pragma once
 
 #include "groups/formation.h"
@@ -7,72 +6,74 @@
 
 namespace jaynotch::groups {
 
-/// One runner of the domain as its manager knows it.
+/// One runner of the domain as seen by its manager.
 struct runner_view {
     runner row;
-    std::string warm_model; ///< model of the last group of this life: joins to it are quick
+    std::string warm_model; ///< model of its last group since it started; joins for it are fast
     bool listed = true;     ///< its entry is in the registry
     time_point unlisted_at;
-    time_point liveness_queried_at; ///< asked whether it lives, since its entry had gone
-    time_point probe_answered_at;   ///< a probe
+    time_point liveness_queried_at; ///< last probe that was sent because its entry was missing
+    time_point probe_answered_at;   ///< last answer to a probe
     time_point leaving_since;
-    /// By its own word it was in `row.group` after it had begun just `begun_orders` orders of this
-    /// start. Others may have reached it since.
+    /// The runner itself has confirmed (by an order reply or a report) that it was in `row.group`,
+    /// or in none, after executing exactly `begun_orders` orders since it started. Later orders may
+    /// have reached it since.
     bool membership_confirmed = false;
     std::int64_t begun_orders = 0;
-    time_point reported_at; ///< when its own word last differed from the registry
-    /// Composition that it has joined by its own word, to an order or a question. Its entry has yet
-    /// to show it; until then entries of older compositions, or of none, were written before.
+    time_point reported_at; ///< when its report last differed from its entry
+    /// Composition that the runner has joined according to its order reply or report but that its
+    /// entry does not show yet. Until it does, entries that name an older composition or none are
+    /// stale.
     std::optional<group_key> joined_before_entry;
-    /// Newest composition that it has left by its own word. Entries and reports that name it, or
-    /// one before it, are from before.
+    /// Epoch of the newest composition that the runner has confirmed leaving. Entries and reports
+    /// with this epoch or a lower one are stale.
     std::int64_t left_epoch = 0;
     bool unresponsive = false; ///< did not answer a probe
     time_point unresponsive_since;
-    bool dead = false; ///< silent, and no other node is answered either
+    bool dead = false; ///< unresponsive, and it did not answer any other node either
     time_point unresponsive_until;
-    std::optional<call_token> pending; ///< order under way
+    std::optional<call_token> pending; ///< order without a reply yet
     time_point pending_since;
     member_order pending_order;
-    std::int64_t begun_orders_before_pending = 0; ///< orders that it had begun as that was sent
-    time_point next_order_at;                     ///< of the next order
-    time_point next_report_query;                 ///< of the next question for its report
-    std::string staging;                          ///< model that was ordered onto its host
-    time_point staging_until;                     ///< given up then
+    std::int64_t begun_orders_before_pending = 0; ///< `begun_orders` when that order was sent
+    time_point next_order_at;                     ///< earliest time of the next order
+    time_point next_report_query;                 ///< earliest time of the next report request
+    std::string staging;                          ///< model that is being staged on its host
+    time_point staging_until;                     ///< staging is given up at this time
 };
 
-/// What a composition is for.
+/// Purpose of a composition.
 enum class group_purpose {
     serve,
-    /// One spare alone, never opened: joining puts the weights into its accelerators, so that the
-    /// join that makes a broken group whole again is quick.
+    /// A single spare that is never opened. Joining loads the weights into its accelerators, so
+    /// that a later join that replaces a lost member is fast.
     warm_up,
 };
 
-/// A composition that this manager has ordered.
+/// A composition ordered by this manager.
 struct planned_group {
     group_purpose purpose = group_purpose::serve;
     group_id group;
     std::int64_t epoch = 0;
     std::string model;
     std::vector<vm_id> members; ///< by rank
-    time_point deadline;        ///< dissolved if it isn't whole by then
+    time_point deadline;        ///< dissolved if it is incomplete at this time
 };
 
-/// A model with its groups for its share of the work.
+/// A model and its number of groups relative to its share of the work.
 struct model_need {
     double groups_per_share = 0.0;
     const pool* model_pool = nullptr;
 };
 
-/// A composition as the registry shows it.
+/// A composition as shown by the entries of its members.
 struct observed_group {
     group_id group;
     std::int64_t epoch = 0;
     std::map<std::uint32_t, vm_id> members; ///< by rank
 };
 
-/// Whether the runner's entry names this composition.
+/// Whether the runner is a member of this composition.
 inline bool is_in(const runner_view& view, const group_key& key)
 {
     return view.row.group && view.row.group->epoch == key.second &&
@@ -82,7 +83,7 @@
 struct formation_manager::state {
     state(formation_settings given, const runner_registry& shared);
 
-    // formation.cc: events
+    // formation.cc: events, election and orders
     void apply(const formation_event& event, time_point now);
     void adopt_runners();
     void clear_runners();
@@ -98,7 +99,7 @@
     void handle_probe_answer(const member_probed& probed, time_point now);
     void run_tick(time_point now);
 
-    // formation_dark.cc: while the registry shows nothing
+    // formation_outage.cc: managing while the platform's store is unreachable
     [[nodiscard]] bool store_unreachable(time_point now) const;
     void query_store_outage(time_point now);
     void query_members(time_point now);
@@ -115,7 +116,7 @@
     [[nodiscard]] std::string describe_use(const runner_view& view) const;
     void add_notice(log_level level, std::string kind, std::string subject, std::string detail);
 
-    // formation_groups.cc: what becomes of the groups that there are
+    // formation_groups.cc: existing groups
     void review_groups(time_point now);
     void review_group(const observed_group& observed, time_point now);
     [[nodiscard]] bool is_warm_up(const group_key& key) const;
@@ -135,7 +136,7 @@
     [[nodiscard]] std::optional<time_point> first_seen(const group_key& key) const;
     void resend_joins(time_point now);
 
-    // formation_plan.cc: what is made of free runners
+    // formation_plan.cc: use of free runners
     void form_groups(time_point now);
     bool form_group(const fabric_domain_id& domain, const pool& model_pool, duration longest,
                     time_point now);
@@ -164,25 +165,24 @@
     formation_settings settings;
     election lease_election;
     const runner_registry& registry;
-    bool managing = false;                ///< holds the domain's key, and so the runners' views
-    std::map<vm_id, runner_view> runners; ///< of the domain, while it manages
-    /// The runners by fabric domain.
+    bool managing = false;                ///< holds the domain's key; `runners` is kept up to date
+    std::map<vm_id, runner_view> runners; ///< of the domain; empty unless managing
     std::map<fabric_domain_id, std::vector<runner_view*>> by_fabric;
-    std::vector<pool> pools; ///< of models
+    std::vector<pool> pools; ///< model pools
     std::vector<peer_row> peers;
     std::map<group_key, planned_group> planned;
-    /// Worked out anew when the peers change.
+    /// Cached compute_claim_delay(); reset when the peers or the registry status change.
     std::optional<duration> delay_before_claim;
     registry_status registry_state;
     bool traffic = false;
     bool was_leading = false;
-    std::optional<group_allocation> initial_allocation; ///< once the registry has settled
-    time_point allocated_at_join;                       ///< the last runner that it counts
-    std::int64_t last_group_number = 0;                 ///< of the groups of this term
+    std::optional<group_allocation> initial_allocation; ///< computed once registration has settled
+    time_point allocated_at_join;       ///< registry.last_joined() when it was computed
+    std::int64_t last_group_number = 0; ///< within `group_number_term`
     std::int64_t group_number_term = 0;
     std::uint64_t last_token = 0;
     std::uint64_t orders = 0;
-    double load_tokens = 0.0; ///< loads that may begin now, by the weight store's rate
+    double load_tokens = 0.0; ///< token bucket: loads that may start now
     time_point load_tokens_at;
     time_point use_logged_at;
     time_point outage_queried_at;
