--- a/groups/election.cc
+++ b/groups/election.cc
@@ -1,18 +1,18 @@
-// The lease is counted from the sending of its grant or renewal, on this node's own clock, which
-// counts suspended time too: the holder always believes it to end before the platform does.
+// The lease is measured from the sending of its grant or renewal, on this node's own clock, which
+// includes suspended time. So the holder always considers it expired before the platform does.
 //
-// An outage of the platform. No renewal is answered, the lease ends, and no other node could claim
-// the key either: groups that lose members would stay broken until the platform is back. So a
-// manager in doubt asks all other nodes. One that does not reach the platform says so, and neither
-// claims nor manages for 2 s; if all say so, the manager goes on for 1 s from when it asked, and
-// asks again. One node that reaches the platform, or does not answer, is enough for it to stop. At
-// no moment do two nodes manage: the word ends before the pledge behind it, also where a claim was
-// on its way as it was given. Nothing is agreed on or kept by this, and runners compare terms as
-// ever.
+// Outage of the platform. No renewal is answered, the lease expires, and no other node can claim
+// the key either, so groups that lose members would stay broken until the platform is back.
+// Therefore a manager whose renewals fail asks all other nodes. A node that can't reach the
+// platform confirms that and neither claims nor manages for 2 s; if all nodes confirm, the manager
+// continues for 1 s from its question, and asks again. A single node that reaches the platform, or
+// does not answer, makes the manager stop. Two nodes never manage at once: the manager's 1 s ends
+// before the 2 s of each confirming node, even if that node's claim was in flight when it answered.
+// This is no consensus and stores nothing; runners still compare terms.
 //
-// A claim whose answer was lost is settled by the watch: the key then carries this node's name and
-// lease. A pause between the check of the lease and an order is covered by the term, which runners
-// compare.
+// If the answer to a claim is lost, the watch shows whether it succeeded: the key then contains
+// this node's name and lease. A pause between the check of the lease and the sending of an order is
+// covered by the term, which runners compare.
 #include "groups/election.h"
 
 namespace jaynotch::groups {
@@ -83,7 +83,7 @@
     m_call = election_call::none;
     m_not_before = now + m_settings.retry;
     if (!answer.outcome || !answer.outcome.value().succeeded)
-        return true; // lost, or another was first: the watch tells
+        return true; // answer lost, or another node was first; the watch shows which
     m_term = answer.outcome.value().revision;
     m_until = m_lease_sent + m_settings.lease - m_settings.margin;
     return true;
@@ -98,7 +98,7 @@
     m_call = election_call::none;
     if (!answer.lease) {
         if (was == election_call::renew && answer.lease.error().kind == error_kind::not_found) {
-            m_term = 0; // lapsed
+            m_term = 0; // the lease has expired
             m_lease = lease_id{0};
         }
         m_not_before = now + m_settings.retry;
--- a/groups/election.h
+++ b/groups/election.h
@@ -1,13 +1,14 @@
-// Who manages a failure domain where the manager's key is watched anyway: a key under a lease, held
-// by one daemon. Its revision is the term, which is the fencing number of the manager's orders.
+// Leader election for the manager of a failure domain: a key under a lease in the platform's store,
+// held by one daemon and watched by all. The key's revision is the term, which the manager's orders
+// carry as their fencing number.
 //
 //   election vote{{.key = manager_key, .self = node}};
-//   vote.key_updated(entry, now);           // from the watch; nullopt: the key is not there
-//   vote.tick(patience, now, out);       // claims a key that was missing for `patience`
+//   vote.key_updated(entry, now);        // from the watch; nullopt: the key does not exist
+//   vote.tick(claim_delay, now, out);    // claims a key that has been missing for `claim_delay`
 //   if (vote.leading(now)) order(vote.term());
 //
-// Unlike `leadership` it never asks the platform who leads: where every node watches, asking is a
-// call a period and node for nothing.
+// Unlike `leadership` it never polls the platform for the current leader: every node watches the
+// key anyway, so polling would cost one call per node and period without benefit.
 #pragma once
 
 #include "groups/types.h"
@@ -18,7 +19,7 @@
 
 namespace jaynotch::groups {
 
-/// Ends a lease, so that the next manager need not wait for it.
+/// Ends a lease, so that the next manager need not wait for its expiry.
 struct lease_end {
     lease_id lease;
 };
@@ -27,17 +28,18 @@
 struct election_settings {
     std::string key;
     node_id self;
-    std::chrono::seconds lease{2}; ///< how long a domain goes unmanaged when its manager dies
-    duration margin = 300ms;       ///< the manager stops itself this much before its lease
-    duration renewal = 600ms;      ///< between two renewals: two may fail within the lease
+    std::chrono::seconds lease{2}; ///< a domain is unmanaged this long after its manager dies
+    duration margin = 300ms;       ///< the manager stops this long before its lease expires
+    duration renewal = 600ms;      ///< renewal interval; two renewals may fail within the lease
     duration call_timeout = 1s;    ///< a call unanswered for this long counts as lost
-    duration retry = 300ms;        ///< after a claim that failed
-    /// Less of the lease left than this, and renewals fail: they leave 1.1 s in good times, and
-    /// 0.3 s less on a slow platform.
+    duration retry = 300ms;        ///< delay after a failed claim
+    /// Renewals count as failing if less than this is left of the lease. Successful renewals leave
+    /// at least 1.1 s, and 0.3 s less on a slow platform.
     duration renewal_warning = 700ms;
-    /// A manager whose lease ends acts on its peers' word for this long, from when it asked them...
+    /// When all peers confirm an outage, the manager continues for this long after it asked them.
     duration confirmation_validity = 1s;
-    /// ... and who gave it stands back for longer, from when it answered.
+    /// A peer that confirms an outage neither claims nor manages for this long after its answer.
+    /// Longer than confirmation_validity, so that two nodes never manage at once.
     duration pledge_duration = 2s;
 };
 
@@ -45,34 +47,36 @@
 public:
     explicit election(election_settings settings) : m_settings{std::move(settings)} {}
 
-    /// The key as the watch shows it.
+    /// Handles the state of the key as reported by the watch.
     void key_updated(const std::optional<kv_entry>& entry, time_point now);
-    /// Due calls. `patience`: how long the key must be missing before this node claims it; nullopt
-    /// if this node must not.
+    /// Appends the calls that are due. `claim_delay`: how long the key must be missing before this
+    /// node claims it; nullopt if this node must not claim it.
     void tick(std::optional<duration> claim_delay, time_point now,
               std::vector<election_command>& out);
-    /// Takes the answer if it is to one of its calls.
+    /// Handles the answer to one of its calls; false if the answer belongs to another call.
     bool apply(const kv_result& answer, time_point now);
     bool apply(const lease_result& answer, time_point now, std::vector<election_command>& out);
-    /// A runner knows a newer term than ours: another manager was elected meanwhile.
+    /// Gives up leadership because a runner knows a newer term, so another manager was elected.
     void outdated(time_point now);
-    /// Gives the key up on a planned stop.
+    /// Gives up the key on a planned stop.
     void resign(std::vector<election_command>& out);
 
-    /// Every other node, asked at `asked`, has said that the platform does not answer it either,
-    /// and stands back. So nobody can have taken the key, and the holder goes on.
+    /// Every other node, asked at `asked`, has answered that it can't reach the platform either and
+    /// has suspended its candidacy. So no other node can hold the key, and its holder continues.
     void outage_confirmed(time_point asked);
-    /// This node has said so to another: it neither claims the key nor manages for a while.
+    /// This node has confirmed an outage to another node: it neither claims the key nor manages for
+    /// `pledge_duration`.
     void suspend_candidacy(time_point now);
 
-    /// True while this node's own clock says that its lease can't have lapsed, or its peers' word
-    /// holds.
+    /// True while, by this node's own clock, its lease can't have expired or its peers'
+    /// confirmation of an outage is valid.
     [[nodiscard]] bool leading(time_point now) const
     {
         return m_term != 0 && now >= m_suspended_until &&
                (now < m_until || now < m_confirmed_until);
     }
-    /// Whether its lease is about to end though it asked for renewal: time to ask the peers.
+    /// Whether the lease is about to end because renewals fail; the peers should be asked about an
+    /// outage.
     [[nodiscard]] bool renewal_overdue(time_point now) const
     {
         return m_term != 0 && m_until - now < m_settings.renewal_warning;
@@ -93,17 +97,17 @@
     call_token m_token;
     time_point m_call_sent;
     lease_id m_lease;
-    time_point m_lease_sent; ///< sending of the grant or renewal that was answered last
-    time_point m_until;      ///< this node leads no longer than this
+    time_point m_lease_sent; ///< when the last answered grant or renewal was sent
+    time_point m_until;      ///< end of leadership under the lease
     std::int64_t m_term = 0; ///< 0 while it does not hold the key
     bool m_key_known = false;
     bool m_key_exists = false;
     std::string m_holder; ///< value of the key
     time_point m_missing_since;
-    time_point m_not_before;      ///< of the next claim
+    time_point m_not_before;      ///< earliest time of the next claim
     time_point m_renewed;         ///< when a renewal was last sent
-    time_point m_confirmed_until; ///< the peers' word holds
-    time_point m_suspended_until; ///< stands back
+    time_point m_confirmed_until; ///< end of the peers' confirmation of an outage
+    time_point m_suspended_until; ///< end of the suspended candidacy
 };
 
 } // namespace jaynotch::groups
--- a/groups/leadership.cc
+++ b/groups/leadership.cc
@@ -1,10 +1,11 @@
-// The lease is counted from the sending of the grant or renewal, on this node's own clock, so the
-// holder always believes it to end before the platform does (Gray and Cheriton 1989). The margin
+// The lease is measured from the sending of its grant or renewal, on this node's own clock, so the
+// holder always considers it expired before the platform does (Gray and Cheriton 1989). The margin
 // covers the drift between the two clocks.
 //
-// What that leaves open is a pause between the check and the act. A write is safe from it: it
-// compares the key's mod_revision and the record's, so a manager that wakes up late writes nothing.
-// An order is guarded by the fencing number, and where engines ignore that by the order horizon.
+// This does not cover a pause between the check of the lease and the action. Writes are safe: they
+// compare the mod_revision of the key and of the record, so a manager that resumes late writes
+// nothing. Orders are protected by the fencing number or, if engines ignore it, by the order
+// horizon.
 #include "groups/leadership.h"
 
 #include "groups/record.h"
@@ -42,7 +43,7 @@
         return;
     m_pending = {};
     if (m_holds_key && now >= m_until)
-        m_holds_key = false; // the self-stop; the lease may live on, and a look tells
+        m_holds_key = false; // the lease may still be valid; the next check of the key shows it
     if (m_holds_key) {
         if (now - m_lease_sent >= m_settings.lease / 3)
             renew(now, out);
@@ -88,7 +89,7 @@
         return false;
     const pending_call call = std::exchange(m_pending, {});
     if (!answer.outcome)
-        return true; // a claim that was lost on its way back shows at the next look
+        return true; // if a claim succeeded, the next check of the key shows it
     m_last_platform_answer = now;
     const kv_outcome& outcome = answer.outcome.value();
     const std::string manager = manager_key(m_settings.deployment, m_settings.domain);
@@ -110,7 +111,7 @@
         out.emplace_back(lease_grant{m_pending.token, m_settings.lease});
         return true;
     }
-    // The key is there. If it carries this node's own lease, a claim or renewal had lost its reply.
+    // The key exists. If it contains this node's lease, the reply to a claim or renewal was lost.
     if (key != nullptr && m_lease.value() != 0 && key->value == key_value()) {
         m_key_revision = key->mod_revision;
         renew(now, out);
@@ -124,7 +125,8 @@
         return false;
     const pending_call call = std::exchange(m_pending, {});
     if (!answer.lease) {
-        // Unknown to the platform: lapsed. Anything else may still be true, so it is kept.
+        // The platform does not know the lease: it has expired. After any other error it may still
+        // be valid.
         if (call.kind == call_kind::renew && answer.lease.error().kind == error_kind::not_found)
             step_down();
         return true;
--- a/groups/orders.cc
+++ b/groups/orders.cc
@@ -1,10 +1,10 @@
-// Release before reuse: a VM that reports another group than the record's is released first and
-// must then be quiet for an order horizon before it is assigned. Within its own group it may be
-// ordered anew at any time.
+// Release before reuse: a VM that reports a group other than the record's is released first and
+// must then stay unassigned for an order horizon before it is assigned again. Within its own group
+// it may get new orders at any time.
 //
-// Loads go group by group, the one with the fewest loads left first (shortest remaining time first
-// minimises the sum of the times to completion on one shared server, Schrage 1968): sharing the
-// weight store's rate evenly would make all groups whole at the very end, together.
+// Weights are loaded group by group, fewest remaining loads first (shortest remaining time first
+// minimises the sum of completion times on one shared server, Schrage 1968). Sharing the weight
+// store's rate evenly would complete all groups only at the very end.
 #include "groups/orders.h"
 
 #include <algorithm>
@@ -13,13 +13,13 @@
 
 namespace {
 
-/// The places of a group that must be loaded or told anew.
+/// The ranks of a group whose VMs need an order.
 struct group_work {
     const group_assignment* group = nullptr;
     const group_sight* sight = nullptr;
     std::vector<member> members;
     std::vector<std::size_t> to_order;
-    std::size_t loads = 0; ///< of them, those that need weights
+    std::size_t loads = 0; ///< how many of `to_order` have to load weights
 };
 
 bool loaded(const vm_view& view, const group_assignment& group, std::size_t rank)
@@ -36,8 +36,8 @@
         }));
 }
 
-/// Whether another domain's record names `vm`: the list is wrong about where the VM is, and the
-/// domain that holds it goes on holding it.
+/// Whether another domain's record names `vm`. Then the VM list is wrong about the VM's domain, and
+/// the domain whose record names it keeps it.
 bool in_other_record(const vm_id& vm, const order_input& in)
 {
     const auto names = [&](const member& one) { return one.vm == vm; };
@@ -52,13 +52,13 @@
     });
 }
 
-/// Which places of `group` differ from what they should be.
+/// The ranks of `group` whose VMs do not yet report the membership that they should have.
 group_work work_of(const group_assignment& group, const group_sight& sight, vm_table& vms,
                    const order_input& in)
 {
     group_work work{&group, &sight, group.members, {}, 0};
-    // Survivors are only told of the new composition once every replacement is loaded; while the
-    // platform answers, the record is changed first and `members` are the new ones by then.
+    // Survivors get the new composition only once every replacement is loaded. While the platform
+    // answers, the record is changed first, so `members` is already the new composition by then.
     const bool switching = in.platform_unreachable && (sight.can_switch || sight.switched);
     if (switching)
         work.members = sight.target;
@@ -102,7 +102,7 @@
     }
     std::erase_if(m_bound, [&](const auto& entry) { return !named.contains(entry.first); });
 
-    // Whatever an engine believes, the record goes before it: let go what isn't named there.
+    // The record takes precedence over the reports: release VMs that it does not name.
     for (auto& [vm, view] : vms.all()) {
         if (in.platform_unreachable || !vms.fresh(view, in.now) ||
             view.report->group.value().empty())
@@ -118,7 +118,8 @@
                      [](const group_work& a, const group_work& b) { return a.loads < b.loads; });
     std::size_t loads = loading_now(vms, in.now);
     for (const group_work& work : works) {
-        // A group is let in whole or not at all; the first always, whatever its size.
+        // A group starts loading with all its members or not at all. The first one always may,
+        // even if it exceeds `loads_at_once`.
         const bool room =
             work.loads == 0 || loads == 0 || loads + work.loads <= in.settings.loads_at_once;
         const bool started =
@@ -141,7 +142,7 @@
     vm_view& view = *vms.find(members[rank].vm);
     const group_id& reported = view.report->group;
     if (!reported.value().empty() && reported != group.group)
-        return; // released first
+        return; // it has to be released first
     const auto bound = m_bound.find(view.id.vm);
     const bool bound_long_enough =
         bound != m_bound.end() && in.now - bound->second.second >= in.settings.order_horizon;
@@ -200,7 +201,7 @@
     }
     if (in.now - view.order.at < in.settings.order_retry)
         return false;
-    // An engine that takes an order and does nothing, or fails at it again and again.
+    // The engine accepts orders but does not execute them, or fails repeatedly.
     if (view.order.attempts >= in.settings.order_attempts) {
         vms.set_aside(view.id.vm, in.now);
         return false;
--- a/groups/orders.h
+++ b/groups/orders.h
@@ -1,5 +1,9 @@
-// Orders: what every engine of the domain is to be told so that it follows the record. Compared
-// with the reports at each tick, so an order that was lost, refused or ignored is simply due again.
+// Computes the orders that make every engine of the domain follow the record. Each tick compares
+// the record with the engines' reports, so an order that was lost, refused or ignored is sent
+// again.
+//
+//   order_book orders{"node-1"};                     // prefix of the order names
+//   orders.send(input, vms, next_token, commands);    // at each tick
 #pragma once
 
 #include "groups/plan.h"
@@ -10,15 +14,15 @@
 
 namespace jaynotch::groups {
 
-/// What the order system reads besides the VMs.
+/// Input of an order_book besides the VMs.
 struct order_input {
     const manager_settings& settings;
     const domain_record& record;
     const record_map& records; ///< of all domains
     const std::map<group_id, group_sight>& sights;
     time_point now;
-    time_point not_after; ///< no order may be sent later
-    /// The platform is dark: only switches to bound standbys, nothing is released.
+    time_point not_after; ///< no order may be sent after this time
+    /// The platform does not answer: members are replaced by bound standbys, nothing is released.
     bool platform_unreachable = false;
 };
 
@@ -27,7 +31,7 @@
 public:
     explicit order_book(std::string name) : m_name{std::move(name)} {}
 
-    /// The orders due now. `next_token` numbers the calls.
+    /// Appends the orders that are due. `next_token` numbers the calls.
     template <class NextToken>
     void send(const order_input& in, vm_table& vms, NextToken next_token,
               std::vector<manager_command>& out)
@@ -55,7 +59,7 @@
 
     std::string m_name;
     std::uint64_t m_sent = 0;
-    /// Since when the record, as this manager knows it, has named a VM in its present group.
+    /// The group in which the record names each VM, and since when this manager has seen it so.
     std::map<vm_id, std::pair<group_id, time_point>> m_bound;
 };
 
--- a/groups/plan.cc
+++ b/groups/plan.cc
@@ -1,11 +1,11 @@
-// The planner runs a fixed row of passes over a copy of the record. Each pass
-// is level-triggered: it looks at how things stand, never at how they came
-// about, so a run that was lost, written by a manager since dead, or half
-// carried out by the engines is simply continued by the next one.
+// The planner runs a fixed sequence of passes over a copy of the record. Each
+// pass is level-triggered: it depends on the current state, not on the events
+// that led to it. So a plan that was lost, written by a manager that has died
+// since, or executed in part by the engines is simply continued by the next run.
 //
-// Why no pass can put a VM into two groups: VMs enter the record only through
-// take_spare and take_vm, which take them out of the spares or out of the group
-// that had them bound.
+// No pass can put a VM into two groups: VMs enter the record only through
+// take_spare and take_vm, which remove them from the spares or from the group
+// that they were bound to.
 #include "groups/plan.h"
 
 #include "groups/plan_pass.h"
@@ -14,8 +14,9 @@
 
 namespace {
 
-constexpr duration forced_switch_lead =
-    5s; ///< before a leaving VM goes, its group is switched anyway
+/// A group with a leaving member is switched even if it is busy once the member
+/// has at most this time left.
+constexpr duration forced_switch_lead = 5s;
 
 std::set<vm_id> all_assigned(const record_map& records, const domain_record& next)
 {
@@ -28,8 +29,8 @@
                 assigned.insert(one.vm);
         }
     };
-    // Other domains' records too: the list may show a VM here that another domain
-    // still holds.
+    // Includes other domains' records, because the VM list may show a VM in this
+    // domain that another domain's record still names.
     for (const auto& [domain, record] : records) {
         if (domain != next.domain)
             add(record);
@@ -107,16 +108,16 @@
     for (group_assignment& group : next.groups) {
         const pool* row = pool_of(group);
         if (!group.retiring && (row == nullptr || !allowed_in(*row, next.domain)))
-            start_drain(group, true, "pool dropped or moved");
-        // The group that it was built beside is gone: it counts as any other from
-        // now on.
+            start_drain(group, true, "pool removed or moved to other domains");
+        // The group that it was built to replace is gone, so it counts like any
+        // other group.
         if (find(group.replaces) == nullptr)
             group.replaces = group_id{};
     }
     for (const pool* row : pools_by_rank(in.tables)) {
         const pool_share share = shares.share(row->name);
         // Another domain's manager may see the list or a record later than this
-        // one: a difference that has not lasted is no reason to dissolve a group.
+        // one, so only a lasting difference is a reason to dissolve a group.
         const bool surplus = self.m_since.held_for("surplus " + row->name.value(),
                                                    share.surplus > 0, in.now) > in.settings.settle;
         const bool yields_to_higher_rank =
@@ -136,7 +137,8 @@
                              return outdated(*left) && !outdated(*right);
                          });
         for (std::size_t i = 0; i < std::min(retire_count, candidates.size()); ++i)
-            start_drain(*candidates[i], true, surplus ? "more than wanted" : "gives way by rank");
+            start_drain(*candidates[i], true,
+                        surplus ? "more groups than wanted" : "yields to a pool of higher rank");
     }
 }
 
@@ -171,8 +173,8 @@
         if (group.retiring)
             continue;
         if (!seen.can_switch && !seen.switched) {
-            // The reason to drain may be gone: the member that was to be replaced is
-            // back.
+            // The reason to drain may have ceased, because the member that was to
+            // be replaced is back.
             group.draining = group.draining && outdated(group);
             continue;
         }
@@ -182,8 +184,8 @@
             must_switch_now = must_switch_now || (view != nullptr && view->leaving &&
                                                   view->leaves_at - in.now <= forced_switch_lead);
         }
-        // A planned switch ends the requests in flight, so it waits until there are
-        // none.
+        // A switch ends the requests in flight, so a planned one waits until there
+        // are none.
         if (seen.whole && !seen.switched && !must_switch_now) {
             if (being_replaced(group.group))
                 continue;
@@ -197,8 +199,7 @@
         });
         group.members = seen.target;
         group.draining = false;
-        add_notice("members_replaced", group.group,
-                   "bound standbys took the place of lost members");
+        add_notice("members_replaced", group.group, "bound standbys replaced lost members");
     }
 }
 
@@ -260,8 +261,8 @@
 
 bool planner::pass::drained(const group_assignment& group)
 {
-    // Counted from the record that says so, not from the plan: a group whose
-    // draining is not yet written still gets requests.
+    // Measured from the written record, not from the plan: a group still gets
+    // requests until its draining has been written.
     const auto written = std::find_if(in.record.groups.begin(), in.record.groups.end(),
                                       [&](const auto& one) { return one.group == group.group; });
     const bool draining = written != in.record.groups.end() && written->draining;
@@ -270,7 +271,7 @@
         return false;
     if (!whole(group))
         return true;
-    // By then every node's ticket says that it drains, or has run out.
+    // By then every node's ticket for the group shows the draining or has expired.
     const bool known = lasted > in.settings.report_horizon;
     return (known && sight(group).idle) || lasted > in.settings.drain_limit;
 }
--- a/groups/plan.h
+++ b/groups/plan.h
@@ -1,5 +1,10 @@
-// The planner: what the domain's record should say next. It is a function of the record, the
-// reports, the VM list and the tables; the manager writes what it returns and calls it again.
+// The planner computes the next record of a fabric domain from the current record, the engines'
+// reports, the VM list and the tables. The manager writes the result and calls the planner again.
+//
+//   planner plan;
+//   const domain_record wanted = plan.next(input, notices);
+//   if (wanted.groups != input.record.groups)
+//       write(wanted);
 #pragma once
 
 #include "groups/domain_shares.h"
@@ -12,7 +17,7 @@
 
 namespace jaynotch::groups {
 
-/// What the planner reads.
+/// Input of the planner.
 struct plan_input {
     const manager_settings& settings;
     const domain_record& record;
@@ -22,24 +27,26 @@
     time_point now;
 };
 
-/// Since when a reason for a change has held; a change that moves VMs waits for it to last.
+/// Measures for how long each reason for a change has held. Changes that move VMs wait until their
+/// reason has held for some time.
 class condition_timers {
 public:
-    /// How long `holds` has been true for `what`; 0 if it isn't.
+    /// How long `holds` has been true for `what` without a break; 0 if it is false.
     duration held_for(const std::string& what, bool holds, time_point now);
 
 private:
     std::map<std::string, time_point> m_since;
 };
 
-/// The planner of one domain. Its memory only spares work and damps; it holds no assignment.
+/// The planner of one fabric domain. Its state only avoids repeated work and flapping; assignments
+/// are stored in the record alone.
 class planner {
 public:
-    /// The next record; equal to `in.record` but for `change` if nothing is to be done.
+    /// The next record. Equal to `in.record`, apart from `change`, if nothing has to change.
     domain_record next(const plan_input& in, std::vector<notice>& notices);
-    /// How the groups of the record stood at the last call of next().
+    /// State of the record's groups at the last call of next() or look().
     [[nodiscard]] const std::map<group_id, group_sight>& sights() const { return m_sights; }
-    /// Looks again, without planning: for a manager that may not write.
+    /// Updates sights() without planning, for a manager that may not write.
     void look(const plan_input& in);
 
 private:
--- a/groups/plan_pass.h
+++ b/groups/plan_pass.h
@@ -1,5 +1,5 @@
-// One run of the planner: the record being changed, and what the passes over it share. Internal to
-// the library (plan.cc, rollout.cc, repair.cc).
+// One run of the planner: the record being changed and the state shared by the passes over it.
+// Internal to the library (plan.cc, rollout.cc, repair.cc).
 #pragma once
 
 #include "groups/plan.h"
@@ -12,7 +12,7 @@
 struct planner::pass {
     pass(planner& owner, const plan_input& input, std::vector<notice>& out);
 
-    // plan.cc: what has to go and what has come to its end.
+    // plan.cc: groups and standbys that are retired, dissolved or switched.
     void drop_unusable_standbys();
     void retire_surplus();
     void dissolve_unrecoverable();
@@ -22,7 +22,7 @@
     void roll_out();
     void build_replacements_for_leaving();
     [[nodiscard]] bool being_replaced(const group_id& group) const;
-    // repair.cc: VMs to where they are worth most.
+    // repair.cc: VMs are assigned where they are worth most.
     void replace_lost_members();
     void complete_one_from_another();
     void form_groups();
@@ -32,7 +32,7 @@
     [[nodiscard]] const pool* pool_of(const group_assignment& group) const;
     [[nodiscard]] const group_sight& sight(const group_assignment& group) const;
     [[nodiscard]] bool outdated(const group_assignment& group) const;
-    /// All members ready, in the record's composition or after a switch.
+    /// Whether all members are ready, in the record's composition or in the one after a switch.
     [[nodiscard]] bool whole(const group_assignment& group) const;
     duration held_for(const char* why, const group_id& group, bool holds);
     void erase(const group_id& group, const char* why);
@@ -40,12 +40,13 @@
     [[nodiscard]] bool drained(const group_assignment& group);
     void add_notice(const char* kind, const group_id& group, std::string detail);
 
-    /// VMs that may join a group now and that no group of `next` names.
+    /// VMs that may join a group and are named by no group of `next`.
     std::vector<member>& spares() { return m_spares; }
-    /// Bound standbys that no place needs at present.
+    /// Number of bound standbys that are not needed as substitutes.
     [[nodiscard]] std::size_t unneeded_standbys() const;
     std::optional<member> take_spare();
-    /// A spare or, if there is none, the unneeded standby of the group that has most of them.
+    /// Removes and returns a spare or, if there is none, an unneeded standby of the group with the
+    /// most standbys, `for_group` excepted.
     std::optional<member> take_vm(const group_id& for_group);
     void add_group(const pool& row, const group_id& replaces);
 
