--- a/groups/runner_registry.cc
+++ b/groups/runner_registry.cc
@@ -1,5 +1,5 @@
-// Every change takes the runner's old entry out of all counts, changes it and counts it again, so
-// that the counts can't drift from the entries.
+// Every change removes the runner's old entry from all counts, edits it and counts it again, so the
+// counts always match the entries.
 #include "groups/runner_registry.h"
 
 #include <algorithm>
@@ -18,14 +18,14 @@
     return is_head(row) && row.group->phase == member_phase::open;
 }
 
-/// What the router goes by of an entry itself, whatever the group that it is in.
+/// The row if the router uses it: a listed plain server or open head. Otherwise nullopt.
 std::optional<runner> served_row(const registered_runner& entry)
 {
     const bool served = !entry.row.joins_groups() || is_open_head(entry.row);
     return entry.listed && served ? std::optional{entry.row} : std::nullopt;
 }
 
-/// The composition that an entry counts for.
+/// The composition that the entry counts towards; nullopt if it is unlisted or names none.
 std::optional<group_key> counted_group(const registered_runner& entry)
 {
     return entry.listed && entry.row.group ? std::optional{key_of(*entry.row.group)} : std::nullopt;
--- a/groups/runner_registry.h
+++ b/groups/runner_registry.h
@@ -1,12 +1,12 @@
-// What the platform's registry shows of all backend servers: one copy a node, kept by the feed and
-// read by the managers of groups and by the router.
+// A node's copy of the platform's registry of backend servers. Updated by the registry feed, read
+// by the group managers and the router.
 //
 //   runner_registry known;
-//   known.take(row, now);                  // an entry, as it changes
-//   known.drop(vm, now);                   // its entry is gone
-//   known.heads()                          // who may be sent a model's requests
+//   known.update(row, now);                // an entry was added or changed
+//   known.remove(vm, now);                 // an entry was removed
+//   known.heads()                          // members that take requests for a group
 //
-// A change costs no more than a few lookups, whatever the number of runners.
+// A change costs a few lookups, independent of the number of runners.
 #pragma once
 
 #include "base/base.h"
@@ -23,11 +23,11 @@
 
 namespace jaynotch::groups {
 
-/// A composition's name and epoch.
+/// Identifies a composition: name and epoch of its group.
 using group_key = std::pair<group_id, std::int64_t>;
 
-/// A runner whose entry has gone is remembered for this long: its group may outlive the entry where
-/// it is cut off.
+/// A runner is kept for this long after its entry was removed, because its group may still be
+/// serving behind a partition.
 constexpr duration unlisted_retention = std::chrono::seconds{120};
 
 inline group_key key_of(const membership& said)
@@ -35,64 +35,65 @@
     return {said.group, said.epoch};
 }
 
-/// One start of a backend server, with what its earlier entries said.
+/// A backend server since its last start, with the history of its entries.
 struct registered_runner {
     runner row;
     bool listed = false;      ///< its entry is in the registry
     time_point unlisted_at;   ///< if not listed
     time_point leaving_since; ///< if leaving
-    time_point reported_at;   ///< when its own word last differed from its entry
-    std::string warm_model;   ///< model of the last group of this start: joins to it are quick
+    time_point reported_at;   ///< when its report last differed from its entry
+    std::string warm_model;   ///< model of its last group since it started; joins for it are fast
 };
 
 class runner_registry {
 public:
     using runner_map = std::map<vm_id, registered_runner>;
-    /// Heads of groups by their model.
+    /// Number of group heads by model.
     using model_counts = std::map<std::string, std::size_t>;
 
-    /// A runner's entry is new or has changed.
+    /// Adds or replaces a runner's entry.
     void update(const runner& row, time_point now);
-    /// A runner's entry is gone. It is remembered for a while, since its group may outlive it.
+    /// Marks a runner's entry as removed. The runner is kept for `unlisted_retention`.
     void remove(const vm_id& vm, time_point now);
-    /// A runner's own word while the registry can't tell; false if it is of another start.
+    /// Applies a state reported by a listed runner while the registry can't be written. False if the
+    /// runner is not listed or the report is from another start of it.
     bool tell(const runner_word& word, time_point now);
 
-    /// Null if the runner is not known, nor has been lately.
+    /// Null if the runner is not listed and was not within `unlisted_retention`.
     [[nodiscard]] const registered_runner* find(const vm_id& vm) const;
-    /// All that are listed or were lately.
+    /// All runners that are listed or were within `unlisted_retention`.
     [[nodiscard]] const runner_map& runners() const { return m_runners; }
     [[nodiscard]] std::size_t listed() const { return m_listed; }
     /// Listed runners of rank 0, whatever their phase.
     [[nodiscard]] const std::set<vm_id>& heads() const { return m_heads; }
-    /// Listed servers that join no groups.
+    /// Listed backend servers that never join groups.
     [[nodiscard]] const std::set<vm_id>& plain_servers() const { return m_plain; }
     /// Listed runners whose entries name the composition.
     [[nodiscard]] std::size_t members_of(const group_key& key) const;
-    /// When an entry first named the composition; nullopt if none does.
+    /// When an entry first named the composition; nullopt if no known entry does.
     [[nodiscard]] std::optional<time_point> first_seen(const group_key& key) const;
-    /// Heads of each failure domain that has had runners.
+    /// Head counts of every failure domain that has had runners.
     [[nodiscard]] const std::map<failure_domain_id, model_counts>& heads_by_domain() const
     {
         return m_heads_by_domain;
     }
-    /// Listed runners of each fabric domain that stay.
+    /// Number of listed runners that are not leaving, by fabric domain.
     [[nodiscard]] const std::map<fabric_domain_id, domain_capacity>& capacities() const
     {
         return m_capacities;
     }
-    /// When the first runner was seen, and when one was last seen that was not known.
+    /// When the first runner was listed, and when one was last listed that was not listed before.
     [[nodiscard]] time_point first_joined() const { return m_first_joined; }
     [[nodiscard]] time_point last_joined() const { return m_last_joined; }
-    /// Rises with each change of an open head, a plain server or the members of an open group.
+    /// Incremented by each change of an open head, a plain server or the members of an open group.
     [[nodiscard]] std::uint64_t serving_version() const { return m_serving_version; }
 
 private:
     struct composition {
         time_point first_seen;
-        std::size_t named = 0;  ///< entries, also those that have gone
-        std::size_t listed = 0; ///< entries that are there
-        std::size_t open = 0;   ///< of those, heads that are open
+        std::size_t named = 0;  ///< known entries, removed ones included
+        std::size_t listed = 0; ///< listed entries
+        std::size_t open = 0;   ///< listed entries of open heads
     };
 
     void change(registered_runner& entry, time_point now,
@@ -108,7 +109,7 @@
     std::set<vm_id> m_plain;
     std::map<failure_domain_id, model_counts> m_heads_by_domain;
     std::map<fabric_domain_id, domain_capacity> m_capacities;
-    std::deque<std::pair<time_point, vm_id>> m_unlisted; ///< in the order in which they went
+    std::deque<std::pair<time_point, vm_id>> m_unlisted; ///< in order of removal
     std::size_t m_listed = 0;
     time_point m_first_joined;
     time_point m_last_joined;
