--- a/groups/domain_shares.cc
+++ b/groups/domain_shares.cc
@@ -1,6 +1,7 @@
-// Groups that stand count where they are, so that shares don't move when a VM comes or goes. What
-// is missing goes to the domain with most room, pool by pool in order of rank. What is too much is
-// taken from the groups whose ids hash highest, which every manager reckons alike.
+// Existing viable groups count towards the share of their domain, so that shares do not move when a
+// VM is added or removed. Missing groups are assigned to the domain with the most free VMs, pool by
+// pool in order of rank. If a pool has too many groups, those whose ids have the highest hashes are
+// surplus; every manager computes the same hashes.
 #include "groups/domain_shares.h"
 
 #include <algorithm>
@@ -25,7 +26,7 @@
     std::size_t in_groups = 0;
     for (const group_assignment& group : record.groups) {
         if (group.retiring)
-            continue; // its VMs will be free
+            continue; // its VMs will be free soon
         const auto live = static_cast<std::size_t>(
             std::count_if(group.members.begin(), group.members.end(),
                           [&](const member& one) { return listed.contains(one.vm); }));
@@ -36,6 +37,7 @@
     std::stable_sort(needs.begin(), needs.end(), [](const need& left, const need& right) {
         return left.missing < right.missing;
     });
+    // Groups that miss the fewest VMs are completed first. The VMs of one that can't be are free.
     for (const need& one : needs) {
         if (one.missing > counted.free) {
             counted.free += one.group->members.size() - one.missing;
@@ -66,7 +68,8 @@
     fabric_domain_id domain;
 };
 
-/// Takes one group of the lowest rank under that of `row` out of the counts.
+/// Replaces one group of the lowest-ranked pool below `row` by a group of `row` in the counts.
+/// Returns that pool and domain, or a null row if there is none.
 yielding_group yield_to(domain_counts& domains, const configuration& tables, const pool& row)
 {
     const std::vector<const pool*> ranked = pools_by_rank(tables);
--- a/groups/group_allocation.cc
+++ b/groups/group_allocation.cc
@@ -1,20 +1,22 @@
-// Worth: for each model the logarithm of its groups, weighted by its part of the work, damped. That
-// makes the first groups of a model worth most and gives each model runners after its part. A
-// domain counts with the groups that it has left on average over a few losses: spares are worth
-// most beside large groups, each of which strands many runners when it misses one. Added to it is a
-// little for the runners left over, each of which makes a broken group whole again in a moment, and
-// for each failure domain that has a model of its own, since it may be cut off.
+// Utility: the sum over the models of the logarithm of their group counts, weighted by the damped
+// share of the work. So the first groups of a model are worth most, and each model gets runners
+// according to its share. A fabric domain counts with the average number of groups that it has left
+// over a few losses: spares are worth most next to large groups, which idle many runners when one
+// member is missing. Small terms are added for spare runners, each of which can replace a lost
+// member quickly, and for each model that a failure domain has a group of, because the failure
+// domain may be cut off from the others.
 //
-// Search: every domain starts with the fill that leaves the fewest runners over; then single
-// domains and pairs of them take the fills that make the whole worth more, until none can be
-// bettered. Pairs are needed, since giving a group of one model for one of the other often takes
-// two domains. That is the optimum in every case that the tests enumerate.
+// Search: every fabric domain starts with the fill (number of groups of each model) that leaves the
+// fewest runners unused. Then single domains and pairs of domains change to fills that increase the
+// total utility, until no change does. Pairs are needed because replacing a group of one model by
+// one of another often affects two domains. The result is optimal in every case that the tests
+// enumerate.
 //
-// Cost: the worth depends on sums over the domains only, so a change is judged by what it adds to
-// them. Fabric domains of a failure domain that have equally many runners are alike: only how many
-// of them have which fill is searched. So the search grows with the kinds of domains, not with the
-// domains, and where all differ, max_evaluations bounds it. The bound is on steps, not on time: all
-// managers must find the same allotment.
+// Cost: the utility depends only on sums over the domains, so a change is evaluated by its effect
+// on the sums. Fabric domains of one failure domain with the same number of runners form a class,
+// and the search only considers how many domains of a class have each fill. So its cost grows with
+// the number of classes, not of domains. If all domains differ, max_evaluations limits it. The
+// limit is on steps, not on time, because all managers must compute the same allocation.
 #include "groups/group_allocation.h"
 
 #include <cmath>
@@ -23,29 +25,29 @@
 
 namespace {
 
-constexpr double spare_weight = 0.26;            ///< of the logarithm of the runners left over
-constexpr double own_model_bonus = 0.05;         ///< of a failure domain's first group of a model
-constexpr double log_offset = 0.1;               ///< a model without a group counts badly, not -inf
-constexpr std::size_t max_evaluations = 300'000; ///< changes that one search judges
-constexpr double min_gain = 1e-9;                ///< less is rounding
+constexpr double spare_weight = 0.26;    ///< weight of the logarithm of the number of spares
+constexpr double own_model_bonus = 0.05; ///< for a failure domain's first group of a model
+constexpr double log_offset = 0.1;       ///< keeps the logarithm of 0 groups finite
+constexpr std::size_t max_evaluations = 300'000; ///< changes evaluated by one search
+constexpr double min_gain = 1e-9;                ///< smaller gains are rounding errors
 
-/// All fills of `runners` that leave no more over than spares for the losses to bear, and what is
-/// too few for a group of the largest model.
-void enumerate(const std::vector<pool>& pools, std::size_t index, std::uint32_t left,
+/// Appends all fills of `unused` runners to `found`, recursively by pool. Fills that leave a group
+/// of the largest model and `tolerated_losses` spares unused are omitted as wasteful.
+void enumerate(const std::vector<pool>& pools, std::size_t index, std::uint32_t unused,
                group_counts& given, std::vector<group_counts>& found)
 {
     if (index == pools.size()) {
-        const bool wasteful = std::all_of(pools.begin(), pools.end(), [&](const pool& kind) {
-            return kind.replica_vms + tolerated_losses <= left;
+        const bool wasteful = std::all_of(pools.begin(), pools.end(), [&](const pool& model) {
+            return model.replica_vms + tolerated_losses <= unused;
         });
         if (!wasteful)
             found.push_back(given);
         return;
     }
     const std::uint32_t size = std::max(1U, pools[index].replica_vms);
-    for (std::uint32_t count = 0; count * size <= left; ++count) {
+    for (std::uint32_t count = 0; count * size <= unused; ++count) {
         given.push_back(count);
-        enumerate(pools, index + 1, left - count * size, given, found);
+        enumerate(pools, index + 1, unused - count * size, given, found);
         given.pop_back();
     }
 }
@@ -58,18 +60,18 @@
     return sum;
 }
 
-/// What the groups of a model weigh. The square root lies between equal weights and the model's
-/// part of the work: a model with little work needs more beyond it, since few groups fill up by
-/// chance and miss each one that is lost (square-root staffing).
-double weight_of(const pool& kind)
+/// Weight of a model's groups. The square root is a compromise between equal weights and the
+/// model's share of the work: a model with little work needs proportionally more groups, because a
+/// few groups are more easily saturated by random arrivals and by each loss (square-root staffing).
+double weight_of(const pool& model)
 {
     constexpr double min_share = 0.01;
-    return std::sqrt(std::max(kind.forming.share, min_share));
+    return std::sqrt(std::max(model.forming.share, min_share));
 }
 
-/// Groups of each model, averaged over the losses to bear. Spares are kept for the model with the
-/// largest groups of the domain: it makes the survivors of one of those whole again. Without a
-/// spare the group is gone, and its survivors are spares.
+/// Expected number of groups of each model, averaged over 0 to `tolerated_losses` lost members.
+/// Spares are reserved for the model with the largest groups in the domain, where each replaces one
+/// lost member. Without a spare the group is lost, and its survivors become spares.
 std::vector<double> expected_groups(const group_counts& counts, const std::vector<pool>& pools,
                                     double spares)
 {
@@ -87,12 +89,12 @@
             members += now[index] * pools[index].replica_vms;
         std::vector<double> next = now;
         for (std::size_t index = 0; members > 0.0 && index < now.size(); ++index) {
-            const double hit = now[index] * pools[index].replica_vms / members;
-            const double covered = index == largest ? std::min(hit, spares) : 0.0;
+            const double loss_probability = now[index] * pools[index].replica_vms / members;
+            const double covered = index == largest ? std::min(loss_probability, spares) : 0.0;
             spares -= covered;
-            next[index] = std::max(0.0, now[index] - (hit - covered));
+            next[index] = std::max(0.0, now[index] - (loss_probability - covered));
             if (index == largest)
-                spares += (hit - covered) * (pools[index].replica_vms - 1);
+                spares += (loss_probability - covered) * (pools[index].replica_vms - 1);
         }
         now = std::move(next);
         for (std::size_t index = 0; index < now.size(); ++index)
@@ -116,18 +118,18 @@
         const domain_capacity& capacity = capacities.at(domain);
         std::vector<bool>& own = has_own[capacity.failure_domain];
         own.resize(pools.size(), false);
-        const double left = capacity.runners - runners_in(counts, pools);
-        const std::vector<double> expected = expected_groups(counts, pools, left);
+        const double unused = capacity.runners - runners_in(counts, pools);
+        const std::vector<double> expected = expected_groups(counts, pools, unused);
         for (std::size_t index = 0; index < counts.size(); ++index) {
             groups[index] += expected[index];
             own[index] = own[index] || counts[index] > 0;
         }
-        spares += left;
+        spares += unused;
     }
     utility += spare_weight * std::log(spares + log_offset);
     double sum = 0.0;
-    for (const pool& kind : pools)
-        sum += weight_of(kind);
+    for (const pool& model : pools)
+        sum += weight_of(model);
     for (std::size_t index = 0; index < pools.size(); ++index)
         utility += weight_of(pools[index]) / sum * static_cast<double>(pools.size()) *
                    std::log(groups[index] + log_offset);
@@ -138,26 +140,26 @@
 
 namespace {
 
-/// One way to fill a fabric domain, with what it adds to the sums.
+/// One way to fill a fabric domain, with its contribution to the sums.
 struct domain_fill {
     group_counts counts;
-    double left = 0.0;            ///< runners
-    std::vector<double> expected; ///< groups by model
+    double unused = 0.0;          ///< runners in no group
+    std::vector<double> expected; ///< expected_groups() of `counts`
 };
 
-/// Fabric domains of one failure domain with equally many runners.
+/// Fabric domains of one failure domain with the same number of runners.
 struct domain_class {
-    std::size_t failure_domain = 0; ///< index
+    std::size_t failure_domain = 0; ///< index into m_own
     std::vector<fabric_domain_id> members;
     std::vector<domain_fill> fills;
-    std::vector<std::uint32_t> taken; ///< members with each fill
+    std::vector<std::uint32_t> fill_counts; ///< number of members with each fill
 };
 
-/// One of some like domains changes its fill.
+/// Changes the fill of one domain of a class.
 struct fill_change {
-    std::size_t kind = 0; ///< index of the like domains
-    std::size_t from = 0;
-    std::size_t to = 0;
+    std::size_t class_index = 0;
+    std::size_t from = 0; ///< index of a fill of the class
+    std::size_t to = 0;   ///< index of a fill of the class
 };
 
 class fill_search {
@@ -167,13 +169,13 @@
         : m_pools{pools}, m_groups(pools.size(), 0.0)
     {
         double sum = 0.0;
-        for (const pool& kind : pools)
-            sum += weight_of(kind);
-        for (const pool& kind : pools)
-            m_weights.push_back(weight_of(kind) / sum * static_cast<double>(pools.size()));
+        for (const pool& model : pools)
+            sum += weight_of(model);
+        for (const pool& model : pools)
+            m_weights.push_back(weight_of(model) / sum * static_cast<double>(pools.size()));
         classify_domains(capacities);
-        for (domain_class& kind : m_classes)
-            start(kind);
+        for (domain_class& cls : m_classes)
+            start(cls);
         m_utility = utility();
     }
 
@@ -186,11 +188,11 @@
     [[nodiscard]] group_allocation found() const
     {
         group_allocation given;
-        for (const domain_class& kind : m_classes) {
-            auto member = kind.members.begin();
-            for (std::size_t fill = kind.fills.size(); fill-- > 0;) {
-                for (std::uint32_t count = 0; count < kind.taken[fill]; ++count)
-                    given[*member++] = kind.fills[fill].counts;
+        for (const domain_class& cls : m_classes) {
+            auto member = cls.members.begin();
+            for (std::size_t fill = cls.fills.size(); fill-- > 0;) {
+                for (std::uint32_t count = 0; count < cls.fill_counts[fill]; ++count)
+                    given[*member++] = cls.fills[fill].counts;
             }
         }
         return given;
@@ -200,16 +202,16 @@
     void classify_domains(const std::map<fabric_domain_id, domain_capacity>& capacities)
     {
         std::map<failure_domain_id, std::size_t> failure_domains;
-        std::map<std::pair<std::size_t, std::uint32_t>, std::size_t> kinds;
+        std::map<std::pair<std::size_t, std::uint32_t>, std::size_t> class_indexes;
         for (const auto& [domain, capacity] : capacities) {
             const std::size_t failure_domain =
                 failure_domains.try_emplace(capacity.failure_domain, failure_domains.size())
                     .first->second;
-            const auto [kind, fresh] =
-                kinds.try_emplace({failure_domain, capacity.runners}, m_classes.size());
-            if (fresh)
+            const auto [position, inserted] =
+                class_indexes.try_emplace({failure_domain, capacity.runners}, m_classes.size());
+            if (inserted)
                 m_classes.push_back(make_class(failure_domain, capacity.runners));
-            m_classes[kind->second].members.push_back(domain);
+            m_classes[position->second].members.push_back(domain);
         }
         m_own.assign(failure_domains.size(), std::vector<std::uint32_t>(m_pools.size(), 0));
     }
@@ -223,59 +225,59 @@
         enumerate(m_pools, 0, runners, given, fills);
         for (group_counts& counts : fills) {
             domain_fill fill;
-            fill.left = runners - runners_in(counts, m_pools);
-            fill.expected = expected_groups(counts, m_pools, fill.left);
+            fill.unused = runners - runners_in(counts, m_pools);
+            fill.expected = expected_groups(counts, m_pools, fill.unused);
             fill.counts = std::move(counts);
             made.fills.push_back(std::move(fill));
         }
-        made.taken.assign(made.fills.size(), 0);
+        made.fill_counts.assign(made.fills.size(), 0);
         return made;
     }
 
-    void start(domain_class& kind)
+    void start(domain_class& cls)
     {
         const auto fullest = std::min_element(
-            kind.fills.begin(), kind.fills.end(),
-            [](const domain_fill& a, const domain_fill& b) { return a.left < b.left; });
-        const auto index = static_cast<std::size_t>(fullest - kind.fills.begin());
-        for (std::size_t member = 0; member < kind.members.size(); ++member)
-            add(kind, index);
+            cls.fills.begin(), cls.fills.end(),
+            [](const domain_fill& a, const domain_fill& b) { return a.unused < b.unused; });
+        const auto index = static_cast<std::size_t>(fullest - cls.fills.begin());
+        for (std::size_t member = 0; member < cls.members.size(); ++member)
+            add(cls, index);
     }
 
-    void add(domain_class& kind, std::size_t fill)
+    void add(domain_class& cls, std::size_t fill)
     {
-        ++kind.taken[fill];
-        const domain_fill& added = kind.fills[fill];
-        m_spares += added.left;
+        ++cls.fill_counts[fill];
+        const domain_fill& added = cls.fills[fill];
+        m_spares += added.unused;
         for (std::size_t index = 0; index < m_groups.size(); ++index) {
             m_groups[index] += added.expected[index];
-            m_own[kind.failure_domain][index] += added.counts[index] > 0 ? 1 : 0;
+            m_own[cls.failure_domain][index] += added.counts[index] > 0 ? 1 : 0;
         }
     }
 
-    void remove(domain_class& kind, std::size_t fill)
+    void remove(domain_class& cls, std::size_t fill)
     {
-        --kind.taken[fill];
-        const domain_fill& removed = kind.fills[fill];
-        m_spares -= removed.left;
+        --cls.fill_counts[fill];
+        const domain_fill& removed = cls.fills[fill];
+        m_spares -= removed.unused;
         for (std::size_t index = 0; index < m_groups.size(); ++index) {
             m_groups[index] -= removed.expected[index];
-            m_own[kind.failure_domain][index] -= removed.counts[index] > 0 ? 1 : 0;
+            m_own[cls.failure_domain][index] -= removed.counts[index] > 0 ? 1 : 0;
         }
     }
 
     void make(const fill_change& change)
     {
-        remove(m_classes[change.kind], change.from);
-        add(m_classes[change.kind], change.to);
+        remove(m_classes[change.class_index], change.from);
+        add(m_classes[change.class_index], change.to);
     }
 
-    void undo(const fill_change& change) { make({change.kind, change.to, change.from}); }
+    void undo(const fill_change& change) { make({change.class_index, change.to, change.from}); }
 
-    /// The same as utility_of(), from the sums.
+    /// Equals utility_of(), computed from the sums.
     [[nodiscard]] double utility() const
     {
-        // What is left of a sum after additions and subtractions may be a little below zero.
+        // Rounding errors of additions and subtractions can make a sum slightly negative.
         double sum = spare_weight * std::log(std::max(0.0, m_spares) + log_offset);
         for (std::size_t index = 0; index < m_groups.size(); ++index)
             sum += m_weights[index] * std::log(std::max(0.0, m_groups[index]) + log_offset);
@@ -286,7 +288,7 @@
         return sum;
     }
 
-    /// Keeps the change if it makes the whole worth more.
+    /// Accepts the current state if its utility is higher than that of the last accepted one.
     bool keep_if_better()
     {
         ++m_evaluations;
@@ -299,16 +301,16 @@
 
     [[nodiscard]] bool exhausted() const { return m_evaluations >= max_evaluations; }
 
-    /// Changes of some like domains that are possible now, those of `first` and later ones.
+    /// All possible changes in the class with index `first` and in later classes.
     [[nodiscard]] std::vector<fill_change> changes(std::size_t first) const
     {
         std::vector<fill_change> possible;
-        for (std::size_t kind = first; kind < m_classes.size(); ++kind) {
-            const domain_class& alike = m_classes[kind];
-            for (std::size_t from = 0; from < alike.fills.size(); ++from) {
-                for (std::size_t to = 0; alike.taken[from] > 0 && to < alike.fills.size(); ++to) {
+        for (std::size_t index = first; index < m_classes.size(); ++index) {
+            const domain_class& cls = m_classes[index];
+            for (std::size_t from = 0; from < cls.fills.size(); ++from) {
+                for (std::size_t to = 0; cls.fill_counts[from] > 0 && to < cls.fills.size(); ++to) {
                     if (to != from)
-                        possible.push_back({kind, from, to});
+                        possible.push_back({index, from, to});
                 }
             }
         }
@@ -319,8 +321,8 @@
     {
         bool improved = false;
         for (const fill_change& change : changes(0)) {
-            // The same change may help again, for the next of the like domains.
-            while (m_classes[change.kind].taken[change.from] > 0 && !exhausted()) {
+            // The same change may also help for the next domain of the class.
+            while (m_classes[change.class_index].fill_counts[change.from] > 0 && !exhausted()) {
                 make(change);
                 if (!keep_if_better()) {
                     undo(change);
@@ -336,7 +338,7 @@
     {
         for (const fill_change& first : changes(0)) {
             make(first);
-            for (const fill_change& second : changes(first.kind)) {
+            for (const fill_change& second : changes(first.class_index)) {
                 if (exhausted())
                     break;
                 make(second);
@@ -353,8 +355,9 @@
     std::vector<double> m_weights;
     std::vector<domain_class> m_classes;
     double m_spares = 0.0;
-    std::vector<double> m_groups;                  ///< lasting ones, by model
-    std::vector<std::vector<std::uint32_t>> m_own; ///< domains by failure domain and model
+    std::vector<double> m_groups; ///< expected groups by model
+    /// Number of fabric domains with groups of a model, by failure domain and model.
+    std::vector<std::vector<std::uint32_t>> m_own;
     double m_utility = 0.0;
     std::size_t m_evaluations = 0;
 };
