--- a/groups/election_test.cc
+++ b/groups/election_test.cc
@@ -7,7 +7,7 @@
 
 namespace {
 
-/// One candidate before a store that answers as the test wants.
+/// One candidate. The test plays the store and answers its calls.
 struct candidate {
     election lease_election{{.key = "k", .self = node_id{"n1"}}};
     time_point now{std::chrono::hours{1}};
@@ -19,7 +19,7 @@
         lease_election.tick(duration{0}, now, out);
         return out;
     }
-    /// Runs the campaign up to its claim, and returns that.
+    /// Runs the campaign up to the claim, and returns the claim.
     kv_call campaign()
     {
         lease_election.key_updated(std::nullopt, now);
@@ -56,8 +56,8 @@
     cr_assert(one.tick().empty());
 }
 
-// The claim took effect and its answer was lost. The watch then shows the key with this node's own
-// name and lease: it leads, instead of waiting for its own lease to end.
+// A claim succeeds but its answer is lost. The watch then shows the key with this node's name and
+// lease. The node must lead at once instead of waiting for its own lease to expire.
 Test(election, a_claim_whose_answer_was_lost_is_found_in_the_watch)
 {
     candidate one;
@@ -71,8 +71,8 @@
     cr_assert_eq(one.lease_election.term(), 41);
 }
 
-// The manager's VM is frozen for longer than its lease. When it wakes, another may lead: it must
-// not order anything before it has the store's word again.
+// The manager's VM is paused for longer than its lease. When it resumes, another node may lead, so
+// it must not send orders before the store has renewed its lease.
 Test(election, a_manager_paused_past_its_lease_does_not_lead)
 {
     candidate one;
--- a/groups/formation_bench.cc
+++ b/groups/formation_bench.cc
@@ -1,5 +1,5 @@
-// What a node of a large fleet spends on groups: the beat of one that manages nothing, a batch of
-// changed entries, the beat of a manager, and the allotment before the first request.
+// CPU time that a node of a large fleet spends on group management: the tick of a node that manages
+// no failure domain, the tick of a manager, a batch of changed entries, and the initial allocation.
 #include "groups/fake_registry.h"
 #include "groups/formation.h"
 #include "groups/group_allocation.h"
@@ -55,7 +55,7 @@
     return row;
 }
 
-/// A node's managers, settled, none of which leads unless `lead` is called.
+/// The managers of one node after start-up. None of them leads unless lead() is called.
 struct node_under_test {
     explicit node_under_test(std::size_t runners)
     {
@@ -88,7 +88,7 @@
             benchmark::DoNotOptimize(manager.handle(event, now));
     }
 
-    /// The manager of the first failure domain takes its key.
+    /// Makes the manager of the first failure domain obtain its key.
     void lead()
     {
         formation_manager& manager = managers.front();
--- a/groups/formation_histories_test.cc
+++ b/groups/formation_histories_test.cc
@@ -7,16 +7,16 @@
 
 namespace {
 
-// Troubles of a history, as bits of a number.
-constexpr unsigned stale_reports = 1;   ///< runners say what held 200 ms ago
-constexpr unsigned late_entries = 2;    ///< the registry tells of changes up to 600 ms late
-constexpr unsigned late_orders = 4;     ///< up to a third are carried out seconds later
+// Faults of a history, as bits of a mask.
+constexpr unsigned stale_reports = 1;   ///< runners report their state of 200 ms ago
+constexpr unsigned late_entries = 2;    ///< changes of entries arrive up to 600 ms late
+constexpr unsigned late_orders = 4;     ///< up to a third are executed seconds later
 constexpr unsigned lost_answers = 8;    ///< up to 40% of orders get no answer
 constexpr unsigned outages = 16;        ///< of the store
-constexpr unsigned dying_managers = 32; ///< that start again with what the registry shows
+constexpr unsigned dying_managers = 32; ///< restarted with the contents of the registry
 constexpr unsigned fault_combinations = 64;
 
-/// The days of one failure domain, one random step after the other.
+/// A random history of one failure domain under the given faults.
 class history {
 public:
     history(std::uint64_t seed, unsigned faults)
@@ -36,8 +36,8 @@
             m_world.lose_answers(m_random.unit() * 0.4);
     }
 
-    /// Which promise was broken; empty if none was.
-    std::string play()
+    /// Runs the history. Returns the violated invariant, or an empty string.
+    std::string run()
     {
         constexpr int steps = 14;
         for (int step = 0; step < steps && m_world.broken().empty(); ++step) {
@@ -121,14 +121,14 @@
 
 void assert_invariants_hold(std::uint64_t seed, unsigned faults)
 {
-    const std::string broken = history{seed, faults}.play();
-    cr_assert(broken.empty(), "seed %lu, troubles %u: %s", seed, faults, broken.c_str());
+    const std::string broken = history{seed, faults}.run();
+    cr_assert(broken.empty(), "seed %lu, faults %u: %s", seed, faults, broken.c_str());
 }
 
 } // namespace
 
-// Guards against a runner in two groups when a join that got no answer is carried out after the
-// runner was told to leave that group.
+// Guards against a runner in two groups when a join that got no answer is executed after the runner
+// was ordered to leave that group.
 Test(formation, a_late_join_moves_no_runner)
 {
     assert_invariants_hold(92, late_orders);
@@ -138,7 +138,7 @@
     assert_invariants_hold(31, late_orders | outages);
 }
 
-// Guards against whatever mix of troubles puts a runner into two groups or opens a group too early.
+// No combination of faults may put a runner into two groups or open a group too early.
 Test(formation, random_histories_violate_no_invariant)
 {
     constexpr std::uint64_t seeds = 6;
--- a/groups/formation_orders_test.cc
+++ b/groups/formation_orders_test.cc
@@ -9,7 +9,7 @@
 
 constexpr std::int64_t term = 7;
 
-/// A manager alone, told of everything by hand.
+/// A single formation_manager that gets every event from the test.
 class single_manager {
 public:
     single_manager()
@@ -24,8 +24,8 @@
     single_manager(single_manager&&) = delete;
     single_manager& operator=(single_manager&&) = delete;
 
-    /// Becomes the manager of three spares and orders them into one group; no order is answered
-    /// yet.
+    /// Becomes the manager of three spares and orders them into one group, without answers to the
+    /// orders.
     void form()
     {
         for (const char* id : {"r-1", "r-2", "r-3"})
@@ -47,8 +47,9 @@
         advance(50ms);
     }
 
-    /// The lease ends without a word of the store, which renews it later all the same.
-    void stop_and_come_back(const std::function<void()>& meanwhile)
+    /// The lease ends by this node's clock because renewals are unanswered; later the store answers
+    /// the last one with success.
+    void lose_and_regain_lease(const std::function<void()>& meanwhile)
     {
         advance(4s);
         cr_assert_not(m_core.leading(m_now));
@@ -97,14 +98,14 @@
 
     void advance(duration time)
     {
-        constexpr duration beat = 50ms;
+        constexpr duration tick_interval = 50ms;
         for (const time_point until = m_now + time; m_now < until;) {
-            m_now += beat;
+            m_now += tick_interval;
             tell(formation_tick{});
         }
     }
 
-    /// The join that a runner was ordered to last; null if its last order was another, or none.
+    /// The last order to a runner if it was a join, otherwise null.
     [[nodiscard]] const join_group* join_of(const std::string& id) const
     {
         const auto found = m_orders.find(id);
@@ -121,7 +122,7 @@
             if (const auto* found = std::get_if<Command>(&*at))
                 return *found;
         }
-        cr_assert_fail("no such command");
+        cr_assert_fail("no command of the expected type");
         return {};
     }
 
@@ -139,12 +140,13 @@
     runner_registry m_known;
     formation_manager m_core{settings(), m_known};
     std::vector<formation_command> m_commands;
-    std::map<std::string, send_order> m_orders; ///< the last to each runner
+    std::map<std::string, send_order> m_orders; ///< last order to each runner
 };
 
 } // namespace
 
-// Guards against a join that takes effect behind other orders, late or on an old belief.
+// Guards against a join that takes effect after other orders, because it is late or was based on
+// outdated state: a join must carry the order count that the runner reported.
 Test(formation, a_join_names_the_orders_that_the_runner_had_begun)
 {
     single_manager manager;
@@ -154,8 +156,8 @@
     cr_assert(join->orders_before == 4);
 }
 
-// Guards against a join that is ordered, until it is answered, to a runner that has turned up in a
-// group of the manager before: that one's join was carried out late, and its group may serve.
+// Guards against repeated joins to a runner that appears in a group of the previous manager: that
+// manager's join was executed late, and its group may be serving.
 Test(formation, a_runner_that_turned_up_in_another_group_is_not_joined)
 {
     single_manager manager;
@@ -171,8 +173,8 @@
     cr_assert_null(manager.join_of("r-1"));
 }
 
-// Guards against a runner that is never used again since its manager counted an order that the
-// runner didn't.
+// Guards against a runner that is never used again because its manager counted an order that the
+// runner did not count.
 Test(formation, a_runner_that_refused_a_join_is_asked_and_joined_again)
 {
     single_manager manager;
@@ -186,8 +188,8 @@
     cr_assert(join->orders_before == 3);
 }
 
-// Guards against a report from before a join that arrives after the lease has ended: its runner
-// would be free to the manager that is back in its old term, and is in a group.
+// Guards against a report from before a join that arrives after the lease has ended. When the
+// manager resumes its term, it would treat the runner as free although it is in a group.
 Test(formation, an_old_report_frees_no_runner_while_the_manager_does_not_lead)
 {
     single_manager manager;
@@ -195,6 +197,6 @@
     for (const char* id : {"r-1", "r-2", "r-3"})
         manager.answer(id, order_reply::begun);
     manager.forget_orders();
-    manager.stop_and_come_back([&] { manager.report("r-1", std::nullopt, 4); });
+    manager.lose_and_regain_lease([&] { manager.report("r-1", std::nullopt, 4); });
     cr_assert_null(manager.join_of("r-1"));
 }
--- a/groups/formation_outage_test.cc
+++ b/groups/formation_outage_test.cc
@@ -3,9 +3,9 @@
 using namespace jaynotch;
 using namespace jaynotch::groups;
 
-// The platform's store is down for eight seconds, and in that time a member dies. No lease can be
-// renewed and no other node could become the manager: streams of the group would have nobody to go
-// to until the store is back. All nodes say that they don't reach it, so the manager goes on.
+// A member dies while the store is down for eight seconds. No lease can be renewed and no other
+// node can become the manager, so the group would stay broken until the store is back. All nodes
+// confirm the outage, so the manager must continue and repair the group.
 Test(formation, groups_are_repaired_while_the_store_is_down)
 {
     fake_registry world = serving_fleet({.managers = 3, .domains = 2, .runners = 9});
@@ -26,10 +26,10 @@
     assert_no_violations(world);
 }
 
-// While the store is down a manager makes a broken group whole with a spare. The store comes back,
-// and a node that has just started becomes the manager a moment later, before the runners have
-// written their entries anew: it still reads that the spare is free, and orders it elsewhere while
-// it serves. So a new manager asks each runner before it takes it for free.
+// Guards against a new manager that uses stale entries. While the store is down, a manager repairs
+// a group with a spare. When the store returns, a node that has just started becomes the manager
+// before the runners have written their entries again. The spare's entry still shows it as free,
+// but it serves; so a new manager must ask each runner before it uses it.
 Test(formation, entries_from_before_an_outage_free_no_runner)
 {
     fake_registry world = serving_fleet({.managers = 2, .domains = 2, .runners = 9});
@@ -51,11 +51,11 @@
     cr_assert_eq(world.leaders(), 1U);
     world.run(4s);
     assert_no_violations(world);
-    cr_assert_eq(world.open_groups("big"), groups, "nor does it end groups that are whole");
+    cr_assert_eq(world.open_groups("big"), groups, "complete groups must not be ended");
 }
 
-// The head of a group dies while the store is down, and its entry can't be dropped. Once it doesn't
-// answer it must not be joined to one composition after the other, none of which becomes whole.
+// The head of a group dies while the store is down, so its entry is not dropped. A runner that does
+// not answer must not be ordered into new compositions, none of which could become complete.
 Test(formation, a_dead_runner_whose_entry_stays_is_not_used_again)
 {
     fake_registry world = serving_fleet({.managers = 2, .domains = 2, .runners = 9});
@@ -69,12 +69,12 @@
     cr_assert_eq(world.open_groups("big"), groups);
     const std::size_t orders = world.orders();
     world.run(10s);
-    cr_assert_leq(world.orders(), orders + 2, "nobody is ordered to and fro");
+    cr_assert_leq(world.orders(), orders + 2, "no further orders are expected");
     assert_no_violations(world);
 }
 
-// One failure domain is cut off from the store, another is not: a node there takes the key when the
-// lease ends. The manager behind the cut must have stopped by then.
+// The manager's failure domain is cut off from the store, another one is not. A node there can
+// claim the key when the lease ends, so the manager must have stopped by then.
 Test(formation, a_manager_stops_while_any_node_reaches_the_store)
 {
     fake_registry world = serving_fleet({.managers = 2, .domains = 2, .runners = 9});
@@ -84,8 +84,8 @@
     cr_assert_eq(world.leaders(), 0U);
 }
 
-// Changes gather before a manager hears of them, so it hears of entries after the answers to orders
-// that came later, and of some only after an outage of the store that began in between.
+// Entries reach a manager in batches. So an entry can arrive after the reply to a later order, and
+// some arrive only after an outage of the store that began in between.
 Test(formation, late_entries_and_outages_put_no_runner_into_two_groups)
 {
     for (std::uint64_t seed = 1; seed <= 60; ++seed) {
@@ -121,10 +121,10 @@
     }
 }
 
-// The store is down, and a manager ends a group that has lost a member and makes it anew by the
-// runners' own word. As the store comes back it first takes the calls that runners had under way:
-// entries from when they were in no group. One VM was ordered into another group while the one it
-// headed served.
+// Guards against ordering a VM into another group while it is the head of a serving one. While the
+// store is down, a manager replaces a group that lost a member, based on the runners' reports. When
+// the store returns, it first stores writes that were in flight: entries from before the runners
+// joined the new group, which show them as free.
 Test(formation, an_entry_older_than_an_accepted_join_frees_no_runner)
 {
     for (std::uint64_t seed = 1; seed <= 60; ++seed) {
@@ -158,9 +158,9 @@
     }
 }
 
-// Guards against a manager that is back in its old term after an outage and takes the members of a
-// group that it had made: the group opened in the outage, on an order that was carried out late,
-// and the time in which it had to come together has passed.
+// Guards against a manager that resumes its term after an outage and dissolves a group of its own:
+// the group opened during the outage, by an order that was executed late, and its deadline for
+// becoming complete has passed since.
 Test(formation, a_manager_resuming_its_term_keeps_its_group)
 {
     fake_registry world = serving_fleet({.managers = 2, .domains = 2, .runners = 10});
@@ -171,10 +171,10 @@
     world.kill(lost);
     world.say_silent(lost);
     world.run(500ms);
-    cr_assert_eq(world.open_groups("big"), groups - 1, "its successor is about to open");
+    cr_assert_eq(world.open_groups("big"), groups - 1, "its replacement has not opened yet");
     world.lose_orders(1.0);
     world.run(600ms);
-    world.peers_reach_store = true; // so the manager stops until the store answers it again
+    world.peers_reach_store = true; // makes the manager stop until the store answers it again
     world.store_down();
     world.run(15s);
     cr_assert_eq(world.leaders(), 0U);
@@ -187,8 +187,9 @@
     cr_assert_eq(world.open_groups("big"), groups);
 }
 
-// Guards against a runner in two groups when an entry from before an outage is heard after the
-// manager, elected anew as the store came back, has opened the group that it made in the outage.
+// Guards against a runner in two groups. A manager forms a group during an outage, is elected again
+// when the store returns, and opens the group. After that an entry from before the outage arrives,
+// which shows a member as free.
 Test(formation, an_open_order_confirms_no_entry)
 {
     fake_registry world = serving_fleet({.managers = 2, .domains = 2, .runners = 9});
@@ -200,7 +201,7 @@
     world.kill(world.members_of(first)[1]);
     world.say_silent(first);
     world.run(300ms);
-    world.lose_orders(1.0); // its successor is whole, and the order to open is lost
+    world.lose_orders(1.0); // the replacement group is complete, and the order to open it is lost
     world.run(200ms);
     world.store_up(2s);
     world.run(250ms);
--- a/groups/formation_test.cc
+++ b/groups/formation_test.cc
@@ -15,8 +15,8 @@
     assert_no_violations(world);
 }
 
-// Guards against a split between the models that hangs on which part of a large fleet was known
-// first. Pattern: runners that register for seconds, seen in batches.
+// The allocation to models must not depend on which part of a large fleet is seen first. The
+// runners register over several seconds and are seen in batches.
 Test(formation, runners_that_are_seen_in_batches_are_planned_together)
 {
     constexpr std::size_t domains = 4;
@@ -36,9 +36,9 @@
     assert_no_violations(in_batches);
 }
 
-// A caller's streams at one group stop in their middle, all at once: a member of the group has
-// died. The head goes on taking requests and would notice only after seconds. The manager finds the
-// dead member, ends the group and makes one of the survivors and a spare.
+// A member dies, so all streams of its group stop. The head keeps accepting requests and would
+// notice only after seconds. The manager must find the dead member, end the group and form a new
+// one of the survivors and a spare.
 Test(formation, a_lost_member_is_replaced_by_a_spare_within_two_seconds)
 {
     fake_registry world = serving_fleet({.domains = 2, .runners = 9});
@@ -52,9 +52,9 @@
     assert_no_violations(world);
 }
 
-// A member dies while a spare of its domain has the weights on its host. Loading them from there
-// into the accelerators takes more than a second of the group's absence, unless the spare had it
-// done before.
+// A member dies while a spare of its domain has the weights staged on its host. Loading them into
+// the accelerators takes more than a second, during which the group is missing, unless the spare
+// was warmed up before.
 Test(formation, a_warm_spare_completes_a_group_within_700_ms)
 {
     fake_registry world = serving_fleet({.domains = 2, .runners = 9});
@@ -67,9 +67,9 @@
     assert_no_violations(world);
 }
 
-// A failure domain loses its manager, and in that time a group loses a member. The next manager has
-// followed the registry all along: the group was whole, so its survivors are not a composition that
-// is still coming together, and nothing is gained by waiting for more of it.
+// A group loses a member while its failure domain has no manager. The next manager knows from the
+// registry that the group was complete before, so it must not treat the survivors as a group that
+// is still forming and wait for further members.
 Test(formation, a_new_manager_repairs_groups_broken_before_its_election)
 {
     fake_registry world = serving_fleet({.managers = 2, .domains = 2, .runners = 9});
@@ -84,8 +84,9 @@
     assert_no_violations(world);
 }
 
-// Guards against survivors that wait for two seconds since their reports, 200 ms old, still name
-// the group that they have just left. Pattern: the first loss after a change of the manager.
+// Guards against survivors that stay unused for two seconds because their reports, 200 ms old,
+// still name the group that they have just left. Occurs at the first loss after a change of the
+// manager.
 Test(formation, a_new_manager_uses_survivors_though_their_reports_are_old)
 {
     fake_registry world = serving_fleet({.managers = 2, .domains = 2, .runners = 9});
@@ -103,23 +104,24 @@
     assert_no_violations(world);
 }
 
-// The head itself dies. Its members still believe themselves in its group; joined to another
-// without leaving, they would be in two groups if the head only stood behind a cut.
+// The head is lost while its members are still in its group. They must leave before they join
+// another group; otherwise they would be in two groups if the head is alive behind a partition.
 Test(formation, members_of_a_lost_head_leave_before_they_join)
 {
     fake_registry world = serving_fleet({.domains = 2, .runners = 9});
     const std::size_t groups = world.open_groups("big");
     const std::string head = world.head_of("big", 0);
-    world.cut_off(head); // it works on, and its group is open
+    world.cut_off(head); // it keeps running, and its group stays open
     world.run(300ms);
     world.say_silent(head);
     world.run(2s);
-    cr_assert_eq(world.open_groups("big"), groups + 1, "the one behind the cut and its successor");
+    cr_assert_eq(world.open_groups("big"), groups + 1,
+                 "the group behind the partition and its replacement");
     assert_no_violations(world);
 }
 
-// One node of the system is cut off from a head; its own requests there stop, everybody else's go
-// on. It must not take a group apart that serves the others.
+// The manager's node is cut off from a head that other nodes still reach. It must not dissolve a
+// group that serves their requests.
 Test(formation, a_group_reachable_from_other_nodes_is_kept)
 {
     fake_registry world = serving_fleet({.domains = 2, .runners = 9});
@@ -134,10 +136,10 @@
     assert_no_violations(world);
 }
 
-// A failure domain is cut off for so long that the entries of its runners begin to run out, one
-// after the other. The cut heals in between: heads whose entries still stand can be ordered again,
-// members whose entries have gone live and write them anew within two seconds. The groups serve all
-// the time; ending them would leave the domain with nothing for as long as they form again.
+// A failure domain is cut off until the entries of its runners expire one after another. The
+// partition heals in between: heads whose entries are still there can be ordered again, and members
+// whose entries have expired are alive and write them again within two seconds. The groups serve
+// throughout, so ending them would leave the domain without groups until they have formed again.
 Test(formation, entries_expired_by_a_partition_end_no_group)
 {
     fake_registry world = serving_fleet({.domains = 2, .runners = 9});
@@ -152,12 +154,12 @@
     world.run(3s);
     cr_assert_eq(world.open_groups("big"), big);
     cr_assert_eq(world.open_groups("small"), small);
-    cr_assert_eq(world.orders(), orders, "nobody was told to leave");
+    cr_assert_eq(world.orders(), orders, "no leave was ordered");
     assert_no_violations(world);
 }
 
-// A member lives and answers the manager but can't write its entry. Nobody knows for how long: its
-// group is ended after the time in which entries return, and another is made of a spare.
+// A member is alive and answers the manager but can't write its entry. After the grace period for
+// missing entries its group is ended, and a new one is formed with a spare.
 Test(formation, a_member_without_an_entry_is_replaced)
 {
     fake_registry world = serving_fleet({.domains = 2, .runners = 9});
@@ -169,8 +171,8 @@
     assert_no_violations(world);
 }
 
-// Two groups of one model in one domain each lose a member and no spare is left: their survivors
-// make one group at once, rather than two that wait for weights to load.
+// Two groups of one model in one domain each lose a member, and no spare is left. The survivors
+// must form one group at once instead of two that wait for weights to load.
 Test(formation, survivors_of_two_groups_form_one)
 {
     fake_registry world = serving_fleet({.domains = 1, .runners = 16});
@@ -192,7 +194,7 @@
     assert_no_violations(world);
 }
 
-// A whole fabric domain loses power and comes back with its weights still on the hosts.
+// All runners of a fabric domain restart with the weights still staged on their hosts.
 Test(formation, a_restarted_domain_recovers_within_four_seconds)
 {
     fake_registry world = serving_fleet({.domains = 1, .runners = 9});
@@ -207,8 +209,8 @@
     assert_no_violations(world);
 }
 
-// The manager's process is killed while joins are on their way. The next one finds the composition
-// in the registry and opens it; the members don't load a second time.
+// The manager's process is killed while joins are in flight. The next manager must find the
+// composition in the registry and open it, without loading the weights again.
 Test(formation, the_next_manager_adopts_ordered_groups)
 {
     fake_registry world{{.managers = 3, .domains = 1, .runners = 9}};
@@ -223,8 +225,8 @@
     assert_no_violations(world);
 }
 
-// A member says that it will leave. Its group goes on while it can, is closed before the member
-// goes, and the others are used again.
+// A member announces that it will leave. Its group keeps serving for a while and is closed before
+// the member leaves; the other members are used again.
 Test(formation, a_group_is_closed_before_its_member_leaves)
 {
     fake_registry world = serving_fleet({.domains = 2, .runners = 9});
@@ -232,15 +234,16 @@
     const std::size_t groups = world.open_groups("big");
     world.drain(world.members_of(head)[1]);
     world.run(2s);
-    cr_assert_eq(world.open_groups("big"), groups, "it goes on for a while");
+    cr_assert_eq(world.open_groups("big"), groups, "it keeps serving for a while");
     world.run(8s);
-    cr_assert_eq(world.open_groups("big"), groups, "a spare has taken the place");
+    cr_assert_eq(world.open_groups("big"), groups, "a spare has replaced the member");
     cr_assert(world.head_of("big", 0) != head || world.members_of(head)[1] != "r-a-1");
     assert_no_violations(world);
 }
 
-// Newcomers are staged with the model that lacks groups most. By the count of runners that the next
-// group lacks alone, the smaller model would take them all while the larger one dies out.
+// New runners are staged with the model that has the fewest groups for its share. If only the
+// number of missing runners counted, the smaller model would get all of them and the larger one
+// none.
 Test(formation, new_runners_are_staged_with_the_neediest_model)
 {
     fake_registry world = serving_fleet({.domains = 2, .runners = 9});
@@ -262,13 +265,13 @@
     assert_no_violations(world);
 }
 
-// A third of the orders get no answer and are carried out up to 12 s later, behind newer ones,
-// while runners and managers die. Whatever comes of it, no runner serves two groups, none opens
-// unready, and once the orders arrive again the domain heals.
+// A third of the orders get no answer and are executed up to 12 s later, after newer ones, while
+// runners and managers die. No runner may serve two groups, no group may open before its members
+// are ready, and once orders are no longer lost the domain must recover.
 Test(formation, late_orders_and_deaths_violate_no_invariant)
 {
-    // 841: an open order was lost, its group given up and its members joined to another; then the
-    // order was carried out, and the head served with members that were in two groups.
+    // Seed 841: an open order was lost, its group was dissolved and its members joined another one.
+    // Then the order was executed, and the head served with members that were in two groups.
     std::vector<std::uint64_t> seeds{841};
     for (std::uint64_t seed = 1; seed <= 40; ++seed)
         seeds.push_back(seed);
@@ -310,9 +313,9 @@
     }
 }
 
-// Two runners are left over beside a large and a small group. One with each model would make
-// neither group whole after a second loss; both stand by for the larger one, which strands more
-// runners.
+// Two spares are left beside a large and a small group. Staged with one model each, they could not
+// make up for two losses in either group. Both must be staged for the larger one, which would idle
+// more runners.
 Test(formation, spares_are_staged_for_the_largest_group)
 {
     fake_registry world{{.managers = 1, .domains = 1, .runners = 9}};
--- a/groups/formation_testing.h
+++ b/groups/formation_testing.h
@@ -1,7 +1,7 @@
-// For tests of the manager: a failure domain in good order to begin with, and what must hold at the
-// end.
+// Helpers for tests of the formation manager: a failure domain whose groups are serving, and the
+// check of the invariants at the end.
 //
-//   fake_registry world = serving({.domains = 2, .runners = 9});
+//   fake_registry world = serving_fleet({.domains = 2, .runners = 9});
 //   ...
 //   assert_no_violations(world);
 #pragma once
@@ -12,7 +12,7 @@
 
 namespace jaynotch::groups {
 
-/// A failure domain whose groups are all open and whose callers have begun.
+/// A failure domain with all groups open, after the first request.
 inline fake_registry serving_fleet(fake_registry_settings settings)
 {
     fake_registry world{settings};
--- a/groups/group_allocation_test.cc
+++ b/groups/group_allocation_test.cc
@@ -17,7 +17,7 @@
     return capacities;
 }
 
-/// The best of all fills whatsoever: the slow reference.
+/// The highest utility over all possible fills, by exhaustive search.
 double exhaustive_best(const std::vector<pool>& pools,
                        const std::map<fabric_domain_id, domain_capacity>& capacities,
                        group_allocation given,
@@ -37,7 +37,8 @@
     return best;
 }
 
-/// All fills of a domain that leave less than a group of each model and its spares.
+/// All fills of a domain whose unused runners are fewer than a group of the largest model plus the
+/// spares for the tolerated losses.
 std::vector<group_counts> fills_of(std::uint32_t runners, const std::vector<pool>& pools)
 {
     std::vector<group_counts> found;
@@ -52,8 +53,8 @@
     return found;
 }
 
-/// A search domain by domain that works the whole worth out for each change: the slow reference
-/// for fleets too large for all fills.
+/// A slow local search that computes the full utility for each change; the reference for fleets
+/// that are too large for exhaustive search.
 double utility_by_slow_search(const std::vector<pool>& pools,
                               const std::map<fabric_domain_id, domain_capacity>& capacities)
 {
@@ -124,8 +125,8 @@
     }
 }
 
-// A model of 16 runners and one of 4 with equal shares of the work. Were groups counted instead of
-// runners, the large model would get three groups of the fleet and its callers would be refused.
+// A model of 16 runners and one of 4 with equal shares of the work. If groups were balanced instead
+// of runners, the large model would get only three groups and its requests would be refused.
 Test(allocate_groups, runners_follow_the_shares_of_the_work)
 {
     std::vector<pool> pools = fake_registry::pools();
@@ -144,8 +145,8 @@
     cr_assert_eq(given.at(fabric_domain_id{"d0"}), (group_counts{0, 0}));
 }
 
-// A model of 16 runners in domains of 37. Two groups and one of the small model leave one runner
-// over; the first member lost beyond it takes 15 others out of work for as long as weights load.
+// A model of 16 runners in domains of 37. Two of its groups and one of the small model would leave
+// a single spare; a second lost member would then idle 15 others while weights load.
 Test(allocate_groups, large_groups_keep_spares)
 {
     std::vector<pool> pools = fake_registry::pools();
@@ -163,7 +164,7 @@
     cr_assert_geq(large, 6U);
 }
 
-// Fleets of hundreds of runners. The search may not pay for its speed with worse allotments.
+// On fleets of hundreds of runners the fast search must find allocations as good as the slow one.
 Test(allocate_groups, matches_slow_search_on_large_fleets)
 {
     std::vector<pool> pools = fake_registry::pools();
--- a/groups/history.cc
+++ b/groups/history.cc
@@ -1,5 +1,6 @@
-// The end of each history checks liveness: once nothing fails any more, everything that the VMs
-// allow must be whole within some minutes, or a fault has left a scar that nobody mends.
+// Safety is checked after each step, liveness at the end: once no more faults are injected, all
+// groups for which there are enough VMs must be complete within `recovery_time`. Otherwise a fault
+// has caused damage that no manager repairs.
 #include "groups/history.h"
 
 #include "groups/fake_world.h"
@@ -10,7 +11,7 @@
 
 namespace {
 
-constexpr duration healing = 900s;
+constexpr duration recovery_time = 900s;
 
 configuration random_tables(random_source& random, const world_options& world)
 {
@@ -54,7 +55,7 @@
     }
 }
 
-bool all_whole(const fake_world& world, const configuration& tables)
+bool all_complete(const fake_world& world, const configuration& tables)
 {
     const auto complete = world.complete_everywhere();
     return std::all_of(tables.pools.begin(), tables.pools.end(), [&](const pool& row) {
@@ -67,7 +68,7 @@
     });
 }
 
-/// Whether the VMs suffice for every group, in the worst packing.
+/// Whether the VMs suffice for all groups even in the worst packing into fabric domains.
 bool enough_vms(const configuration& tables, const world_options& world)
 {
     std::size_t needed = 0;
@@ -114,9 +115,10 @@
     }
     world.heal();
     outcome.attainable = enough_vms(tables, shape);
-    for (const time_point end = world.now() + healing; world.now() < end && !outcome.healed;) {
+    for (const time_point end = world.now() + recovery_time; world.now() < end && !outcome.healed;)
+    {
         world.run(10s);
-        outcome.healed = !outcome.attainable || all_whole(world, tables);
+        outcome.healed = !outcome.attainable || all_complete(world, tables);
     }
     outcome.violations = world.violations();
     if (!outcome.violations.empty() || !outcome.healed)
--- a/groups/history_test.cc
+++ b/groups/history_test.cc
@@ -13,33 +13,33 @@
         cr_log_error("%s", what.c_str());
     cr_assert(outcome.violations.empty(), "seed %d: %s", static_cast<int>(options.seed),
               outcome.shape.c_str());
-    cr_assert(outcome.healed, "seed %d does not heal: %s\n%s", static_cast<int>(options.seed),
+    cr_assert(outcome.healed, "seed %d does not recover: %s\n%s", static_cast<int>(options.seed),
               outcome.shape.c_str(), outcome.end.c_str());
 }
 
 } // namespace
 
-// Whatever fails, in whatever order and together: members die, pause, restart and lie, managers
-// pause, the platform is down or loses replies, the list names a VM twice or forgets it, tables
-// change. No VM is in two records or two tickets, no ticket outlives its horizon, and once the
-// faults end every group becomes whole again.
+// Random combinations of faults: members die, pause, restart and report false states, managers
+// pause, the platform is down or loses replies, the VM list names a VM twice or omits it, tables
+// change. No VM may be in two records or two tickets, no ticket may outlive its horizon, and once
+// the faults end every group must become complete again.
 Test(histories, invariants_hold_and_all_groups_recover)
 {
     for (std::uint64_t seed = 1; seed <= 24; ++seed)
         expect_history_holds({.seed = seed, .steps = 1200});
 }
 
-// A manager is paused behind its last check of the time and wakes up much later: its orders go out
-// although another manager has since given the VMs away, to engines that take them.
+// A manager is paused after its last check of the time and resumes much later. Its orders are sent
+// although another manager has assigned the VMs differently since, and engines may accept them.
 Test(histories, stale_orders_violate_no_invariant)
 {
     for (std::uint64_t seed = 101; seed <= 124; ++seed)
         expect_history_holds({.seed = seed, .steps = 1200, .late_orders = true});
 }
 
-// Seeds that once went wrong: reports of two different moments made a group look whole that never
-// was (1083, 1345), a manager released the VMs of another domain that the list had named in both
-// (1343, 1456), and one whose fencing number was behind stood still for good (1019).
+// Seeds of past failures: reports from two different times made a group appear complete that never
+// was (1083, 1345); a manager released VMs of another domain because the VM list named them in both
+// (1343, 1456); a manager with an outdated fencing number blocked forever (1019).
 Test(histories, regression_seeds)
 {
     for (const std::uint64_t seed : {1019, 1083, 1343, 1345, 1456})
--- a/groups/runner_registry_test.cc
+++ b/groups/runner_registry_test.cc
@@ -24,7 +24,7 @@
     return row;
 }
 
-/// What is counted, worked out from the entries alone: the slow reference.
+/// All counts recomputed from the entries; the reference for the incremental counts.
 struct recount {
     explicit recount(const runner_registry& registry)
     {
@@ -103,8 +103,8 @@
     }
 }
 
-// The router would work its targets out anew for each step of each member that joins or is warmed
-// up: thousands while a large fleet starts.
+// Changes of members that join or warm up must not raise the version. The router recomputes its
+// targets on every new version, which would be thousands of times while a large fleet starts.
 Test(runner_registry, only_serving_changes_raise_the_version)
 {
     runner_registry registry;
@@ -122,8 +122,8 @@
     cr_assert_gt(registry.serving_version(), open, "an open group has lost a member");
 }
 
-// A manager that takes over must not give a composition that has long stood there more time to
-// come together, nor less to one that has just begun.
+// A new manager gives each composition time to become complete, counted from when it was first
+// seen. That time must not move with later changes of its entries.
 Test(runner_registry, a_composition_keeps_the_time_at_which_it_was_first_seen)
 {
     runner_registry registry;
@@ -132,13 +132,13 @@
     const group_key key{group_id{"g"}, 1};
     cr_assert(registry.first_seen(key) == start);
     registry.remove(vm_id{"a"}, start + 5s);
-    cr_assert(registry.first_seen(key) == start, "its member may be cut off only");
+    cr_assert(registry.first_seen(key) == start, "its member may be alive behind a partition");
     registry.update(member_of("b", "", 0, member_phase::ready), start + 200s);
-    cr_assert(!registry.first_seen(key), "it is forgotten with its last member");
+    cr_assert(!registry.first_seen(key), "it is erased with its last member");
     cr_assert(registry.find(vm_id{"a"}) == nullptr);
 }
 
-// An id that comes back is another start of its runner: nothing of the one before holds for it.
+// A runner that restarts under its old id must not keep state of its previous start.
 Test(runner_registry, a_restarted_runner_keeps_no_state)
 {
     runner_registry registry;
@@ -151,5 +151,6 @@
     registry.update(again, start + 1s);
     cr_assert(registry.find(vm_id{"a"})->warm_model.empty());
     cr_assert(registry.heads().empty());
-    cr_assert(!registry.tell({vm_id{"a"}, 1, std::nullopt, ""}, start + 1s), "of the start before");
+    cr_assert(!registry.tell({vm_id{"a"}, 1, std::nullopt, ""}, start + 1s),
+              "a report of the previous start");
 }
