--- a/groups/election.cc
+++ b/groups/election.cc
@@ -25,18 +25,18 @@
 
 void election::key_updated(const std::optional<kv_entry>& entry, time_point now)
 {
-    const bool there = entry.has_value();
-    if (!there && (m_key_exists || !m_key_known))
+    const bool exists = entry.has_value();
+    if (!exists && (m_key_exists || !m_key_known))
         m_missing_since = now;
     m_key_known = true;
-    m_key_exists = there;
-    m_holder = there ? entry->value : std::string{};
-    const bool own = there && m_lease.value() != 0 && entry->value == value();
+    m_key_exists = exists;
+    m_holder = exists ? entry->value : std::string{};
+    const bool own = exists && m_lease.value() != 0 && entry->value == value();
     if (own && m_term == 0) {
         m_term = entry->mod_revision;
         m_until = m_lease_sent + m_settings.lease - m_settings.margin;
     }
-    if (!own && m_term != 0 && (!there || entry->mod_revision > m_term))
+    if (!own && m_term != 0 && (!exists || entry->mod_revision > m_term))
         m_term = 0;
 }
 
@@ -56,9 +56,10 @@
         out.emplace_back(lease_renew{m_token, m_lease});
         return;
     }
-    const bool may = claim_delay && now >= m_suspended_until && m_key_known && !m_key_exists &&
-                     now >= m_not_before && now - m_missing_since >= *claim_delay;
-    if (!may)
+    const bool may_claim = claim_delay && now >= m_suspended_until && m_key_known &&
+                           !m_key_exists && now >= m_not_before &&
+                           now - m_missing_since >= *claim_delay;
+    if (!may_claim)
         return;
     m_not_before = now + m_settings.retry;
     m_call = election_call::grant;
--- a/groups/formation.cc
+++ b/groups/formation.cc
@@ -204,13 +204,13 @@
 {
     if (!managing || !managed(row))
         return;
-    const auto [found, fresh] = runners.try_emplace(row.id);
+    const auto [found, inserted] = runners.try_emplace(row.id);
     runner_view& view = found->second;
-    const bool reborn = !fresh && view.row.born_ms != row.born_ms;
-    const bool moved = fresh || view.row.fabric_domain != row.fabric_domain;
-    if (reborn)
+    const bool restarted = !inserted && view.row.born_ms != row.born_ms;
+    const bool moved = inserted || view.row.fabric_domain != row.fabric_domain;
+    if (restarted)
         view = runner_view{};
-    if (row.leaving && (fresh || reborn || !view.row.leaving))
+    if (row.leaving && (inserted || restarted || !view.row.leaving))
         view.leaving_since = now;
     const std::optional<membership> group = view.row.group;
     const std::string model = view.row.model;
@@ -225,8 +225,8 @@
     else {
         // An entry that contradicts the runner's last report or reply may be older or newer than
         // it, so the runner has to be asked again.
-        const bool stays = row.group ? group && key_of(*group) == key_of(*row.group) : !group;
-        view.membership_confirmed = view.membership_confirmed && stays;
+        const bool same_group = row.group ? group && key_of(*group) == key_of(*row.group) : !group;
+        view.membership_confirmed = view.membership_confirmed && same_group;
         view.joined_before_entry.reset();
     }
     view.listed = true;
@@ -255,14 +255,14 @@
     if (view == nullptr || view->pending != answer.token)
         return;
     view->pending.reset();
-    const bool taken = answer.reply == order_reply::begun || answer.reply == order_reply::holds;
+    const bool accepted = answer.reply == order_reply::begun || answer.reply == order_reply::holds;
     if (answer.reply == order_reply::outdated && lease_election.leading(now)) {
         add_notice(log_level::warning, "manager_outdated", answer.vm.value(),
                    "a runner knows a newer term than " + std::to_string(lease_election.term()));
         lease_election.outdated(now);
         return;
     }
-    if (!taken) {
+    if (!accepted) {
         // A lost order has already waited for its timeout, and the probe shows whether the runner
         // is still usable.
         if (answer.reply != order_reply::lost)
@@ -324,9 +324,9 @@
                                            time_point now)
 {
     const bool was_in = is_in(view, {left.group, left.epoch});
-    const bool undisturbed =
+    const bool no_other_order =
         view.membership_confirmed && view.begun_orders == view.begun_orders_before_pending;
-    view.membership_confirmed = undisturbed && was_in;
+    view.membership_confirmed = no_other_order && was_in;
     if (view.membership_confirmed)
         ++view.begun_orders;
     view.left_epoch = std::max(view.left_epoch, left.epoch);
@@ -429,10 +429,10 @@
 
 void formation_manager::state::expire_runners(time_point now)
 {
-    const std::size_t forgotten = std::erase_if(runners, [&](const auto& entry) {
+    const std::size_t expired = std::erase_if(runners, [&](const auto& entry) {
         return !entry.second.listed && now - entry.second.unlisted_at > unlisted_retention;
     });
-    if (forgotten > 0)
+    if (expired > 0)
         index_runners();
     for (auto& [vm, view] : runners) {
         if (view.unresponsive && now >= view.unresponsive_until)
--- a/groups/formation_groups.cc
+++ b/groups/formation_groups.cc
@@ -72,11 +72,11 @@
     for (const auto& [vm, view] : runners) {
         if (!view.row.group)
             continue;
-        const membership& said = *view.row.group;
-        observed_group& group = all[{said.group, said.epoch}];
-        group.group = said.group;
-        group.epoch = said.epoch;
-        group.members[said.rank] = vm;
+        const membership& current = *view.row.group;
+        observed_group& group = all[{current.group, current.epoch}];
+        group.group = current.group;
+        group.epoch = current.epoch;
+        group.members[current.rank] = vm;
     }
     for (const auto& [key, group] : all)
         review_group(group, now);
@@ -187,8 +187,8 @@
 void formation_manager::state::end_warm_up(const observed_group& observed, time_point now)
 {
     const runner_view* spare = find(observed.members.begin()->second);
-    const bool warm = spare != nullptr && spare->row.group->phase != member_phase::joining;
-    if (warm || !still_forming(key_of(observed), now))
+    const bool loaded = spare != nullptr && spare->row.group->phase != member_phase::joining;
+    if (loaded || !still_forming(key_of(observed), now))
         dissolve(observed, now);
 }
 
--- a/groups/formation_outage.cc
+++ b/groups/formation_outage.cc
@@ -53,16 +53,16 @@
         bool all_ready = true;
         for (const vm_id& vm : plan.members) {
             runner_view* view = find(vm);
-            const bool joins = view != nullptr && is_in(*view, key) &&
-                               view->row.group->phase == member_phase::joining;
-            all_ready = all_ready && !joins;
-            if (joins)
+            const bool is_joining = view != nullptr && is_in(*view, key) &&
+                                    view->row.group->phase == member_phase::joining;
+            all_ready = all_ready && !is_joining;
+            if (is_joining)
                 query_runner(*view, now);
         }
         runner_view* head = find(plan.members.front());
-        const bool opens = all_ready && head != nullptr && is_in(*head, key) &&
-                           head->row.group->phase == member_phase::ready;
-        if (opens)
+        const bool is_opening = all_ready && head != nullptr && is_in(*head, key) &&
+                                head->row.group->phase == member_phase::ready;
+        if (is_opening)
             query_runner(*head, now);
     }
 }
@@ -79,15 +79,15 @@
 {
     const runner_word& word = report.word;
     runner_view* view = find(word.vm);
-    const bool holds =
+    const bool same_start =
         view != nullptr && view->listed && (word.born_ms == 0 || view->row.born_ms == word.born_ms);
-    if (!holds || is_outdated(report, *view))
+    if (!same_start || is_outdated(report, *view))
         return;
     // If only the phase differs, the runner's entry shows it sooner than a report, unless the store
     // is unreachable.
-    const bool same = word.group ? is_in(*view, key_of(*word.group)) : !view->row.group;
+    const bool same_group = word.group ? is_in(*view, key_of(*word.group)) : !view->row.group;
     const bool unchanged = view->row.group == word.group && view->row.model == word.model;
-    if (!unchanged && (!same || store_unreachable(now)))
+    if (!unchanged && (!same_group || store_unreachable(now)))
         apply_report(word, *view, now);
     view->begun_orders = report.orders;
     view->membership_confirmed = true;
--- a/groups/formation_plan.cc
+++ b/groups/formation_plan.cc
@@ -220,12 +220,13 @@
 {
     const pool* largest = nullptr;
     for (const pool& model_pool : pools) {
-        const std::vector<runner_view*>& there = by_fabric.at(domain);
-        const bool here = std::any_of(there.begin(), there.end(), [&](const runner_view* view) {
-            return view->listed && view->row.group && view->row.group->rank == 0 &&
-                   view->row.model == model_pool.model && !is_warm_up(key_of(*view->row.group));
-        });
-        if (here && (largest == nullptr || model_pool.replica_vms > largest->replica_vms))
+        const std::vector<runner_view*>& local_runners = by_fabric.at(domain);
+        const bool has_group =
+            std::any_of(local_runners.begin(), local_runners.end(), [&](const runner_view* view) {
+                return view->listed && view->row.group && view->row.group->rank == 0 &&
+                       view->row.model == model_pool.model && !is_warm_up(key_of(*view->row.group));
+            });
+        if (has_group && (largest == nullptr || model_pool.replica_vms > largest->replica_vms))
             largest = &model_pool;
     }
     return largest;
@@ -245,10 +246,10 @@
         return largest != nullptr &&
                (view->staging == largest->model || has_staged(*view, largest->model));
     });
-    const bool guarded = settings.mechanisms.has(mechanism::guard_largest);
-    if (guarded && largest != nullptr && standbys < tolerated_losses)
+    const bool guard_enabled = settings.mechanisms.has(mechanism::guard_largest);
+    if (guard_enabled && largest != nullptr && standbys < tolerated_losses)
         return largest;
-    const auto bare = static_cast<std::size_t>(
+    const auto unprepared = static_cast<std::size_t>(
         std::count_if(spare.begin(), spare.end(),
                       [&](const runner_view* view) { return !is_prepared(*view, pools); }));
     const pool* best = nullptr;
@@ -258,26 +259,27 @@
     for (const auto& [groups_per_share, model_pool] : ranked) {
         if (model_pool == largest)
             largest_need = groups_per_share;
-        const auto have = static_cast<std::size_t>(std::count_if(
+        const auto staged_runners = static_cast<std::size_t>(std::count_if(
             spare.begin(), spare.end(), [model = model_pool->model](const runner_view* view) {
                 return view->staging == model || has_staged(*view, model);
             }));
         const std::size_t runners_missing =
-            model_pool->replica_vms - have % model_pool->replica_vms;
+            model_pool->replica_vms - staged_runners % model_pool->replica_vms;
         // A model with clearly fewer groups for its share comes first, however many runners its
         // next group lacks. Among models of similar need, the one whose next group lacks the
         // fewest.
-        const bool needier = best != nullptr && groups_per_share > need_tolerance * best_need;
-        const bool nearer =
-            runners_missing <= bare && (fewest_missing > bare || runners_missing < fewest_missing);
-        if (best == nullptr || (!needier && nearer)) {
+        const bool clearly_needier =
+            best != nullptr && groups_per_share > need_tolerance * best_need;
+        const bool closer = runners_missing <= unprepared &&
+                            (fewest_missing > unprepared || runners_missing < fewest_missing);
+        if (best == nullptr || (!clearly_needier && closer)) {
             best_need = best == nullptr ? groups_per_share : best_need;
             best = model_pool;
             fewest_missing = runners_missing;
         }
     }
-    const bool lacking = best_need * need_tolerance < largest_need;
-    return fewest_missing > bare && largest != nullptr && !lacking ? largest : best;
+    const bool clearly_needed = best_need * need_tolerance < largest_need;
+    return fewest_missing > unprepared && largest != nullptr && !clearly_needed ? largest : best;
 }
 
 void formation_manager::state::stage_spares(const fabric_domain_id& domain,
@@ -304,8 +306,8 @@
 {
     for (runner_view* view : free_runners(domain, now)) {
         for (const pool& model_pool : pools) {
-            const bool alone_serves = model_pool.replica_vms < 2;
-            if (alone_serves || view->warm_model == model_pool.model ||
+            const bool single_runner_groups = model_pool.replica_vms < 2;
+            if (single_runner_groups || view->warm_model == model_pool.model ||
                 !has_staged(*view, model_pool.model))
                 continue;
             start_group(model_pool, {view}, group_purpose::warm_up, now);
--- a/groups/orders.cc
+++ b/groups/orders.cc
@@ -83,7 +83,7 @@
 {
     std::vector<manager_command> out;
     std::map<vm_id, group_id> named;
-    std::vector<group_work> works;
+    std::vector<group_work> pending;
     for (const group_assignment& group : in.record.groups) {
         const group_sight& sight = in.sights.at(group.group);
         for (const member& one : group.members)
@@ -93,7 +93,7 @@
                 named[place.substitute->vm] = group.group;
         }
         if (!group.retiring)
-            works.push_back(work_of(group, sight, vms, in));
+            pending.push_back(work_of(group, sight, vms, in));
     }
     for (const auto& [vm, group] : named) {
         const auto [at, added] = m_bound.try_emplace(vm, group, in.now);
@@ -114,17 +114,17 @@
             release(in, view, out);
     }
 
-    std::stable_sort(works.begin(), works.end(),
+    std::stable_sort(pending.begin(), pending.end(),
                      [](const group_work& a, const group_work& b) { return a.loads < b.loads; });
     std::size_t loads = loading_now(vms, in.now);
-    for (const group_work& work : works) {
+    for (const group_work& work : pending) {
         // A group starts loading with all its members or not at all. The first one always may,
         // even if it exceeds `loads_at_once`.
-        const bool room =
+        const bool within_limit =
             work.loads == 0 || loads == 0 || loads + work.loads <= in.settings.loads_at_once;
         const bool started =
             work.loads < work.group->members.size() && work.sight->lost == 0 && !work.sight->whole;
-        if (!room && !started)
+        if (!within_limit && !started)
             continue;
         loads += work.loads;
         for (const std::size_t rank : work.to_order) {
--- a/groups/runner_registry.cc
+++ b/groups/runner_registry.cc
@@ -36,7 +36,7 @@
 void runner_registry::update(const runner& row, time_point now)
 {
     expire_unlisted(now);
-    const auto [found, fresh] = m_runners.try_emplace(row.id);
+    const auto [found, inserted] = m_runners.try_emplace(row.id);
     const registered_runner& known = found->second;
     if (known.listed && known.row == row)
         return;
@@ -94,15 +94,15 @@
 {
     const std::optional<runner> served = served_row(entry);
     const std::optional<group_key> counted = counted_group(entry);
-    const std::optional<membership> said = entry.row.group;
+    const std::optional<membership> previous_group = entry.row.group;
     const bool open_before = counted && m_compositions.at(*counted).open > 0;
     uncount(entry);
     edit(entry);
     count(entry, now);
     const std::optional<group_key> counts_now = counted_group(entry);
     const bool open_now = counts_now && m_compositions.at(*counts_now).open > 0;
-    if (said)
-        erase_if_unnamed(key_of(*said));
+    if (previous_group)
+        erase_if_unnamed(key_of(*previous_group));
     const bool regrouped = counts_now != counted && (open_before || open_now);
     if (regrouped || served_row(entry) != served)
         ++m_serving_version;
@@ -130,8 +130,8 @@
 {
     const runner& row = entry.row;
     if (row.group) {
-        const auto [found, fresh] = m_compositions.try_emplace(key_of(*row.group));
-        if (fresh)
+        const auto [found, inserted] = m_compositions.try_emplace(key_of(*row.group));
+        if (inserted)
             found->second.first_seen = now;
         ++found->second.named;
         found->second.listed += entry.listed ? 1 : 0;
@@ -186,10 +186,10 @@
 {
     while (!m_unlisted.empty() && now - m_unlisted.front().first > unlisted_retention) {
         const auto found = m_runners.find(m_unlisted.front().second);
-        const bool stays = found == m_runners.end() || found->second.listed ||
-                           found->second.unlisted_at != m_unlisted.front().first;
+        const bool kept = found == m_runners.end() || found->second.listed ||
+                          found->second.unlisted_at != m_unlisted.front().first;
         m_unlisted.pop_front();
-        if (stays)
+        if (kept)
             continue;
         uncount(found->second);
         if (found->second.row.group)
--- a/groups/runner_registry.h
+++ b/groups/runner_registry.h
@@ -30,9 +30,9 @@
 /// serving behind a partition.
 constexpr duration unlisted_retention = std::chrono::seconds{120};
 
-inline group_key key_of(const membership& said)
+inline group_key key_of(const membership& group)
 {
-    return {said.group, said.epoch};
+    return {group.group, group.epoch};
 }
 
 /// A backend server since its last start, with the history of its entries.
@@ -55,8 +55,8 @@
     void update(const runner& row, time_point now);
     /// Marks a runner's entry as removed. The runner is kept for `unlisted_retention`.
     void remove(const vm_id& vm, time_point now);
-    /// Applies a state reported by a listed runner while the registry can't be written. False if the
-    /// runner is not listed or the report is from another start of it.
+    /// Applies a state reported by a listed runner while the registry can't be written. False if
+    /// the runner is not listed or the report is from another start of it.
     bool tell(const runner_word& word, time_point now);
 
     /// Null if the runner is not listed and was not within `unlisted_retention`.
