--- a/groups/formation.cc
+++ b/groups/formation.cc
@@ -4,7 +4,7 @@
 //
 // Late orders are harmless. An order may be executed seconds after it was sent, after newer ones.
 // Every composition has a unique name and an epoch that is higher than all earlier ones (the
-// manager's term, then a counter). A join carries the number of orders that the runner had executed
+// manager's term, then a counter). A join carries the number of orders that the runner had begun
 // when it was free, and the runner refuses the join after any other order. So a join never takes a
 // runner out of a group and never returns it to a group that it has left. A late open, close or
 // leave names a composition that no longer exists. A replaced manager has a lower term, and runners
@@ -272,7 +272,7 @@
         const bool refused_join = answer.reply == order_reply::misfit &&
                                   std::holds_alternative<join_group>(view->pending_order);
         if (refused_join)
-            // It has executed an order that this manager does not know of.
+            // It has begun an order that this manager does not know of.
             view->membership_confirmed = false;
         return;
     }
--- a/groups/formation.h
+++ b/groups/formation.h
@@ -1,10 +1,14 @@
 // Manages the groups of one failure domain in deployments where backend servers ("runners")
 // register themselves: decides which runners form which groups and sends them the orders.
 //
-//   formation manager{{.self = node, .domain = failure_domain, ...}, registry};
+//   formation_manager manager{{.self = node, .domain = failure_domain, ...}, registry};
 //   run(manager.handle(runner_updated{row}, now));  // on every change of the registry
 //   run(manager.handle(formation_tick{}, now));     // at least ten times a second
 //
+// A group is a set of runners that serve one model together. Its head, the member of rank 0, takes
+// the requests. Each set of members is a composition of the group with an epoch of its own. A spare
+// is a runner in no group.
+//
 // Assignments are not stored: every runner publishes its group in the registry, so a new manager
 // sees what its predecessor did. Every daemon runs one instance per failure domain; only the one
 // that holds the domain's key sends orders. The other instances hold no runner state; an instance
--- a/groups/formation_outage.cc
+++ b/groups/formation_outage.cc
@@ -11,9 +11,10 @@
 
 namespace {
 
-/// Whether the report is older than what the manager knows of the runner. If the manager knows how
-/// many orders the runner has executed, the report's order count decides, otherwise the epochs of
-/// the compositions.
+/// Whether the report is older than what the manager knows of the runner: it counts fewer orders
+/// than the runner has confirmed, or names a composition that the runner has left or that is older
+/// than its current one. A report of no group by a runner that is in one is outdated, unless it
+/// counts more orders than the runner has confirmed.
 bool is_outdated(const runner_report& report, const runner_view& view)
 {
     const std::optional<membership>& reported = report.word.group;
--- a/groups/formation_plan.cc
+++ b/groups/formation_plan.cc
@@ -54,8 +54,8 @@
 /// just as the store returns reads the state from before the outage; it would order a member of an
 /// open group to join another one, and the VM would serve in both. So a manager asks each runner
 /// once before it uses it. The runner's answer may be outdated as well, because an earlier order
-/// can reach it later. So a join carries the number of orders that the runner had executed at its
-/// answer, and the runner refuses the join after any other order.
+/// can reach it later. So a join carries the number of orders that the runner had begun when it
+/// answered, and the runner refuses the join after any other order.
 std::vector<runner_view*> formation_manager::state::free_runners(const fabric_domain_id& domain,
                                                                  time_point now)
 {
--- a/groups/formation_state.h
+++ b/groups/formation_state.h
@@ -16,8 +16,8 @@
     time_point probe_answered_at;   ///< last answer to a probe
     time_point leaving_since;
     /// The runner itself has confirmed (by an order reply or a report) that it was in `row.group`,
-    /// or in none, after executing exactly `begun_orders` orders since it started. Later orders may
-    /// have reached it since.
+    /// or in none, after it had begun exactly `begun_orders` orders since its start. Further orders
+    /// may have reached it since.
     bool membership_confirmed = false;
     std::int64_t begun_orders = 0;
     time_point reported_at; ///< when its report last differed from its entry
@@ -83,7 +83,7 @@
 struct formation_manager::state {
     state(formation_settings given, const runner_registry& shared);
 
-    // formation.cc: events, election and orders
+    // formation.cc: events and orders
     void apply(const formation_event& event, time_point now);
     void adopt_runners();
     void clear_runners();
@@ -108,6 +108,7 @@
     void apply_report(const runner_word& word, runner_view& view, time_point now);
     void broadcast(const runner_view& view, time_point now);
     void recheck_unresponsive(runner_view& view, time_point now);
+    // formation.cc: election, expiry and logging
     void run_election(time_point now);
     void expire_runners(time_point now);
     [[nodiscard]] std::optional<duration> claim_delay();
--- a/groups/runner_registry.h
+++ b/groups/runner_registry.h
@@ -4,7 +4,7 @@
 //   runner_registry known;
 //   known.update(row, now);                // an entry was added or changed
 //   known.remove(vm, now);                 // an entry was removed
-//   known.heads()                          // members that take requests for a group
+//   known.heads()                          // runners of rank 0, which take a group's requests
 //
 // A change costs a few lookups, independent of the number of runners.
 #pragma once
