--- a/groups/domain_shares.cc
+++ b/groups/domain_shares.cc
@@ -131,29 +131,29 @@
 
     for (const pool* row : pools_by_rank(tables)) {
         pool_share& share = shares.m_shares[row->name];
-        std::vector<std::pair<std::uint64_t, fabric_domain_id>> standing;
+        std::vector<std::pair<std::uint64_t, fabric_domain_id>> viable_groups;
         for (auto& [domain, counted] : domains) {
             const auto& groups = counted.viable[row->name];
             if (!allowed_in(*row, domain))
                 continue;
             for (const group_id& group : groups)
-                standing.emplace_back(hash64(group.value()), domain);
+                viable_groups.emplace_back(hash64(group.value()), domain);
             if (domain == self)
                 share.present = groups.size();
             else
                 share.elsewhere = share.elsewhere || !groups.empty();
         }
-        std::sort(standing.begin(), standing.end());
+        std::sort(viable_groups.begin(), viable_groups.end());
         share.wanted = share.present;
-        for (std::size_t i = row->replicas; i < standing.size(); ++i) {
-            if (standing[i].second != self)
+        for (std::size_t i = row->replicas; i < viable_groups.size(); ++i) {
+            if (viable_groups[i].second != self)
                 continue;
             ++share.surplus;
             --share.wanted;
         }
-        for (std::size_t i = standing.size(); i < row->replicas; ++i) {
-            const auto where = most_free_domain(domains, *row);
-            if (where == domains.end()) {
+        for (std::size_t i = viable_groups.size(); i < row->replicas; ++i) {
+            const auto target = most_free_domain(domains, *row);
+            if (target == domains.end()) {
                 const auto yields = yield_to(domains, tables, *row);
                 if (yields.row == nullptr)
                     break;
@@ -161,8 +161,8 @@
                     ++shares.m_shares[yields.row->name].yielding;
                 continue;
             }
-            where->second.free -= row->replica_vms;
-            if (where->first == self)
+            target->second.free -= row->replica_vms;
+            if (target->first == self)
                 ++share.wanted;
         }
     }
--- a/groups/formation_bench.cc
+++ b/groups/formation_bench.cc
@@ -114,7 +114,7 @@
     std::deque<formation_manager> managers;
 };
 
-void beat_of_a_node_that_manages_nothing(benchmark::State& state)
+void tick_of_a_node_that_manages_nothing(benchmark::State& state)
 {
     node_under_test node{static_cast<std::size_t>(state.range(0))};
     for (auto _ : state) {
@@ -122,13 +122,13 @@
         node.tell(formation_tick{});
     }
 }
-BENCHMARK(beat_of_a_node_that_manages_nothing)
+BENCHMARK(tick_of_a_node_that_manages_nothing)
     ->Arg(110)
     ->Arg(1100)
     ->Arg(1600)
     ->Unit(benchmark::kMicrosecond);
 
-void beat_of_a_manager(benchmark::State& state)
+void tick_of_a_manager(benchmark::State& state)
 {
     node_under_test node{static_cast<std::size_t>(state.range(0))};
     node.lead();
@@ -137,7 +137,7 @@
     if (!node.managers.front().leading(node.now))
         state.SkipWithError("the manager does not lead");
 }
-BENCHMARK(beat_of_a_manager)->Arg(110)->Arg(1100)->Arg(1600)->Unit(benchmark::kMicrosecond);
+BENCHMARK(tick_of_a_manager)->Arg(110)->Arg(1100)->Arg(1600)->Unit(benchmark::kMicrosecond);
 
 void batch_of_500_changed_entries(benchmark::State& state)
 {
@@ -157,7 +157,7 @@
 }
 BENCHMARK(batch_of_500_changed_entries)->Unit(benchmark::kMicrosecond);
 
-void allotment_of_a_fleet(benchmark::State& state)
+void allocation_for_a_fleet(benchmark::State& state)
 {
     std::map<fabric_domain_id, domain_capacity> capacities;
     for (std::int64_t index = 0; index < state.range(0); ++index) {
@@ -169,7 +169,7 @@
     for (auto _ : state)
         benchmark::DoNotOptimize(allocate_groups(large_pools(), capacities));
 }
-BENCHMARK(allotment_of_a_fleet)
+BENCHMARK(allocation_for_a_fleet)
     ->ArgNames({"domains", "uneven"})
     ->ArgsProduct({{3, 15, 22, 50, 100}, {0, 1}})
     ->Unit(benchmark::kMillisecond);
--- a/groups/formation_histories_test.cc
+++ b/groups/formation_histories_test.cc
@@ -41,10 +41,10 @@
     {
         constexpr int steps = 14;
         for (int step = 0; step < steps && m_world.broken().empty(); ++step) {
-            take_step("late-" + std::to_string(step));
+            run_random_step("late-" + std::to_string(step));
             m_world.run(milliseconds(0, 2'500));
         }
-        if (m_down)
+        if (m_store_down)
             m_world.store_up(1s);
         m_world.lose_orders(0.0);
         m_world.lose_answers(0.0);
@@ -60,21 +60,21 @@
         return std::chrono::milliseconds{m_random.between(least, most)};
     }
 
-    void take_step(const std::string& newcomer)
+    void run_random_step(const std::string& new_runner)
     {
         const double what = m_random.unit();
         const std::string model = m_random.chance(0.5) ? "big" : "small";
         const std::string head = m_world.head_of(model, m_random.index(3));
         if (what < 0.5 && !head.empty())
             inject_group_fault(head);
-        else if (what < 0.62 && !m_down && has(outages))
+        else if (what < 0.62 && !m_store_down && has(outages))
             begin_outage();
-        else if (what < 0.8 && m_down)
+        else if (what < 0.8 && m_store_down)
             end_outage();
         else if (what < 0.87 && has(dying_managers))
             restart_manager(m_random.index(3));
         else
-            m_world.add(newcomer, m_random.index(2));
+            m_world.add(new_runner, m_random.index(2));
     }
 
     void inject_group_fault(const std::string& head)
@@ -96,14 +96,14 @@
     {
         m_world.peers_reach_store = m_random.chance(0.5);
         m_world.store_down();
-        m_down = true;
+        m_store_down = true;
     }
 
     void end_outage()
     {
         m_world.peers_reach_store = false;
         m_world.store_up(milliseconds(0, 2'000));
-        m_down = false;
+        m_store_down = false;
     }
 
     void restart_manager(std::size_t index)
@@ -116,7 +116,7 @@
     random_source m_random;
     unsigned m_faults;
     fake_registry m_world;
-    bool m_down = false;
+    bool m_store_down = false;
 };
 
 void assert_invariants_hold(std::uint64_t seed, unsigned faults)
--- a/groups/formation_orders_test.cc
+++ b/groups/formation_orders_test.cc
@@ -26,7 +26,7 @@
 
     /// Becomes the manager of three spares and orders them into one group, without answers to the
     /// orders.
-    void form()
+    void order_one_group()
     {
         for (const char* id : {"r-1", "r-2", "r-3"})
             update_entry(id, std::nullopt);
@@ -128,12 +128,12 @@
 
     static formation_settings settings()
     {
-        formation_settings chosen;
-        chosen.deployment = "test";
-        chosen.self = node_id{"node-0"};
-        chosen.own_domain = failure_domain_id{"f"};
-        chosen.domain = failure_domain_id{"f"};
-        return chosen;
+        formation_settings made;
+        made.deployment = "test";
+        made.self = node_id{"node-0"};
+        made.own_domain = failure_domain_id{"f"};
+        made.domain = failure_domain_id{"f"};
+        return made;
     }
 
     time_point m_now{std::chrono::hours{1}};
@@ -150,7 +150,7 @@
 Test(formation, a_join_names_the_orders_that_the_runner_had_begun)
 {
     single_manager manager;
-    manager.form();
+    manager.order_one_group();
     const join_group* join = manager.join_of("r-1");
     cr_assert_not_null(join);
     cr_assert(join->orders_before == 4);
@@ -161,7 +161,7 @@
 Test(formation, a_runner_that_turned_up_in_another_group_is_not_joined)
 {
     single_manager manager;
-    manager.form();
+    manager.order_one_group();
     manager.answer("r-1", order_reply::misfit);
     manager.forget_orders();
     const membership other{group_id{"g1"}, 1, 1, member_phase::ready};
@@ -178,7 +178,7 @@
 Test(formation, a_runner_that_refused_a_join_is_asked_and_joined_again)
 {
     single_manager manager;
-    manager.form();
+    manager.order_one_group();
     manager.answer("r-1", order_reply::misfit);
     manager.forget_orders();
     manager.report("r-1", std::nullopt, 3);
@@ -193,7 +193,7 @@
 Test(formation, an_old_report_frees_no_runner_while_the_manager_does_not_lead)
 {
     single_manager manager;
-    manager.form();
+    manager.order_one_group();
     for (const char* id : {"r-1", "r-2", "r-3"})
         manager.answer(id, order_reply::begun);
     manager.forget_orders();
--- a/groups/runner_registry_test.cc
+++ b/groups/runner_registry_test.cc
@@ -25,8 +25,8 @@
 }
 
 /// All counts recomputed from the entries; the reference for the incremental counts.
-struct recount {
-    explicit recount(const runner_registry& registry)
+struct recounted {
+    explicit recounted(const runner_registry& registry)
     {
         for (const auto& [id, entry] : registry.runners()) {
             if (!entry.listed)
@@ -53,7 +53,7 @@
 
 void assert_counts(const runner_registry& registry, std::uint64_t seed)
 {
-    const recount expected{registry};
+    const recounted expected{registry};
     cr_assert_eq(registry.listed(), expected.listed, "seed %lu", seed);
     cr_assert(registry.heads() == expected.heads, "seed %lu", seed);
     cr_assert(registry.plain_servers() == expected.plain, "seed %lu", seed);
