--- a/groups/formation.cc
+++ b/groups/formation.cc
@@ -367,7 +367,7 @@
     }
 }
 
-std::optional<duration> formation_manager::state::claim_delay()
+std::optional<duration> formation_manager::state::current_claim_delay()
 {
     if (!registry_state.current || registry.runners().empty())
         return std::nullopt;
@@ -407,7 +407,7 @@
 void formation_manager::state::run_election(time_point now)
 {
     std::vector<election_command> calls;
-    lease_election.tick(claim_delay(), now, calls);
+    lease_election.tick(current_claim_delay(), now, calls);
     for (election_command& call : calls)
         std::visit([&](auto& one) { out.emplace_back(std::move(one)); }, call);
     const bool leading = lease_election.leading(now);
--- a/groups/formation_outage.cc
+++ b/groups/formation_outage.cc
@@ -23,8 +23,8 @@
         return true;
     if (reported)
         return reported->epoch <= view.left_epoch || (current && reported->epoch < current->epoch);
-    const bool has_left = view.membership_confirmed && report.orders > view.begun_orders;
-    return current && !has_left;
+    const bool left_since = view.membership_confirmed && report.orders > view.begun_orders;
+    return current && !left_since;
 }
 
 } // namespace
--- a/groups/formation_state.h
+++ b/groups/formation_state.h
@@ -111,7 +111,7 @@
     // formation.cc: election, expiry and logging
     void run_election(time_point now);
     void expire_runners(time_point now);
-    [[nodiscard]] std::optional<duration> claim_delay();
+    [[nodiscard]] std::optional<duration> current_claim_delay();
     [[nodiscard]] duration compute_claim_delay() const;
     void log_runner_use(time_point now);
     [[nodiscard]] std::string describe_use(const runner_view& view) const;
