--- a/groups/formation_plan.cc
+++ b/groups/formation_plan.cc
@@ -327,6 +327,7 @@
             {
             }
         }
+        // Before the first request, spares are left alone until the initial groups are planned.
         if (traffic || now - registry.first_joined() >= 2 * settings.max_settle_time) {
             stage_spares(domain, ranked, now);
             if (settings.mechanisms.has(mechanism::warm_spares))
--- a/groups/orders.cc
+++ b/groups/orders.cc
@@ -144,6 +144,7 @@
     if (!reported.value().empty() && reported != group.group)
         return; // it has to be released first
     const auto bound = m_bound.find(view.id.vm);
+    // Once the record has named the VM for an order horizon, no older order can take effect on it.
     const bool bound_long_enough =
         bound != m_bound.end() && in.now - bound->second.second >= in.settings.order_horizon;
     if (reported.value().empty() && !bound_long_enough && !vms.quiet(view, in.now))
