--- a/groups/group_allocation_test.cc
+++ b/groups/group_allocation_test.cc
@@ -101,10 +101,10 @@
     double own = 0.0;
     double all = 0.0;
     for (const auto& [domain, counts] : given) {
-        for (std::size_t kind = 0; kind < counts.size(); ++kind) {
-            const double runners = counts[kind] * pools[kind].replica_vms;
+        for (std::size_t model = 0; model < counts.size(); ++model) {
+            const double runners = counts[model] * pools[model].replica_vms;
             all += runners;
-            own += kind == index ? runners : 0.0;
+            own += model == index ? runners : 0.0;
         }
     }
     return own / all;
