--- a/groups/domain_shares.cc
+++ b/groups/domain_shares.cc
@@ -1,6 +1,7 @@
-// Groups that stand count where they are, so that shares don't move when a VM comes or goes. What
-// is missing goes to the domain with most room, pool by pool in order of rank. What is too much is
-// taken from the groups whose ids hash highest, which every manager reckons alike.
+// Existing viable groups count towards the share of their domain, so that shares do not move when a
+// VM is added or removed. Missing groups are assigned to the domain with the most free VMs, pool by
+// pool in order of rank. If a pool has too many groups, those whose ids have the highest hashes are
+// surplus; every manager computes the same hashes.
 #include "groups/domain_shares.h"
 
 #include <algorithm>
@@ -25,7 +26,7 @@
     std::size_t in_groups = 0;
     for (const group_assignment& group : record.groups) {
         if (group.retiring)
-            continue; // its VMs will be free
+            continue; // its VMs will be free soon
         const auto live = static_cast<std::size_t>(
             std::count_if(group.members.begin(), group.members.end(),
                           [&](const member& one) { return listed.contains(one.vm); }));
@@ -36,6 +37,7 @@
     std::stable_sort(needs.begin(), needs.end(), [](const need& left, const need& right) {
         return left.missing < right.missing;
     });
+    // Groups that miss the fewest VMs are completed first. The VMs of one that can't be are free.
     for (const need& one : needs) {
         if (one.missing > counted.free) {
             counted.free += one.group->members.size() - one.missing;
@@ -66,7 +68,8 @@
     fabric_domain_id domain;
 };
 
-/// Takes one group of the lowest rank under that of `row` out of the counts.
+/// Replaces one group of the lowest-ranked pool below `row` by a group of `row` in the counts.
+/// Returns that pool and domain, or a null row if there is none.
 yielding_group yield_to(domain_counts& domains, const configuration& tables, const pool& row)
 {
     const std::vector<const pool*> ranked = pools_by_rank(tables);
@@ -128,29 +131,29 @@
 
     for (const pool* row : pools_by_rank(tables)) {
         pool_share& share = shares.m_shares[row->name];
-        std::vector<std::pair<std::uint64_t, fabric_domain_id>> standing;
+        std::vector<std::pair<std::uint64_t, fabric_domain_id>> viable_groups;
         for (auto& [domain, counted] : domains) {
             const auto& groups = counted.viable[row->name];
             if (!allowed_in(*row, domain))
                 continue;
             for (const group_id& group : groups)
-                standing.emplace_back(hash64(group.value()), domain);
+                viable_groups.emplace_back(hash64(group.value()), domain);
             if (domain == self)
                 share.present = groups.size();
             else
                 share.elsewhere = share.elsewhere || !groups.empty();
         }
-        std::sort(standing.begin(), standing.end());
+        std::sort(viable_groups.begin(), viable_groups.end());
         share.wanted = share.present;
-        for (std::size_t i = row->replicas; i < standing.size(); ++i) {
-            if (standing[i].second != self)
+        for (std::size_t i = row->replicas; i < viable_groups.size(); ++i) {
+            if (viable_groups[i].second != self)
                 continue;
             ++share.surplus;
             --share.wanted;
         }
-        for (std::size_t i = standing.size(); i < row->replicas; ++i) {
-            const auto where = most_free_domain(domains, *row);
-            if (where == domains.end()) {
+        for (std::size_t i = viable_groups.size(); i < row->replicas; ++i) {
+            const auto target = most_free_domain(domains, *row);
+            if (target == domains.end()) {
                 const auto yields = yield_to(domains, tables, *row);
                 if (yields.row == nullptr)
                     break;
@@ -158,8 +161,8 @@
                     ++shares.m_shares[yields.row->name].yielding;
                 continue;
             }
-            where->second.free -= row->replica_vms;
-            if (where->first == self)
+            target->second.free -= row->replica_vms;
+            if (target->first == self)
                 ++share.wanted;
         }
     }
--- a/groups/formation_histories_test.cc
+++ b/groups/formation_histories_test.cc
@@ -7,16 +7,16 @@
 
 namespace {
 
-// Troubles of a history, as bits of a number.
-constexpr unsigned stale_reports = 1;   ///< runners say what held 200 ms ago
-constexpr unsigned late_entries = 2;    ///< the registry tells of changes up to 600 ms late
-constexpr unsigned late_orders = 4;     ///< up to a third are carried out seconds later
+// Faults of a history, as bits of a mask.
+constexpr unsigned stale_reports = 1;   ///< runners report their state of 200 ms ago
+constexpr unsigned late_entries = 2;    ///< changes of entries arrive up to 600 ms late
+constexpr unsigned late_orders = 4;     ///< up to a third are executed seconds later
 constexpr unsigned lost_answers = 8;    ///< up to 40% of orders get no answer
 constexpr unsigned outages = 16;        ///< of the store
-constexpr unsigned dying_managers = 32; ///< that start again with what the registry shows
+constexpr unsigned dying_managers = 32; ///< restarted with the contents of the registry
 constexpr unsigned fault_combinations = 64;
 
-/// The days of one failure domain, one random step after the other.
+/// A random history of one failure domain under the given faults.
 class history {
 public:
     history(std::uint64_t seed, unsigned faults)
@@ -36,15 +36,15 @@
             m_world.lose_answers(m_random.unit() * 0.4);
     }
 
-    /// Which promise was broken; empty if none was.
-    std::string play()
+    /// Runs the history. Returns the violated invariant, or an empty string.
+    std::string run()
     {
         constexpr int steps = 14;
         for (int step = 0; step < steps && m_world.violation().empty(); ++step) {
-            take_step("late-" + std::to_string(step));
+            run_random_step("late-" + std::to_string(step));
             m_world.run(milliseconds(0, 2'500));
         }
-        if (m_down)
+        if (m_store_down)
             m_world.store_up(1s);
         m_world.lose_orders(0.0);
         m_world.lose_answers(0.0);
@@ -60,21 +60,21 @@
         return std::chrono::milliseconds{m_random.between(least, most)};
     }
 
-    void take_step(const std::string& newcomer)
+    void run_random_step(const std::string& new_runner)
     {
         const double what = m_random.unit();
         const std::string model = m_random.chance(0.5) ? "big" : "small";
         const std::string head = m_world.head_of(model, m_random.index(3));
         if (what < 0.5 && !head.empty())
             inject_group_fault(head);
-        else if (what < 0.62 && !m_down && has(outages))
+        else if (what < 0.62 && !m_store_down && has(outages))
             begin_outage();
-        else if (what < 0.8 && m_down)
+        else if (what < 0.8 && m_store_down)
             end_outage();
         else if (what < 0.87 && has(dying_managers))
             restart_manager(m_random.index(3));
         else
-            m_world.add(newcomer, m_random.index(2));
+            m_world.add(new_runner, m_random.index(2));
     }
 
     void inject_group_fault(const std::string& head)
@@ -96,14 +96,14 @@
     {
         m_world.peers_reach_store = m_random.chance(0.5);
         m_world.store_down();
-        m_down = true;
+        m_store_down = true;
     }
 
     void end_outage()
     {
         m_world.peers_reach_store = false;
         m_world.store_up(milliseconds(0, 2'000));
-        m_down = false;
+        m_store_down = false;
     }
 
     void restart_manager(std::size_t index)
@@ -116,19 +116,19 @@
     random_source m_random;
     unsigned m_faults;
     fake_registry m_world;
-    bool m_down = false;
+    bool m_store_down = false;
 };
 
 void assert_invariants_hold(std::uint64_t seed, unsigned faults)
 {
-    const std::string violation = history{seed, faults}.play();
-    cr_assert(violation.empty(), "seed %lu, troubles %u: %s", seed, faults, violation.c_str());
+    const std::string violation = history{seed, faults}.run();
+    cr_assert(violation.empty(), "seed %lu, faults %u: %s", seed, faults, violation.c_str());
 }
 
 } // namespace
 
-// Guards against a runner in two groups when a join that got no answer is carried out after the
-// runner was told to leave that group.
+// Guards against a runner in two groups when a join that got no answer is executed after the runner
+// was ordered to leave that group.
 Test(formation, a_late_join_moves_no_runner)
 {
     assert_invariants_hold(92, late_orders);
@@ -138,7 +138,7 @@
     assert_invariants_hold(31, late_orders | outages);
 }
 
-// Guards against whatever mix of troubles puts a runner into two groups or opens a group too early.
+// No combination of faults may put a runner into two groups or open a group too early.
 Test(formation, random_histories_violate_no_invariant)
 {
     constexpr std::uint64_t seeds = 6;
--- a/groups/orders.cc
+++ b/groups/orders.cc
@@ -1,10 +1,10 @@
-// Release before reuse: a VM that reports another group than the record's is released first and
-// must then be quiet for an order horizon before it is assigned. Within its own group it may be
-// ordered anew at any time.
+// Release before reuse: a VM that reports a group other than the record's is released first and
+// must then stay unassigned for an order horizon before it is assigned again. Within its own group
+// it may get new orders at any time.
 //
-// Loads go group by group, the one with the fewest loads left first (shortest remaining time first
-// minimises the sum of the times to completion on one shared server, Schrage 1968): sharing the
-// weight store's rate evenly would make all groups whole at the very end, together.
+// Weights are loaded group by group, fewest remaining loads first (shortest remaining time first
+// minimises the sum of completion times on one shared server, Schrage 1968). Sharing the weight
+// store's rate evenly would complete all groups only at the very end.
 #include "groups/orders.h"
 
 #include <algorithm>
@@ -13,13 +13,13 @@
 
 namespace {
 
-/// The places of a group that must be loaded or told anew.
+/// The ranks of a group whose VMs need an order.
 struct group_work {
     const group_assignment* group = nullptr;
     const group_health* health = nullptr;
     std::vector<member> members;
     std::vector<std::size_t> to_order;
-    std::size_t loads = 0; ///< of them, those that need weights
+    std::size_t loads = 0; ///< how many of `to_order` have to load weights
 };
 
 bool loaded(const vm_view& view, const group_assignment& group, std::size_t rank)
@@ -36,8 +36,8 @@
         }));
 }
 
-/// Whether another domain's record names `vm`: the list is wrong about where the VM is, and the
-/// domain that holds it goes on holding it.
+/// Whether another domain's record names `vm`. Then the VM list is wrong about the VM's domain, and
+/// the domain whose record names it keeps it.
 bool in_other_record(const vm_id& vm, const order_input& in)
 {
     const auto names = [&](const member& one) { return one.vm == vm; };
@@ -52,13 +52,13 @@
     });
 }
 
-/// Which places of `group` differ from what they should be.
+/// The ranks of `group` whose VMs do not yet report the membership that they should have.
 group_work work_of(const group_assignment& group, const group_health& health, vm_table& vms,
                    const order_input& in)
 {
     group_work work{&group, &health, group.members, {}, 0};
-    // Survivors are only told of the new composition once every replacement is loaded; while the
-    // platform answers, the record is changed first and `members` are the new ones by then.
+    // Survivors get the new composition only once every replacement is loaded. While the platform
+    // answers, the record is changed first, so `members` is already the new composition by then.
     const bool switching = in.platform_unreachable && (health.can_switch || health.switched);
     if (switching)
         work.members = health.target;
@@ -83,7 +83,7 @@
 {
     std::vector<manager_command> out;
     std::map<vm_id, group_id> named;
-    std::vector<group_work> works;
+    std::vector<group_work> pending;
     for (const group_assignment& group : in.record.groups) {
         const group_health& health = in.health_by_group.at(group.group);
         for (const member& one : group.members)
@@ -93,7 +93,7 @@
                 named[place.substitute->vm] = group.group;
         }
         if (!group.retiring)
-            works.push_back(work_of(group, health, vms, in));
+            pending.push_back(work_of(group, health, vms, in));
     }
     for (const auto& [vm, group] : named) {
         const auto [at, added] = m_bound.try_emplace(vm, group, in.now);
@@ -102,7 +102,7 @@
     }
     std::erase_if(m_bound, [&](const auto& entry) { return !named.contains(entry.first); });
 
-    // Whatever an engine believes, the record goes before it: let go what isn't named there.
+    // The record takes precedence over the reports: release VMs that it does not name.
     for (auto& [vm, view] : vms.all()) {
         if (in.platform_unreachable || !vms.fresh(view, in.now) ||
             view.report->group.value().empty())
@@ -114,16 +114,17 @@
             release(in, view, out);
     }
 
-    std::stable_sort(works.begin(), works.end(),
+    std::stable_sort(pending.begin(), pending.end(),
                      [](const group_work& a, const group_work& b) { return a.loads < b.loads; });
     std::size_t loads = loading_now(vms, in.now);
-    for (const group_work& work : works) {
-        // A group is let in whole or not at all; the first always, whatever its size.
-        const bool room =
+    for (const group_work& work : pending) {
+        // A group starts loading with all its members or not at all. The first one always may,
+        // even if it exceeds `loads_at_once`.
+        const bool within_limit =
             work.loads == 0 || loads == 0 || loads + work.loads <= in.settings.loads_at_once;
         const bool started = work.loads < work.group->members.size() && work.health->lost == 0 &&
                              !work.health->complete;
-        if (!room && !started)
+        if (!within_limit && !started)
             continue;
         loads += work.loads;
         for (const std::size_t rank : work.to_order) {
@@ -142,8 +143,9 @@
     vm_view& view = *vms.find(members[rank].vm);
     const group_id& reported = view.report->group;
     if (!reported.value().empty() && reported != group.group)
-        return; // released first
+        return; // it has to be released first
     const auto bound = m_bound.find(view.id.vm);
+    // Once the record has named the VM for an order horizon, no older order can take effect on it.
     const bool bound_long_enough =
         bound != m_bound.end() && in.now - bound->second.second >= in.settings.order_horizon;
     if (reported.value().empty() && !bound_long_enough && !vms.assignable(view, in.now))
@@ -201,7 +203,7 @@
     }
     if (in.now - view.order.at < in.settings.order_retry)
         return false;
-    // An engine that takes an order and does nothing, or fails at it again and again.
+    // The engine accepts orders but does not execute them, or fails repeatedly.
     if (view.order.attempts >= in.settings.order_attempts) {
         vms.quarantine(view.id.vm, in.now);
         return false;
--- a/groups/runner_registry.cc
+++ b/groups/runner_registry.cc
@@ -1,5 +1,5 @@
-// Every change takes the runner's old entry out of all counts, changes it and counts it again, so
-// that the counts can't drift from the entries.
+// Every change removes the runner's old entry from all counts, edits it and counts it again, so the
+// counts always match the entries.
 #include "groups/runner_registry.h"
 
 #include <algorithm>
@@ -18,14 +18,14 @@
     return is_head(row) && row.group->phase == member_phase::open;
 }
 
-/// What the router goes by of an entry itself, whatever the group that it is in.
+/// The row if the router uses it: a listed plain server or open head. Otherwise nullopt.
 std::optional<runner> served_row(const registered_runner& entry)
 {
     const bool served = !entry.row.joins_groups() || is_open_head(entry.row);
     return entry.listed && served ? std::optional{entry.row} : std::nullopt;
 }
 
-/// The composition that an entry counts for.
+/// The composition that the entry counts towards; nullopt if it is unlisted or names none.
 std::optional<group_key> counted_group(const registered_runner& entry)
 {
     return entry.listed && entry.row.group ? std::optional{key_of(*entry.row.group)} : std::nullopt;
@@ -36,7 +36,7 @@
 void runner_registry::update(const runner& row, time_point now)
 {
     expire_unlisted(now);
-    const auto [found, fresh] = m_runners.try_emplace(row.id);
+    const auto [found, inserted] = m_runners.try_emplace(row.id);
     const registered_runner& known = found->second;
     if (known.listed && known.row == row)
         return;
@@ -94,15 +94,15 @@
 {
     const std::optional<runner> served = served_row(entry);
     const std::optional<group_key> counted = counted_group(entry);
-    const std::optional<membership> said = entry.row.group;
+    const std::optional<membership> previous_group = entry.row.group;
     const bool open_before = counted && m_compositions.at(*counted).open > 0;
     uncount(entry);
     edit(entry);
     count(entry, now);
     const std::optional<group_key> counts_now = counted_group(entry);
     const bool open_now = counts_now && m_compositions.at(*counts_now).open > 0;
-    if (said)
-        erase_if_unnamed(key_of(*said));
+    if (previous_group)
+        erase_if_unnamed(key_of(*previous_group));
     const bool regrouped = counts_now != counted && (open_before || open_now);
     if (regrouped || served_row(entry) != served)
         ++m_serving_version;
@@ -130,8 +130,8 @@
 {
     const runner& row = entry.row;
     if (row.group) {
-        const auto [found, fresh] = m_compositions.try_emplace(key_of(*row.group));
-        if (fresh)
+        const auto [found, inserted] = m_compositions.try_emplace(key_of(*row.group));
+        if (inserted)
             found->second.first_seen = now;
         ++found->second.named;
         found->second.listed += entry.listed ? 1 : 0;
@@ -186,10 +186,10 @@
 {
     while (!m_unlisted.empty() && now - m_unlisted.front().first > unlisted_retention) {
         const auto found = m_runners.find(m_unlisted.front().second);
-        const bool stays = found == m_runners.end() || found->second.listed ||
-                           found->second.unlisted_at != m_unlisted.front().first;
+        const bool kept = found == m_runners.end() || found->second.listed ||
+                          found->second.unlisted_at != m_unlisted.front().first;
         m_unlisted.pop_front();
-        if (stays)
+        if (kept)
             continue;
         uncount(found->second);
         if (found->second.row.group)
