--- a/routing/modelled_fixture.h
+++ b/routing/modelled_fixture.h
@@ -1,4 +1,9 @@
-// For tests: a core with the operators' tables, whose engines' speed is known.
+// Test fixture: a request core with a configuration as the operators use it, in which the
+// performance figures of the model's engines are known.
+//
+//   modelled_world world{2};                                     // two groups
+//   const command_list out = world.submit("/chat/x");
+//   const auto order = last_command<send_attempt>(out);
 #pragma once
 
 #include "routing/core_fixture.h"
@@ -118,7 +123,7 @@
     return settings;
 }
 
-/// A core with the operators' tables and `groups` groups of the model.
+/// A core with the configuration of modelled_tables() and `groups` groups of the model.
 class modelled_world : public fixture {
 public:
     explicit modelled_world(int groups, core_settings settings = modelled_settings())
@@ -150,7 +155,7 @@
         return send(request_arrived{info});
     }
 
-    /// The sending that `out` asks for has left and brings its head.
+    /// Reports that the attempt was sent and that its response has begun with a first event.
     command_list begin(const send_attempt& order)
     {
         send(attempt_sent{order.request, order.attempt});
@@ -188,7 +193,7 @@
     std::uint64_t m_last = 0;
 };
 
-/// The last command of a kind.
+/// The last command of the given type in the list, if there is one.
 template <class Command>
 std::optional<Command> last_command(const command_list& list)
 {
--- a/routing/modelled_test.cc
+++ b/routing/modelled_test.cc
@@ -1,5 +1,5 @@
-// Pools whose engines' speed is known, routes by host and workspaces by key: what the operators'
-// store brings beyond our own tables.
+// Pools whose engine figures are known, routes by host, and workspaces identified by key: the
+// features that only configurations from the operators' store use.
 #include "routing/modelled_fixture.h"
 #include "routing/modelled_pick.h"
 
@@ -74,8 +74,8 @@
         cr_assert_eq(number, 4, "%s got %d", target.c_str(), number);
 }
 
-// Everything is full. What comes now waits here for a moment and is then told to come back, long
-// before its caller gives up.
+// Guards against requests that wait in a full pool until their callers give up: they are refused
+// after a short wait, with a time for the retry.
 Test(modelled, a_full_pool_refuses_in_time)
 {
     world sim{1};
@@ -91,8 +91,8 @@
     cr_assert(refused->retry_after && *refused->retry_after >= 100ms);
 }
 
-// A server answers a stream with 500, the next one ends in its middle: both have run it, and the
-// route allows two. A third sending would run it on a server too many.
+// Guards against running a request on more servers than its route allows. The first server answers
+// 500 and the second cuts the stream; both have run it, and the route allows two.
 Test(modelled, a_failed_response_counts_as_a_server_used)
 {
     world sim{3};
@@ -104,20 +104,22 @@
     cr_assert(!last_command<send_attempt>(sim.fail_attempt(*second)));
 }
 
-// The other nodes fill every group. A node that took only what they leave would never get a place.
+// Guards against a node that gets no places because the other nodes seem to fill every group: each
+// node has guaranteed places.
 Test(modelled, each_node_has_guaranteed_places_in_a_full_group)
 {
     world sim{1};
     sim.send(fleet_size_seen{4});
     sim.send(load_seen{target_id{"g1"}, {8, 3, 0.0}, {}});
     sim.begin(*last_command<send_attempt>(sim.submit()));
-    cr_assert(last_command<send_attempt>(sim.submit()), "two of eight places are ours");
+    cr_assert(last_command<send_attempt>(sim.submit()), "two of eight places are guaranteed");
     cr_assert(!last_command<send_attempt>(sim.submit()));
 }
 
-// 35 nodes before six groups of eight places: a node's part of one group is less than a place. All
-// groups were full a moment ago, and their answers went to other nodes, so nothing tells this one
-// that they are idle now. It has one place of the 48 for sure, and hears with it how things stand.
+// Guards against a node that is shut out because its share of each group is less than a place (35
+// nodes, six groups of eight places). All groups were reported full, and later reports went to
+// other nodes. The node has one guaranteed place of the 48 in the pool, and the response to its
+// request brings it a new load report.
 Test(modelled, a_guarantee_below_one_place_still_admits_requests)
 {
     world sim{6};
@@ -127,18 +129,19 @@
     const auto first = last_command<send_attempt>(sim.submit());
     cr_assert(first);
     sim.begin(*first);
-    cr_assert(!last_command<send_attempt>(sim.submit()), "the rest waits for news");
+    cr_assert(!last_command<send_attempt>(sim.submit()),
+              "no further request is sent without a new load report");
     const command_list out = sim.send(load_seen{first->target, {1, 0, 0.0}, {}});
     const command_list later = sim.pass(50ms);
     cr_assert(last_command<send_attempt>(out) || last_command<send_attempt>(later),
-              "which it has now");
+              "the new load report admits further requests");
 }
 
 namespace {
 
 constexpr std::chrono::milliseconds report_age{500};
 
-/// A node of domain "a" before six groups there and six in "b".
+/// A node of domain "a" with six groups in its own domain and six in "b".
 modelled_world beside_another_domain()
 {
     core_settings settings = modelled_settings();
@@ -161,7 +164,8 @@
     sim.pass(10ms);
 }
 
-/// How many of 50 requests go to domain "b", whose groups answer with their load if it is told.
+/// Returns how many of 50 requests go to domain "b". Its groups report `running_there` with each
+/// response, if it is given.
 int sent_to_b(modelled_world& sim, std::optional<std::uint32_t> running_there)
 {
     int sent = 0;
@@ -181,8 +185,8 @@
 
 } // namespace
 
-// Guards against a node whose own domain is nearly full and that never hears that another is idle.
-// Pattern: many nodes before groups of several failure domains, unequal traffic.
+// Guards against a node whose own domain is nearly full and that never learns that another is idle.
+// This occurs with many nodes, groups in several failure domains and unequal traffic.
 Test(modelled, an_idle_domain_without_load_reports_gets_requests)
 {
     modelled_world sim = beside_another_domain();
@@ -190,7 +194,7 @@
     cr_assert_geq(sent_to_b(sim, 1), 45);
 }
 
-// Guards against a node that keeps trying another domain though it is no less busy than its own.
+// Guards against a node that keeps sending requests to another domain that is as loaded as its own.
 Test(modelled, an_equally_busy_domain_gets_few_requests)
 {
     modelled_world sim = beside_another_domain();
@@ -199,7 +203,8 @@
     cr_assert_leq(sent, 10, "%d", sent);
 }
 
-// Guards against nodes that all choose the same of several groups of which they know nothing.
+// Guards against herding: several groups without load reports are equal for all nodes, which must
+// not all choose the same one.
 Test(modelled, nodes_do_not_all_choose_the_same_of_equal_groups)
 {
     std::set<std::string> chosen;
@@ -221,8 +226,8 @@
     cr_assert_geq(chosen.size(), 4U);
 }
 
-// A stream that a full server refused, and that then broke in its middle at another, ended for its
-// caller though a third group was free: the refusal had used up its second server.
+// Guards against a refusal that counts as a run. A stream is refused by a full server and is then
+// cut at another; it must resume at a third, since only one server has run it.
 Test(modelled, a_refusal_does_not_count_as_a_server_used)
 {
     world sim{3};
@@ -246,9 +251,10 @@
     cr_assert(last_command<end_truncated>(end));
 }
 
-// A group has lost a member: it takes requests and moves nothing, for seconds. All its streams
-// pause at once. They go on elsewhere before their callers leave, the managers are told, and
-// nothing new goes there but one request now and then.
+// Guards against streams that stay on a stalled group. A group that lost a member accepts requests
+// but produces nothing for seconds, so all its streams pause at once. They must resume elsewhere
+// before their callers leave, the group managers must be notified, and the group must get no new
+// requests except occasional trials.
 Test(modelled, streams_move_away_from_a_silent_group)
 {
     world sim{2};
@@ -276,7 +282,8 @@
     cr_assert_neq(last_command<send_attempt>(sim.submit())->target.value(), "g1");
 }
 
-// An engineer sees a request sent twice and can't tell why, or how often it may still be sent.
+// Guards against a move in the request log that shows neither its reason nor how many servers the
+// request has used.
 Test(modelled, a_move_records_its_reason_and_the_servers_used)
 {
     world sim{2};
@@ -289,9 +296,9 @@
     cr_assert_eq(last_command<send_attempt>(out)->basis.servers_used, 1U);
 }
 
-// A stream has used both servers that it may run on when its group falls silent. Most groups that
-// stand still go on after a second. Nobody else could take it over, so ending it at the first sign
-// would only lose the caller what may still come.
+// Guards against ending streams that cannot resume elsewhere. A stream has used both servers that
+// its route allows when its group falls silent. Most silent groups continue after about a second,
+// so ending the stream at the first sign would lose the rest of the response.
 Test(modelled, streams_without_another_server_stay_with_a_silent_group)
 {
     world sim{2};
@@ -308,7 +315,8 @@
         sim.send(attempt_finished{second.request, second.attempt, true, std::nullopt})));
 }
 
-// The only group pauses. Its requests have nowhere else to go and stay where they are.
+// Guards against cancelling requests of the only group when it falls silent: there is no other
+// target for them.
 Test(modelled, a_silent_group_without_another_keeps_its_requests)
 {
     world sim{1};
@@ -318,8 +326,9 @@
     cr_assert_eq(count<cancel_attempt>(out), 0U);
 }
 
-// A sound group under a full load pauses for as long as a pass with many prompts takes. That is no
-// silence: moving its streams would double the load that makes it slow.
+// Guards against a false detection of silence. A healthy group under full load produces no events
+// for the duration of a pass with many prompts; moving its streams would increase the load that
+// slows it down.
 Test(modelled, a_busy_group_is_not_detected_as_silent)
 {
     world sim{2};
@@ -335,7 +344,8 @@
     }
 }
 
-// Servers fail everything. The retries of all nodes together must stay within the fleet's budget.
+// Guards against a retry storm: all servers fail every request, and the retries of all nodes
+// together must stay within the fleet's budget.
 Test(modelled, retries_stay_within_the_nodes_share_of_the_fleet_budget)
 {
     core_settings settings = modelled_settings();
--- a/routing/overload_test.cc
+++ b/routing/overload_test.cc
@@ -1,4 +1,5 @@
-// What callers get where they ask for more than the groups can do: who goes first, who begins late.
+// Scheduling under overload: which requests are served first and how many first events come within
+// their target if the demand exceeds the capacity of the groups.
 #include "routing/modelled_fixture.h"
 
 #include <criterion/criterion.h>
@@ -14,17 +15,17 @@
 
 using world = modelled_world;
 
-/// Nodes before the same groups, and callers who come at random and don't come back. A group runs
-/// as many requests as it has places, the rest wait inside it, first come first served; the nodes
-/// learn of each other's requests only by what the groups tell with their first events.
+/// Several nodes that share the same groups, with callers that arrive at random and do not retry. A
+/// group runs as many requests as it has places and queues the rest in order of arrival. The nodes
+/// learn of each other's requests only from the load reports that come with first events.
 class overload_simulation {
 public:
     struct parameters {
-        std::vector<double> parts{1.0}; ///< of the callers, by node
+        std::vector<double> node_shares{1.0}; ///< share of the callers per node
         int groups = 1;
-        duration pace = 20ms;         ///< between two callers, on average
-        duration answer = 400ms;      ///< from the first event to the end, on average
-        duration unmodelled_delay{0}; ///< of a first event, beyond what the engine's figures say
+        duration mean_arrival_interval = 20ms; ///< mean time between two arrivals
+        duration mean_response_time = 400ms;   ///< mean time from the first event to the end
+        duration unmodelled_delay{0};          ///< added to the predicted time to a first event
         std::uint64_t seed = 1;
         std::uint32_t prompt = 200; ///< tokens
     };
@@ -33,9 +34,9 @@
         : m_parameters{std::move(given)}, m_random{m_parameters.seed},
           m_groups(static_cast<std::size_t>(m_parameters.groups))
     {
-        for (std::size_t node = 0; node < m_parameters.parts.size(); ++node) {
+        for (std::size_t node = 0; node < m_parameters.node_shares.size(); ++node) {
             m_nodes.push_back(std::make_unique<world>(m_parameters.groups));
-            m_nodes.back()->send(fleet_size_seen{m_parameters.parts.size()});
+            m_nodes.back()->send(fleet_size_seen{m_parameters.node_shares.size()});
         }
     }
 
@@ -44,7 +45,7 @@
         const time_point until = now() + time;
         time_point next = now();
         while (now() < until) {
-            for (; now() >= next; next += exponential(m_parameters.pace)) {
+            for (; now() >= next; next += exponential(m_parameters.mean_arrival_interval)) {
                 const std::size_t node = random_node();
                 ++asked;
                 handle_commands(node, m_nodes[node]->submit("/chat/x", "a.example", "key-1",
@@ -85,7 +86,7 @@
         }
     }
 
-    /// What is in the first places runs; the rest waits.
+    /// Starts the jobs that have places; the others stay queued.
     void run_groups()
     {
         for (std::deque<job>& jobs : m_groups) {
@@ -107,7 +108,7 @@
             first_event_ms(dense_model(), double(places), {}, m_parameters.prompt)};
         one.begins =
             now() + std::chrono::duration_cast<duration>(predicted) + m_parameters.unmodelled_delay;
-        one.ends = one.begins + exponential(m_parameters.answer);
+        one.ends = one.begins + exponential(m_parameters.mean_response_time);
     }
 
     void begin_due(std::deque<job>& jobs)
@@ -159,15 +160,15 @@
     std::size_t random_node()
     {
         double left = m_random.unit();
-        for (std::size_t node = 0; node + 1 < m_parameters.parts.size(); ++node) {
-            left -= m_parameters.parts[node];
+        for (std::size_t node = 0; node + 1 < m_parameters.node_shares.size(); ++node) {
+            left -= m_parameters.node_shares[node];
             if (left < 0.0)
                 return node;
         }
-        return m_parameters.parts.size() - 1;
+        return m_parameters.node_shares.size() - 1;
     }
 
-    /// Exponentially distributed, as what comes from many callers independently is.
+    /// Exponentially distributed, as are the times between arrivals from many independent callers.
     duration exponential(duration mean)
     {
         const double times = -std::log(1.0 - m_random.unit());
@@ -185,8 +186,9 @@
 
 } // namespace
 
-// A request waits beyond the time that makes it worth its full. All that can still make theirs go
-// first, and each of the others gets its turn as soon as the group has room for more than it.
+// Guards against late requests that delay others. Requests that can still meet their route's target
+// are served before those that waited too long, and the late ones are served as soon as the group
+// has enough free places.
 Test(modelled, requests_that_can_meet_their_target_go_first)
 {
     world sim{1};
@@ -196,7 +198,7 @@
         sim.begin(running.back());
     }
     for (int index = 0; index < 4; ++index)
-        sim.submit(); // wait, and are late after these passes of the engine
+        sim.submit(); // queued, and late by the end of the loop below
     for (int event = 2; event < 7; ++event) {
         sim.pass(80ms);
         for (const send_attempt& order : running)
@@ -204,7 +206,7 @@
     }
     constexpr std::uint64_t last_late = 12;
     for (int index = 0; index < 4; ++index)
-        sim.submit(); // could still be in time
+        sim.submit(); // can still meet the target
     std::vector<std::uint64_t> turns;
     for (std::size_t index = 0; index < running.size(); ++index) {
         const send_attempt ended = running[index];
@@ -219,13 +221,14 @@
             sim.begin(running.back());
         }
     }
-    cr_assert_eq(turns.size(), 8U, "none of them starves");
+    cr_assert_eq(turns.size(), 8U, "all requests are served");
     for (std::size_t index = 0; index < 4; ++index)
         cr_assert_gt(turns[index], last_late, "turn %zu", index);
 }
 
-// Groups are full, and a caller who was refused a second ago comes back with what is left of its
-// eight seconds. Newest first would have it take the next place from one who can still be in time.
+// Guards against a returning request that displaces one that can still meet its target. The groups
+// are full; a caller that was refused a second ago returns with the remainder of its eight seconds.
+// With the newest request first it would get the next place.
 Test(modelled, returning_requests_yield_to_those_that_can_meet_their_target)
 {
     world sim{1};
@@ -247,8 +250,9 @@
     cr_assert_eq(next->request.value(), new_request);
 }
 
-// Groups are full and stay so. A request that can't begin in time any more is told within half a
-// second, truthfully and with a time to come back, not when its caller has no time left.
+// Guards against requests that wait until their deadline in a pool that stays full. A request that
+// can no longer meet its target is refused within half a second, marked as not run and with a time
+// for the retry.
 Test(modelled, late_requests_are_refused_promptly)
 {
     world sim{1};
@@ -271,29 +275,29 @@
     cr_assert(refusal->retry_after.has_value());
 }
 
-// Callers ask two and a half times as much as the groups can do, for seconds. First come, first
-// served would have everyone wait until the first event is just too late, and nobody would be
-// served in time. The pattern is that of a burst while groups are being repaired.
+// Guards against queues in which every request waits until it is just late. The demand is two and a
+// half times the capacity for several seconds, as in a burst while groups are repaired; first come,
+// first served would then serve almost no request in time.
 Test(modelled, most_served_requests_meet_their_target_under_overload)
 {
     overload_simulation sim{{.prompt = 1'000}};
     sim.run(4s);
-    cr_assert_gt(sim.sent, 60U, "%zu: the group is kept at work", sim.sent);
+    cr_assert_gt(sim.sent, 60U, "%zu requests sent: the group stays busy", sim.sent);
     cr_assert_geq(sim.in_time * 10, sim.sent * 6, "%zu of %zu", sim.in_time, sim.sent);
 }
 
-// Groups have been lost, and those left can hardly do what is asked, for many seconds; each node
-// sees only part of what the others send. What has waited too long takes its place for as long as
-// an answer lasts. Let in as soon as a place seems free, it makes the next ones wait in turn, and a
-// quarter of all callers hear their first event late where a tenth need to.
+// Guards against late requests that make later ones late too. After a loss of groups the demand is
+// slightly above capacity for seconds, and each node sees only part of the others' load. A late
+// request occupies its place for the time of a response; if it were sent as soon as a place seemed
+// free, a quarter of the requests would be late instead of a tenth.
 Test(modelled, a_small_capacity_shortage_delays_few_callers)
 {
     std::size_t asked = 0;
     std::size_t in_time = 0;
     for (std::uint64_t seed = 1; seed <= 4; ++seed) {
-        overload_simulation sim{{.parts = {0.4, 0.15, 0.25, 0.2},
+        overload_simulation sim{{.node_shares = {0.4, 0.15, 0.25, 0.2},
                                  .groups = 8,
-                                 .pace = 9ms,
+                                 .mean_arrival_interval = 9ms,
                                  .unmodelled_delay = 105ms,
                                  .seed = seed}};
         sim.run(10s);
--- a/routing/policy_engine.h
+++ b/routing/policy_engine.h
@@ -1,8 +1,9 @@
-// For the policy report: a simple service model of a batching engine. Not in the public header.
+// For the policy report: a simple service model of a batching engine with continuous batching.
+// Internal to the simulation.
 //
-// A step serves every running sequence one token, or a chunk of its prompt. It takes a fixed time,
-// a time for each running sequence, and a time for each prompt token worked on, so that first
-// tokens queue behind prompts and tokens slow down as the batch fills, as in continuous batching.
+// Each step generates one token for every running sequence, or processes a chunk of its prompt. A
+// step takes a fixed time, plus a time per running sequence and per processed prompt token, so that
+// first tokens are delayed by other prompts and tokens slow down as the batch fills.
 #pragma once
 
 #include "routing/request_events.h"
@@ -16,18 +17,18 @@
 
 constexpr std::uint32_t block_tokens = 64;
 
-/// What an engine costs and holds; about a 70B model on eight accelerators.
+/// Costs and capacities of an engine; roughly a 70B model on eight accelerators.
 struct engine_model {
     double step_s = 0.020;
     double sequence_s = 0.0005;
     double prompt_token_s = 0.00006;
-    std::uint32_t prompt_chunk = 1'024; ///< prompt tokens of one step
+    std::uint32_t prompt_chunk = 1'024; ///< prompt tokens per step
     std::uint32_t batch = 64;
     std::size_t cache_blocks = 4'000;
-    double slowness = 1.0; ///< of a straggler
+    double slowness = 1.0; ///< factor on the time of a step
 };
 
-/// One attempt in an engine.
+/// An attempt that is queued or running in an engine.
 struct sequence {
     int node = 0;
     request_id request;
@@ -39,7 +40,7 @@
     std::uint32_t tokens_emitted = 0;
 };
 
-/// Least recently used blocks go first.
+/// Prompt blocks in the engine's cache, evicted in least-recently-used order.
 class block_cache {
 public:
     explicit block_cache(std::size_t most) : m_most{most} {}
@@ -52,7 +53,7 @@
         return held;
     }
 
-    /// Keeps the blocks and returns the events that an engine would publish.
+    /// Stores the blocks and returns the events that an engine would publish.
     std::vector<prefix_event> store(const std::vector<std::uint64_t>& blocks)
     {
         std::vector<prefix_event> events;
@@ -80,7 +81,7 @@
     std::unordered_map<std::uint64_t, std::list<std::uint64_t>::iterator> m_entries;
 };
 
-/// What a step gave.
+/// Result of a step.
 struct step_result {
     double took_s = 0.0;
     std::vector<sequence> first_tokens; ///< copies
--- a/routing/policy_main.cc
+++ b/routing/policy_main.cc
@@ -1,11 +1,12 @@
-// Compares the request core's policies in a small model and prints a report in Markdown or JSON.
+// Simulates the request core's policies and baselines, and prints a report in Markdown or JSON.
 //
 //   jaynotch-policy                     the whole report
-//   jaynotch-policy --part=overload     one part: overload, limits, faults, recovery, prefixes,
-//   sizes, nodes jaynotch-policy --json              one JSON object a line
+//   jaynotch-policy --part=overload     one part: overload, limits, faults, recovery,
+//                                       prefixes, sizes, nodes
+//   jaynotch-policy --json              one JSON object per line
 //
-// The engines are modelled (policy_engine.h), the request cores are the real ones. Rows of one part
-// share their seed, so they see the same arrivals.
+// The engines are simulated (policy_engine.h); the request cores are the production code. The rows
+// of one part use the same seed and so the same arrivals.
 #include "routing/policy_run.h"
 
 #include <absl/flags/flag.h>
@@ -15,10 +16,10 @@
 #include <cstdio>
 
 ABSL_FLAG(std::string, part, "",
-          "only this part: overload, limits, faults, recovery, prefixes, sizes, nodes");
+          "print only this part: overload, limits, faults, recovery, prefixes, sizes, nodes");
 ABSL_FLAG(bool, json, false, "print JSON lines instead of Markdown");
-ABSL_FLAG(std::uint64_t, seed, 1, "seed of the load and of the cores");
-ABSL_FLAG(double, seconds, 90.0, "modelled time of a run");
+ABSL_FLAG(std::uint64_t, seed, 1, "seed of the workload and of the request cores");
+ABSL_FLAG(double, seconds, 90.0, "simulated time of a run, seconds");
 
 namespace jaynotch::policy {
 
@@ -39,7 +40,7 @@
     return made;
 }
 
-/// What one engine completes with as many requests as the pool allows it.
+/// Throughput of one engine with the maximum number of requests in flight that the pool allows.
 double capacity_of(const run_options& options)
 {
     return closed_loop_rate(options.engine, static_cast<int>(options.in_flight_per_group));
@@ -169,7 +170,7 @@
     constexpr int runs = 12;
     if (!absl::GetFlag(FLAGS_json)) {
         std::printf(
-            "\n### Recovery after lost groups of 6, over %d runs, entry nodes told after 0.5 s"
+            "\n### Recovery after lost groups of 6, over %d runs, entry nodes notified after 0.5 s"
             "\n\n| lost | offered | policy | goodput back at 95%% after |\n|---|---|---|---|\n",
             runs);
     }
@@ -194,7 +195,7 @@
 
 void part_prefixes()
 {
-    print_header("Prefix hits at 0.7 times capacity, against a router that knows all");
+    print_header("Prefix hits at 0.7 times capacity, compared with an ideal router");
     for (const int groups : {3, 6, 50}) {
         run_options options = base();
         options.groups = groups;
--- a/routing/policy_measure.cc
+++ b/routing/policy_measure.cc
@@ -1,4 +1,4 @@
-// Measures that take an engine alone, or several runs.
+// Measurements on a single engine, and measurements over several runs.
 #include "routing/policy_run.h"
 #include "routing/policy_workload.h"
 
--- a/routing/policy_run.cc
+++ b/routing/policy_run.cc
@@ -1,5 +1,6 @@
-// The driver: one queue of timed actions; every node and engine takes part through it, with one
-// millisecond each way between them. Reports, gossip and cache events come with a lag.
+// Discrete-event simulation: a single queue of timed actions drives all nodes and engines. Messages
+// between them take one millisecond each way; load reports, gossip and cache events are delayed
+// further.
 #include "routing/policy_run.h"
 
 #include "routing/policy_workload.h"
@@ -13,10 +14,11 @@
 namespace {
 
 constexpr double one_way_s = 0.001;
-constexpr double max_gap_s = 0.1; ///< between tokens, for an answer to count
+constexpr double max_gap_s = 0.1; ///< mean time between tokens of a good response
 constexpr double tick_s = 0.02;
 constexpr std::uint32_t tokens_per_progress = 16;
-constexpr double excluded_tail_s = 25.0; ///< whose requests may not have ended at the end of a run
+/// Requests that arrive this close to the end of a run are not counted: they may not have ended.
+constexpr double excluded_tail_s = 25.0;
 
 duration to_duration(double seconds)
 {
@@ -32,14 +34,14 @@
     return values[at];
 }
 
-/// What is known of a request on the caller's side.
+/// State of a request on the caller's side.
 struct caller {
     double arrived_s = 0.0;
     double first_s = -1.0;
     int workspace = 0;
     request_info info;
     std::uint32_t tokens_emitted = 0;
-    int resubmissions = 0; ///< again
+    int resubmissions = 0;
 };
 
 class driver {
@@ -180,7 +182,6 @@
 
     [[nodiscard]] bool counts(const caller& each) const
     {
-        // The last seconds' requests may not have ended yet.
         return each.arrived_s >= m_options.warm_up &&
                each.arrived_s < m_options.seconds - excluded_tail_s;
     }
@@ -247,7 +248,8 @@
         });
     }
 
-    /// The longest true match among the engines whose true load is bounded, else the least loaded.
+    /// The engine with the longest actual match among those whose actual load is bounded, else the
+    /// least loaded.
     std::size_t best_engine(const request_info& info) const
     {
         double mean = 0.0;
@@ -334,7 +336,7 @@
         m_callers.erase(found);
     }
 
-    /// A caller without patience: the same request again at once, under a new id.
+    /// Simulates a caller that retries at once: submits the same request under a new id.
     bool resubmit(const caller& failed)
     {
         if (failed.resubmissions >= m_options.client_retries)
@@ -408,7 +410,7 @@
 
     void lose_groups()
     {
-        // Half a second until the entry nodes are told; until then the group is silent.
+        // The entry nodes are notified after half a second; until then the group is silent.
         constexpr double noticed_s = 0.5;
         for (int lost = 0; lost < m_options.lost_groups; ++lost) {
             const auto index = static_cast<std::size_t>(m_options.groups - 1 - lost);
@@ -466,7 +468,7 @@
     std::vector<bool> m_dead;
     std::vector<request_core> m_cores;
     std::unordered_map<std::uint64_t, caller> m_callers;
-    std::map<attempt_id, std::size_t> m_placements; ///< attempts that the all-knowing one placed
+    std::map<attempt_id, std::size_t> m_placements; ///< by the ideal router
     std::uint64_t m_counted = 0;
     std::uint64_t m_good = 0;
     std::uint64_t m_refused = 0;
--- a/routing/policy_test.cc
+++ b/routing/policy_test.cc
@@ -1,5 +1,5 @@
-// Regression bounds of the policy, in the model of the policy report. The runs are seeded and in
-// modelled time, so the machine's speed doesn't enter.
+// Regression bounds on the routing policy, in the simulation of the policy report. The runs are
+// seeded and use simulated time, so the results do not depend on the machine's speed.
 #include "routing/policy_run.h"
 
 #include <criterion/criterion.h>
@@ -18,8 +18,9 @@
 
 } // namespace
 
-// The morning rush is twice what the engines can do. What they do must stay useful: nearly the
-// goodput at capacity, refusals said early, hardly anything that was accepted is late.
+// Guards against a collapse of goodput under overload, such as a morning peak of twice the
+// capacity. Goodput has to stay close to that at capacity, refusals have to come early, and hardly
+// any accepted request may be late.
 Test(policy, goodput_holds_at_twice_and_four_times_capacity)
 {
     const double at_capacity = run(at_load(1.0)).goodput;
@@ -32,8 +33,9 @@
     }
 }
 
-// Without admission the engines work on what nobody waits for any more; with callers who ask again
-// at once whenever they are not served, hardly anything is in time.
+// Guards against a policy that is no better than the baselines. Without admission control, engines
+// work on requests whose callers have gone; if callers also retry at once, hardly any response is
+// in time.
 Test(policy, beats_the_baselines_under_overload)
 {
     const double own = run(at_load(2.0)).goodput;
@@ -52,8 +54,8 @@
     cr_assert_geq(own, 4.0 * run(plain_retries).goodput);
 }
 
-// The turns of a conversation meet their cached prompt whichever entry node they come by, with
-// cache events that are late and have gaps.
+// Guards against conversations that miss their cached prompt when they enter through another node,
+// or because cache events are delayed or lost.
 Test(policy, prefix_hits_are_near_those_of_an_ideal_router)
 {
     for (const int groups : {3, 6, 50}) {
@@ -66,8 +68,8 @@
     }
 }
 
-// One group of six is three times as slow as the others; callers must not see a sixth of their
-// answers late.
+// Guards against a slow group that delays its share of the responses: one group of six is three
+// times as slow as the others.
 Test(policy, a_straggler_does_not_delay_its_share_of_requests)
 {
     run_options options = at_load(0.6);
@@ -76,7 +78,8 @@
     cr_assert_leq(result.late + result.refused, 0.01);
 }
 
-// A group of six dies. Within two seconds the others give what they can.
+// Guards against slow recovery: after one group of six fails, the others must reach their full
+// throughput within two seconds.
 Test(policy, goodput_recovers_after_a_lost_group)
 {
     run_options options = at_load(1.0);
@@ -85,8 +88,8 @@
     cr_assert_leq(recovery_s(options, 6), 2.0);
 }
 
-// Four entry nodes see load reports that are most of a second old. They must not all run for the
-// group that looked idle: first tokens at one and at sixteen nodes are alike.
+// Guards against herding: many entry nodes with the same load reports, 0.7 s old, all send to the
+// group that looked idle. The first token times with one and with sixteen nodes must be similar.
 Test(policy, lagged_load_reports_cause_no_herding)
 {
     run_options options = at_load(0.8);
--- a/routing/policy_workload.h
+++ b/routing/policy_workload.h
@@ -1,7 +1,7 @@
-// For the policy report: the load. Not in the public header.
+// For the policy report: the workload generator. Internal to the simulation.
 //
-// Ten workspaces of unequal size, each with a system prompt of its own; three in four requests go
-// on with a conversation of late, whose prompt has grown by its last turn if that was answered.
+// Ten workspaces of unequal size each have their own system prompt. Three in four requests continue
+// a recent conversation, whose prompt has grown by its last turn if that was answered.
 #pragma once
 
 #include "routing/policy_engine.h"
@@ -24,7 +24,7 @@
     std::vector<std::uint64_t> blocks;
 };
 
-/// Makes prompts.
+/// Generates requests with the prompts of ongoing and new conversations.
 class workload {
 public:
     workload(std::uint64_t seed, int groups)
@@ -53,7 +53,7 @@
         return info;
     }
 
-    /// The turn was answered: the conversation goes on from there.
+    /// The turn was answered: later turns of the conversation include its blocks.
     void answered(std::uint64_t id, const std::vector<std::uint64_t>& blocks)
     {
         const auto asked = m_asked.find(id);
@@ -90,7 +90,7 @@
 
     conversation new_conversation()
     {
-        // A few large workspaces: the share falls as 1, 1/2, 1/3 ...
+        // Zipf distribution with exponent 1: the shares of the workspaces are 1, 1/2, 1/3 ...
         double mass = 0.0;
         for (int at = 1; at <= workspaces; ++at)
             mass += 1.0 / at;
--- a/routing/rate_limits_test.cc
+++ b/routing/rate_limits_test.cc
@@ -1,5 +1,5 @@
-// Fleets of nodes before one server that names a limit, on a clock of a few lines: answers, rumors
-// and views of the membership that arrive late, no network.
+// Simulates fleets of entry nodes in front of one server that names a rate limit. Responses, gossip
+// and membership views arrive late; there is no network and the clock is simulated.
 #include "routing/rate_limits.h"
 
 #include <criterion/criterion.h>
@@ -14,7 +14,7 @@
 namespace {
 
 const vm_id server{"i-limited"};
-const failure_domain_id home{"zone-0"};
+const failure_domain_id server_domain{"zone-0"};
 
 class fleet {
 public:
@@ -45,8 +45,9 @@
     }
     void freeze(std::size_t at) { m_nodes[at].running = false; }
     void wake(std::size_t at) { m_nodes[at].running = true; }
-    /// Nodes of different islands don't hear one another.
-    void set_island(std::size_t at, int island) { m_nodes[at].island = island; }
+    /// Sets the network partition of a node; nodes in different partitions cannot reach one
+    /// another.
+    void set_partition(std::size_t at, int partition) { m_nodes[at].partition = partition; }
     void lift() { m_limited = false; }
     [[nodiscard]] std::size_t size() const { return m_nodes.size(); }
     [[nodiscard]] const failure_domain_id& domain(std::size_t at) const
@@ -61,8 +62,8 @@
             step();
     }
 
-    /// Most requests that the server got in one window, from `since` on, of nodes to which it had
-    /// named its limit half a second before.
+    /// Maximum number of requests that the server got in any `window` after `since`, counting only
+    /// nodes to which it had named its limit at least `settling_time` before.
     [[nodiscard]] std::size_t most_in(duration window, duration since) const
     {
         std::size_t most = 0;
@@ -91,11 +92,11 @@
         std::unique_ptr<rate_limits> limits;
         bool running = true;
         bool alive = true;
-        int island = 0;
+        int partition = 0;
         double wanted = 0.0;
-        std::map<std::size_t, time_point> last_seen; ///< others, when last heard
+        std::map<std::size_t, time_point> last_seen; ///< when each node was last heard of
         time_point view_updated_at{};
-        std::optional<time_point> limit_named_at; ///< when an answer first named the limit to it
+        std::optional<time_point> limit_named_at; ///< when a response first reached the node
     };
     struct answer {
         time_point due;
@@ -136,7 +137,7 @@
             if (!one.running)
                 continue;
             one.limit_named_at = one.limit_named_at.value_or(m_now);
-            if (one.limits->server_report(server, home, arrived.limit, m_now))
+            if (one.limits->server_report(server, server_domain, arrived.limit, m_now))
                 m_rumors.push_back({m_now + rumor_time, arrived.to, arrived.limit, m_now});
         }
     }
@@ -147,9 +148,10 @@
             const rumor& spread = m_rumors.front();
             for (std::size_t to = 0; to < m_nodes.size(); ++to) {
                 node& one = m_nodes[to];
-                const bool reached = one.running && one.island == m_nodes[spread.from].island;
+                const bool reached = one.running && one.partition == m_nodes[spread.from].partition;
                 if (to != spread.from && reached)
-                    one.limits->peer_report(server, home, spread.limit, spread.observed, m_now);
+                    one.limits->peer_report(server, server_domain, spread.limit, spread.observed,
+                                            m_now);
             }
         }
     }
@@ -178,7 +180,7 @@
         std::vector<fleet_member> members;
         for (std::size_t index = 0; index < m_nodes.size(); ++index) {
             const node& other = m_nodes[index];
-            if (other.running && other.island == one.island)
+            if (other.running && other.partition == one.partition)
                 one.last_seen[index] = m_now;
             const auto last = one.last_seen.find(index);
             if (last != one.last_seen.end())
@@ -201,12 +203,12 @@
 };
 
 constexpr duration window = 4s;
-/// For nodes to learn of a limit.
+/// Time for all nodes to learn of a limit.
 constexpr duration learning_time = 3s;
 constexpr std::array sizes{1U, 4U, 35U, 117U, 410U};
 constexpr std::array limits{0.3, 1.4, 1.9, 7.5, 40.0};
 
-/// Half as many again as the server takes, and five.
+/// Bound on the requests in `window`: 1.5 times the limit, plus five.
 std::size_t allowed(double per_second)
 {
     return static_cast<std::size_t>(4.0 * per_second * 1.5 + 5.0);
@@ -214,7 +216,8 @@
 
 } // namespace
 
-// Guards against parts that each round up to a request, or that leave the server unused.
+// Guards against shares that are each rounded up to a whole request, and against unused capacity of
+// the server.
 Test(rate_limits, total_rate_stays_within_the_limit_at_every_fleet_size)
 {
     constexpr double demand = 20.0;
@@ -231,7 +234,7 @@
     }
 }
 
-// Guards against parts that are given out twice while nodes disagree on who is there.
+// Guards against shares that are assigned twice while the nodes' membership views differ.
 Test(rate_limits, total_rate_stays_within_the_limit_during_faults)
 {
     for (const std::size_t nodes : {4U, 35U, 117U}) {
@@ -241,7 +244,7 @@
                 fleet sim{nodes, limit, 6.0, seed};
                 random_source random{seed};
                 sim.run(5s);
-                for (int trouble = 0; trouble < 6; ++trouble) {
+                for (int fault = 0; fault < 6; ++fault) {
                     const std::size_t one = random.index(sim.size());
                     const std::size_t other = random.index(sim.size());
                     sim.kill(one);
@@ -252,10 +255,10 @@
                     sim.join();
                     const std::string cut = "zone-" + std::to_string(random.index(3));
                     for (std::size_t at = 0; at < sim.size(); ++at)
-                        sim.set_island(at, sim.domain(at).value() == cut ? 1 : 0);
+                        sim.set_partition(at, sim.domain(at).value() == cut ? 1 : 0);
                     sim.run(std::chrono::milliseconds{random.between(1'000, 9'000)});
                     for (std::size_t at = 0; at < sim.size(); ++at)
-                        sim.set_island(at, 0);
+                        sim.set_partition(at, 0);
                     sim.run(std::chrono::milliseconds{random.between(100, 3'000)});
                 }
                 cr_assert_leq(sim.most_in(window, learning_time), allowed(limit),
@@ -266,7 +269,7 @@
     }
 }
 
-// Guards against nodes that go on with a limit that the server no longer names.
+// Guards against nodes that keep enforcing a limit that the server no longer names.
 Test(rate_limits, a_lifted_limit_reaches_all_nodes_promptly)
 {
     fleet sim{117, 1.9, 6.0, 3};
@@ -277,7 +280,8 @@
         cr_assert(sim.at(at).empty(), "node %zu", at);
 }
 
-// Guards against a node without a part that waits for ever for a word that nobody is left to send.
+// Guards against a node without a share that never sends again because no node is left to report a
+// lifted limit.
 Test(rate_limits, a_node_without_updates_sends_trial_requests)
 {
     const node_id self{"node-0"};
@@ -285,12 +289,12 @@
     time_point now{1h};
     std::vector<fleet_member> members;
     for (int index = 0; index < 40; ++index)
-        members.push_back({node_id{"node-" + std::to_string(index)}, home, true});
+        members.push_back({node_id{"node-" + std::to_string(index)}, server_domain, true});
     vm_id refused;
     limits.fleet_seen(members, now);
     for (int index = 0; limits.share(refused).value_or(1.0) > 0.0; ++index) {
         refused = vm_id{"i-" + std::to_string(index)};
-        limits.peer_report(refused, home, 1.0, now, now);
+        limits.peer_report(refused, server_domain, 1.0, now, now);
     }
     cr_assert(!limits.may_send(refused, now + 9s));
     cr_assert_eq(limits.wait(refused, now), duration::max());
@@ -307,18 +311,20 @@
     cr_assert_leq(trials, 40U);
 }
 
-// Guards against a limit that an old rumor brings back after the server's own answer lifted it.
+// Guards against an older peer report that overrides a later response of the server, and against a
+// newer one that is ignored.
 Test(rate_limits, the_latest_observation_of_a_server_wins)
 {
     rate_limits limits{node_id{"node-0"}};
     const time_point now{1h};
-    cr_assert(limits.server_report(server, home, 2.0, now));
-    cr_assert(!limits.server_report(server, home, 2.0, now + 100ms), "no news");
-    limits.peer_report(server, home, std::nullopt, now, now + 200ms);
+    cr_assert(limits.server_report(server, server_domain, 2.0, now));
+    cr_assert(!limits.server_report(server, server_domain, 2.0, now + 100ms),
+              "an unchanged limit is not reported again at once");
+    limits.peer_report(server, server_domain, std::nullopt, now, now + 200ms);
     cr_assert(limits.share(server));
-    limits.peer_report(server, home, std::nullopt, now + 300ms, now + 400ms);
+    limits.peer_report(server, server_domain, std::nullopt, now + 300ms, now + 400ms);
     cr_assert(!limits.share(server));
-    cr_assert(limits.server_report(server, home, 2.0, now + 1s));
-    cr_assert(limits.server_report(server, home, std::nullopt, now + 2s));
+    cr_assert(limits.server_report(server, server_domain, 2.0, now + 1s));
+    cr_assert(limits.server_report(server, server_domain, std::nullopt, now + 2s));
     cr_assert(limits.may_send(server, now + 2s));
 }
--- a/routing/routing_bench.cc
+++ b/routing/routing_bench.cc
@@ -1,4 +1,5 @@
-// What a request costs the core, in time and allocations, from arrival to its final command.
+// Time and allocations of the request core per request, from arrival to the final command; per
+// token; and per tick.
 #include "routing/modelled_fixture.h"
 
 #include <benchmark/benchmark.h>
@@ -12,7 +13,7 @@
 
 } // namespace
 
-// Counts allocations for the reports below.
+// Counts allocations for the benchmark counters.
 void* operator new(std::size_t size)
 {
     ++allocations;
@@ -99,8 +100,8 @@
 }
 BENCHMARK(a_token);
 
-/// A tick of an entry node of the target size: 200 groups, 409 peers that each want two pools'
-/// worth for ten workspaces, 64 requests in flight.
+/// A tick of an entry node with 64 requests in flight and, at the target size, 200 groups and 409
+/// peers; each peer reports demand for ten workspaces.
 void a_tick(benchmark::State& state)
 {
     fixture world{static_cast<int>(state.range(0))};
@@ -123,7 +124,8 @@
 }
 BENCHMARK(a_tick)->Args({6, 3})->Args({200, 409});
 
-/// A tick of a node before so many groups in five failure domains, whose engines' speed is known.
+/// A tick of a node with the given number of groups in five failure domains, whose engine figures
+/// are known.
 void a_modelled_tick(benchmark::State& state)
 {
     modelled_world world{0};
--- a/routing/servers_limit_test.cc
+++ b/routing/servers_limit_test.cc
@@ -1,4 +1,4 @@
-// How many servers a request runs on, against what its route allows.
+// The number of servers that a request runs on never exceeds the limit of its route.
 #include "routing/modelled_fixture.h"
 
 #include <criterion/criterion.h>
@@ -18,14 +18,14 @@
     sent,
     answer_begins,
     part,
-    refused, ///< by the server, which says that it did not run
-    failure, ///< the server's own
+    refused, ///< by the server, which reports that the request did not run
+    failure, ///< a server error (500)
     overloaded,
     cut,
     not_connected,
     silence,
     group_lost,
-    count, ///< how many there are
+    count, ///< number of steps
 };
 
 constexpr auto step_count = static_cast<std::size_t>(step::count);
@@ -33,12 +33,13 @@
 struct observed_sending {
     send_attempt order;
     bool sent = false;
-    bool repeated = false;    ///< sent to the same server once more
-    bool did_not_run = false; ///< the server said so of what it got last
-    bool delivered = false;   ///< its answer has begun, and no refusal can follow
+    bool repeated = false;    ///< sent again to the same server
+    bool did_not_run = false; ///< the server reported that the last sending did not run
+    bool delivered = false;   ///< the response has begun, so no refusal can follow
 };
 
-/// Slow reference: looks at every sending anew before each further one.
+/// Reference implementation: records all attempts and recounts the servers used before each further
+/// attempt.
 class sending_history {
 public:
     sending_history(world& sim, const command_list& asked) : m_world{sim}
@@ -144,7 +145,7 @@
     return made;
 }
 
-/// Plays every history of `length` steps and returns how many ran on too many servers.
+/// Runs every sequence of `length` steps; returns how many of them used more servers than allowed.
 std::size_t count_violations(const std::string& path, std::size_t length)
 {
     std::size_t histories = 1;
@@ -163,13 +164,11 @@
 
 } // namespace
 
-// Seen: streams ran on three servers though their routes allow two, always while groups stood still
-// after the loss of a member.
-// How: a stream went to a group that gave nothing. After half a second its node moved it to another
-// group, where it began. Then that group fell silent too, and the node moved it to a third.
-// Cause: a sending that ended without any part of an answer was taken for one that no server ran.
-// Proof: the log of each sending told servers_used=0 after a move by target_silent, and the server
-// that had been left was still working on the stream.
+// Guards against streams that run on three servers although their route allows two. A stream went
+// to a group that produced nothing after the loss of a member; after half a second it moved to a
+// second group, which began the response and then fell silent too, and it moved to a third. An
+// attempt that had ended without a response was counted as not run (servers_used=0 in the log after
+// a move for target_silent), although the first server was still working on the stream.
 Test(servers_limit, a_stream_moved_from_a_silent_group_has_used_a_server)
 {
     world sim = make_world();
@@ -181,7 +180,7 @@
     cr_assert(!last_command<send_attempt>(sim.pass(4s)), "a third server");
 }
 
-// Guards against a third server after a connection that a live server closed before any answer.
+// Guards against a third server after a live server closed the connection before any response.
 Test(servers_limit, a_connection_cut_before_any_response_counts_as_a_server_used)
 {
     world sim = make_world();
@@ -193,7 +192,7 @@
     cr_assert(!last_command<send_attempt>(sim.fail_attempt(*second)), "a third server");
 }
 
-// Guards against repeats of the HTTP client's own that the pool's retries don't bound.
+// Guards against repeats by the HTTP client that are not charged to the pool's retry budget.
 Test(servers_limit, a_repeat_to_the_same_server_is_charged)
 {
     const auto retries_left = [](const world& sim) {
@@ -210,7 +209,8 @@
     cr_assert_float_eq(retries_left(sim), before - 1.0, 1e-9);
 }
 
-// Guards against "it did not run" when the server says so of a repeat and may have run the first.
+// Guards against reporting "did not run" to the caller when a server refuses a repeat but may have
+// run the first sending.
 Test(servers_limit, a_refused_repeat_does_not_prove_that_the_first_did_not_run)
 {
     world sim{1, small_settings()};
@@ -222,8 +222,8 @@
     cr_assert_eq(last_command<refuse>(commands)->ran, ran_state::unknown);
 }
 
-// Guards against any other way to one server too many: every short history of a stream and of a
-// read.
+// Exhaustive check against any other sequence of events that leads to too many servers, for streams
+// and for reads.
 Test(servers_limit, no_short_stream_history_exceeds_the_server_limit)
 {
     const std::size_t violated = count_violations("/chat/x", 5);
