--- a/routing/adaptive_limit.cc
+++ b/routing/adaptive_limit.cc
@@ -1,8 +1,9 @@
 // At the end of each window the limit is multiplied by `decrease` if the targets queue. The signs
-// are: more than `max_queued_ratio` queued requests per running one in the load reports; more than
-// `max_overload_ratio` refusals and timeouts per first token; or first tokens that take more than
-// `max_timeout_fraction` of the route's timeout on average. If none of these holds and the limit
-// kept requests waiting, it rises by `increase` of the configured maximum.
+// are: more than `max_queued_ratio` queued requests per running one in the load reports; at least
+// two refusals and timeouts, and more than `max_overload_ratio` of them per first token; or first
+// tokens that take more than `max_timeout_fraction` of the route's timeout on average. If none of
+// these holds and the limit kept requests waiting, it rises by `increase` of the configured
+// maximum.
 //
 // The ratio of the first token time to its minimum (TCP Vegas, gradient limits) is not used as a
 // sign. A batching engine has a higher throughput with a fuller batch, and its first tokens slow
--- a/routing/modelled_pick.cc
+++ b/routing/modelled_pick.cc
@@ -1,3 +1,7 @@
+// Examines every target of the pool, so a selection is linear in the number of targets. The number
+// of running requests at a target is this node's own plus the estimate of the other nodes'; the
+// engine model predicts the time to the first event from it. The prediction is scaled by the
+// measured slowness of the target.
 #include "routing/modelled_pick.h"
 
 #include <algorithm>
@@ -18,10 +22,11 @@
 /// the price of traffic between failure domains.
 constexpr double remote_penalty_ms = 4.0;
 
-double places_of(const target_row& row, const pool& kind)
+double places_of(const target_row& row, const pool& pool_info)
 {
     const std::uint32_t configured_places = row.info.places;
-    return std::max(1U, configured_places > 0 ? configured_places : kind.max_in_flight_per_replica);
+    return std::max(1U, configured_places > 0 ? configured_places
+                                              : pool_info.max_in_flight_per_replica);
 }
 
 /// Estimated requests of the other nodes at the target at `position`.
@@ -35,37 +40,37 @@
 /// Standard deviation of the estimate of the other nodes' requests. Arrivals and departures are
 /// random: the older the report, the fewer of the requests it counted are still running, and after
 /// the time of a usual response none is.
-double deviation_of(double others, const target_row& row, const pool& kind, time_point now)
+double deviation_of(double others, const target_row& row, const pool& pool_info, time_point now)
 {
-    const double turnover_ms = answer_ms(kind.engine, places_of(row, kind));
+    const double turnover_ms = answer_ms(pool_info.engine, places_of(row, pool_info));
     const auto age_ms = static_cast<double>(row.load.age_ms(now));
     const double changed = age_ms < 0.0 ? 1.0 : std::min(1.0, age_ms / turnover_ms);
     return std::sqrt(others * changed);
 }
 
-engine_work work_at(const target_row& row, double others, const pool& kind, time_point now)
+engine_work work_at(const target_row& row, double others, const pool& pool_info, time_point now)
 {
     engine_work work;
     work.running = row.own + others;
     work.pending_tokens = row.pending_tokens;
-    work.deviation = deviation_of(others, row, kind, now);
+    work.deviation = deviation_of(others, row, pool_info, now);
     return work;
 }
 
 /// This node's guaranteed share of the target's places.
-double guaranteed_places(const target_row& row, const pool& kind, std::size_t nodes)
+double guaranteed_places(const target_row& row, const pool& pool_info, std::size_t nodes)
 {
-    return places_of(row, kind) / static_cast<double>(std::max<std::size_t>(1, nodes));
+    return places_of(row, pool_info) / static_cast<double>(std::max<std::size_t>(1, nodes));
 }
 
 /// This node's guaranteed share of all places of the pool.
 double guaranteed_places_of_pool(const target_table& targets, const pool_view& view,
-                                 const pool& kind, std::size_t nodes)
+                                 const pool& pool_info, std::size_t nodes)
 {
     double sum = 0.0;
     for (const target_row_index at : view.targets) {
         if (targets.at(at).may_be_picked())
-            sum += guaranteed_places(targets.at(at), kind, nodes);
+            sum += guaranteed_places(targets.at(at), pool_info, nodes);
     }
     return std::max(1.0, sum);
 }
@@ -74,36 +79,38 @@
 /// nodes than places in a group, the share of one group is less than a place. Rounded down per
 /// group it would be zero: once all groups were reported full, the node would send nothing, get no
 /// load reports with the responses, and treat the groups as full forever.
-bool has_guaranteed_place(const target_row& row, const pool& kind, std::size_t nodes,
+bool has_guaranteed_place(const target_row& row, const pool& pool_info, std::size_t nodes,
                           double own_in_pool, double guaranteed_in_pool)
 {
-    return row.own + 1.0 <= std::max(1.0, guaranteed_places(row, kind, nodes)) &&
+    return row.own + 1.0 <= std::max(1.0, guaranteed_places(row, pool_info, nodes)) &&
            own_in_pool + 1.0 <= guaranteed_in_pool;
 }
 
 /// Places of a group that the request has to leave free, besides its own.
-double reserved_places(const target_row& row, const pool& kind, bool gives_way)
+double reserved_places(const target_row& row, const pool& pool_info, bool gives_way)
 {
-    return gives_way ? std::ceil(reserved_fraction * places_of(row, kind)) : 0.0;
+    return gives_way ? std::ceil(reserved_fraction * places_of(row, pool_info)) : 0.0;
 }
 
-bool has_room(const target_row& row, const pool& kind, const engine_work& work,
+bool has_room(const target_row& row, const pool& pool_info, const engine_work& work,
               const modelled_request& wanted, bool guaranteed_place)
 {
-    const double left = reserved_places(row, kind, wanted.gives_way);
-    const bool full = work.running + 1.0 + left > places_of(row, kind);
+    const double left = reserved_places(row, pool_info, wanted.gives_way);
+    const bool full = work.running + 1.0 + left > places_of(row, pool_info);
     if (full && !guaranteed_place)
         return false;
     return row.pending_tokens == 0 || !wanted.mechanisms.has(mechanism::prompt_limit) ||
-           prompt_ms(kind.engine, row.pending_tokens) < max_pending_prompt_ms;
+           prompt_ms(pool_info.engine, row.pending_tokens) < max_pending_prompt_ms;
 }
 
 } // namespace
 
-target_row_index pick_modelled(const target_table& targets, const pool_view& view, const pool& kind,
-                               const modelled_request& wanted, time_point now)
+target_row_index pick_modelled(const target_table& targets, const pool_view& view,
+                               const pool& pool_info, const modelled_request& wanted,
+                               time_point now)
 {
-    const double guaranteed_in_pool = guaranteed_places_of_pool(targets, view, kind, wanted.nodes);
+    const double guaranteed_in_pool =
+        guaranteed_places_of_pool(targets, view, pool_info, wanted.nodes);
     target_row_index best = no_target;
     double best_ms = 0.0;
     for (std::size_t step = 0; step < view.targets.size(); ++step) {
@@ -114,13 +121,15 @@
             std::find(wanted.tried.begin(), wanted.tried.end(), at) != wanted.tried.end();
         if (tried || !row.may_be_picked())
             continue;
-        const engine_work work = work_at(row, others_at(targets, view, position, now), kind, now);
+        const engine_work work =
+            work_at(row, others_at(targets, view, position, now), pool_info, now);
         const bool guaranteed =
             !wanted.gives_way && wanted.mechanisms.has(mechanism::sure_places) &&
-            has_guaranteed_place(row, kind, wanted.nodes, view.own, guaranteed_in_pool);
-        if (!has_room(row, kind, work, wanted, guaranteed))
+            has_guaranteed_place(row, pool_info, wanted.nodes, view.own, guaranteed_in_pool);
+        if (!has_room(row, pool_info, work, wanted, guaranteed))
             continue;
-        double ms = first_event_ms(kind.engine, places_of(row, kind), work, wanted.prompt_tokens);
+        double ms =
+            first_event_ms(pool_info.engine, places_of(row, pool_info), work, wanted.prompt_tokens);
         ms *= row.health.slowness;
         const bool remote = row.info.failure_domain != wanted.local_domain;
         if (remote && wanted.mechanisms.has(mechanism::far_penalty))
@@ -134,15 +143,15 @@
 }
 
 double first_event_ms_when_full(const target_table& targets, const pool_view& view,
-                                const pool& kind, double prompt_tokens)
+                                const pool& pool_info, double prompt_tokens)
 {
     if (view.targets.empty())
         return 0.0;
-    const double places = places_of(targets.at(view.targets.front()), kind);
-    return first_event_ms(kind.engine, places, {.running = places - 1.0}, prompt_tokens);
+    const double places = places_of(targets.at(view.targets.front()), pool_info);
+    return first_event_ms(pool_info.engine, places, {.running = places - 1.0}, prompt_tokens);
 }
 
-double free_places(const target_table& targets, const pool_view& view, const pool& kind,
+double free_places(const target_table& targets, const pool_view& view, const pool& pool_info,
                    std::size_t nodes, time_point now)
 {
     double sum = 0.0;
@@ -151,8 +160,8 @@
         if (!row.may_be_picked())
             continue;
         const double running = row.own + others_at(targets, view, position, now);
-        const double left = places_of(row, kind) - running;
-        sum += std::max({0.0, left, guaranteed_places(row, kind, nodes) - row.own});
+        const double left = places_of(row, pool_info) - running;
+        sum += std::max({0.0, left, guaranteed_places(row, pool_info, nodes) - row.own});
     }
     return sum;
 }
--- a/routing/modelled_pick.h
+++ b/routing/modelled_pick.h
@@ -25,6 +25,7 @@
 
 namespace jaynotch {
 
+/// The requirements of a request, and the mechanisms that are enabled.
 struct modelled_request {
     double prompt_tokens = 0.0;
     std::span<const target_row_index> tried;
@@ -38,17 +39,18 @@
 };
 
 /// Returns the chosen target, or no_target if none has room.
-target_row_index pick_modelled(const target_table& targets, const pool_view& view, const pool& kind,
-                               const modelled_request& wanted, time_point now);
+target_row_index pick_modelled(const target_table& targets, const pool_view& view,
+                               const pool& pool_info, const modelled_request& wanted,
+                               time_point now);
 
 /// Predicted time to the first event of a request that takes the last free place of a group; 0 if
 /// the pool has no targets.
 double first_event_ms_when_full(const target_table& targets, const pool_view& view,
-                                const pool& kind, double prompt_tokens);
+                                const pool& pool_info, double prompt_tokens);
 
 /// Number of places that this node may still fill at usable targets. The estimated requests of the
 /// other nodes are subtracted, down to this node's guaranteed places.
-double free_places(const target_table& targets, const pool_view& view, const pool& kind,
+double free_places(const target_table& targets, const pool_view& view, const pool& pool_info,
                    std::size_t nodes, time_point now);
 
 } // namespace jaynotch
--- a/routing/outliers.h
+++ b/routing/outliers.h
@@ -20,7 +20,7 @@
 /// group is excluded for `refusal_cooldown`: a group that refuses requests looks idle and would
 /// attract all of them.
 void note_refusal(target_health& health, time_point now);
-/// The time to the first token of an attempt.
+/// Records the time to the first token of an attempt.
 void note_first_token(target_health& health, double seconds);
 
 /// Ejects targets with `failures_to_eject` consecutive failures, and readmits those whose ejection
--- a/routing/overload_test.cc
+++ b/routing/overload_test.cc
@@ -30,8 +30,8 @@
         std::uint32_t prompt = 200; ///< tokens
     };
 
-    explicit overload_simulation(parameters given)
-        : m_parameters{std::move(given)}, m_random{m_parameters.seed},
+    explicit overload_simulation(parameters settings)
+        : m_parameters{std::move(settings)}, m_random{m_parameters.seed},
           m_groups(static_cast<std::size_t>(m_parameters.groups))
     {
         for (std::size_t node = 0; node < m_parameters.node_shares.size(); ++node) {
@@ -47,7 +47,7 @@
         while (now() < until) {
             for (; now() >= next; next += exponential(m_parameters.mean_arrival_interval)) {
                 const std::size_t node = random_node();
-                ++asked;
+                ++submitted;
                 handle_commands(node, m_nodes[node]->submit("/chat/x", "a.example", "key-1",
                                                             m_parameters.prompt));
             }
@@ -57,7 +57,7 @@
         }
     }
 
-    std::size_t asked = 0;
+    std::size_t submitted = 0;
     std::size_t sent = 0;
     std::size_t in_time = 0; ///< the first event came within the route's target
 
@@ -292,7 +292,7 @@
 // free, a quarter of the requests would be late instead of a tenth.
 Test(modelled, a_small_capacity_shortage_delays_few_callers)
 {
-    std::size_t asked = 0;
+    std::size_t submitted = 0;
     std::size_t in_time = 0;
     for (std::uint64_t seed = 1; seed <= 4; ++seed) {
         overload_simulation sim{{.node_shares = {0.4, 0.15, 0.25, 0.2},
@@ -301,8 +301,8 @@
                                  .unmodelled_delay = 105ms,
                                  .seed = seed}};
         sim.run(10s);
-        asked += sim.asked;
+        submitted += sim.submitted;
         in_time += sim.in_time;
     }
-    cr_assert_geq(in_time * 100, asked * 83, "%zu of %zu asked", in_time, asked);
+    cr_assert_geq(in_time * 100, submitted * 83, "%zu of %zu asked", in_time, submitted);
 }
--- a/routing/picker.cc
+++ b/routing/picker.cc
@@ -8,10 +8,11 @@
 // load is at most `load_bound` times the mean plus `load_slack`.
 //
 // The home of a prompt is computed without messages between entry nodes. It is found by rendezvous
-// hashing of the first block of the prompt whose share of the traffic a single target can serve.
-// Blocks of a system prompt that all requests share are thereby skipped, and the turns of one
-// conversation reach the same target through any node. A block that is too popular for one target
-// but not for a few of them gets as many homes as it needs, up to `max_homes`.
+// hashing of the first block of the prompt whose share of the traffic a few targets can serve: at
+// most `max_homes`, and at most half of the pool. Blocks of a system prompt that all requests share
+// are thereby skipped, and the turns of one conversation reach the same target through any node. A
+// block whose traffic needs more than one target has as many homes, of which the least loaded one
+// is used.
 #include "routing/picker.h"
 
 #include <algorithm>
@@ -50,9 +51,9 @@
 }
 
 /// Combines the hashes of a block and a target into a rank (finaliser of splitmix64).
-std::uint64_t rank_of(std::uint64_t block, std::uint64_t name)
+std::uint64_t rank_of(std::uint64_t block, std::uint64_t id_hash)
 {
-    std::uint64_t mixed = block ^ name;
+    std::uint64_t mixed = block ^ id_hash;
     mixed = (mixed ^ mixed >> 30U) * 0xBF58476D1CE4E5B9ULL;
     mixed = (mixed ^ mixed >> 27U) * 0x94D049BB133111EBULL;
     return mixed ^ mixed >> 31U;
--- a/routing/picker.h
+++ b/routing/picker.h
@@ -19,7 +19,7 @@
     std::vector<std::uint64_t> id_hashes;    ///< hashes of the targets' ids, for rendezvous hashing
     std::vector<std::size_t> domain_indexes; ///< of each target, into mean_others_by_domain
     std::uint32_t own = 0;                   ///< this node's requests in flight at all targets
-    double mean_others = 0.0;                ///< mean of the other nodes' requests at a target
+    double mean_others = 0.0; ///< of the other nodes' requests at a target, weighted by freshness
     /// The same for the targets of each failure domain; lower for domains with few recent reports.
     std::vector<double> mean_others_by_domain;
     std::uint32_t max_per_target = 64; ///< limit on requests in flight at a target, over all nodes
--- a/routing/pool_table.cc
+++ b/routing/pool_table.cc
@@ -38,17 +38,17 @@
 
 } // namespace
 
-pool_row::pool_row(const pool& written, const core_settings& settings)
-    : info{written}, queue{settings.most_queued_per_workspace},
-      prefixes{written.kind == pool_kind::model ? settings.prefix_index_entries
-                                                : plain_prefix_entries}
+pool_row::pool_row(const pool& configured, const core_settings& settings)
+    : info{configured}, queue{settings.most_queued_per_workspace},
+      prefixes{configured.kind == pool_kind::model ? settings.prefix_index_entries
+                                                   : plain_prefix_entries}
 {}
 
 double pool_row::capacity() const
 {
-    const double slack = usable_targets > 1 ? max_utilisation : 1.0;
-    return std::max(1.0,
-                    std::floor(usable_targets * view.max_per_target * limit.fraction() * slack));
+    const double utilisation = usable_targets > 1 ? max_utilisation : 1.0;
+    return std::max(
+        1.0, std::floor(usable_targets * view.max_per_target * limit.fraction() * utilisation));
 }
 
 std::uint32_t pool_row::allowed_in_flight() const
@@ -62,13 +62,13 @@
 
 double pool_row::weight_of(const workspace_id& workspace, priority_class priority) const
 {
-    constexpr double least_weight = 0.001;
+    constexpr double min_weight = 0.001;
     double weight = 1.0;
     for (const share& row : info.shares) {
         if (row.workspace == workspace)
             weight = row.weight;
     }
-    return std::max(weight, least_weight) * priority_factor(priority);
+    return std::max(weight, min_weight) * priority_factor(priority);
 }
 
 std::uint32_t pool_row::limit_of(const workspace_id& workspace) const
@@ -126,8 +126,8 @@
         slots - (in_flight - in_flight_leaving) - static_cast<double>(queue.size());
     if (free_slots >= 1.0)
         return 0.0;
-    const double by_all = (queue.requests_ahead(flow, weight) + 1.0) * service_s / slots;
-    return std::max(by_all, queue.backlog_wait_s(flow));
+    const double fair_share_wait_s = (queue.requests_ahead(flow, weight) + 1.0) * service_s / slots;
+    return std::max(fair_share_wait_s, queue.backlog_wait_s(flow));
 }
 
 double pool_row::queued_ratio(const target_table& targets, time_point now) const
@@ -186,26 +186,26 @@
 {
     for (pool_row& row : m_rows)
         row.present = false;
-    for (const pool& written : tables.pools) {
-        const pool_index known = find(written.name);
+    for (const pool& configured : tables.pools) {
+        const pool_index known = find(configured.name);
         if (known == size()) {
-            add(written, settings);
+            add(configured, settings);
             continue;
         }
-        m_rows[known].info = written;
+        m_rows[known].info = configured;
         m_rows[known].present = true;
     }
 }
 
-void pool_table::add(const pool& written, const core_settings& settings)
+void pool_table::add(const pool& configured, const core_settings& settings)
 {
     const auto unused = std::find_if(m_rows.begin(), m_rows.end(), [](const pool_row& row) {
         return !row.present && row.requests == 0;
     });
     if (unused == m_rows.end())
-        m_rows.emplace_back(written, settings);
+        m_rows.emplace_back(configured, settings);
     else
-        *unused = pool_row{written, settings};
+        *unused = pool_row{configured, settings};
 }
 
 pool_index pool_table::find_for_service(std::string_view service, std::string_view model) const
--- a/routing/pool_table.h
+++ b/routing/pool_table.h
@@ -26,7 +26,7 @@
 };
 
 struct pool_row {
-    pool_row(const pool& written, const core_settings& settings);
+    pool_row(const pool& configured, const core_settings& settings);
 
     pool info;
     bool present = true; ///< in the current tables
@@ -86,7 +86,7 @@
     [[nodiscard]] pool_index size() const { return static_cast<pool_index>(m_rows.size()); }
 
 private:
-    void add(const pool& written, const core_settings& settings);
+    void add(const pool& configured, const core_settings& settings);
 
     std::vector<pool_row> m_rows;
 };
--- a/routing/prefix_index.cc
+++ b/routing/prefix_index.cc
@@ -1,9 +1,9 @@
-// A set-associative table of block hashes. Hashes of blocks are chained (block i's hash covers all
-// blocks before it), so one look-up of the last common block finds the whole common prefix, and
-// scanning from the end of the prompt finds the longest match of each target first.
+// A set-associative table of block hashes. The hashes are chained (the hash of block i covers all
+// blocks before it), so one look-up of the last common block finds the whole common prefix, and a
+// scan from the end of the prompt finds the longest match of each target first.
 //
-// Popularity counts decay by epochs: an entry's count is halved for each epoch that passed since
-// it was last touched, so nothing has to sweep the table.
+// Popularity counts decay by epochs: when an entry is used, its count is halved for each epoch
+// since its last use, so the table never has to be scanned.
 #include "routing/prefix_index.h"
 
 #include <algorithm>
@@ -31,7 +31,8 @@
 
 std::size_t prefix_index::set_of(std::uint64_t block) const
 {
-    // The caller's hash may be weak in its low bits; a multiplication mixes all into the high.
+    // The low bits of the caller's hash may be weak; the multiplication mixes all bits into the
+    // high half.
     constexpr std::uint64_t golden = 0x9E3779B97F4A7C15ULL;
     constexpr unsigned high_half = 32;
     return ((block * golden) >> high_half & m_set_mask) * ways;
--- a/routing/rate_limits_test.cc
+++ b/routing/rate_limits_test.cc
@@ -64,7 +64,7 @@
 
     /// Maximum number of requests that the server got in any `window` after `since`, counting only
     /// nodes to which it had named its limit at least `settling_time` before.
-    [[nodiscard]] std::size_t most_in(duration window, duration since) const
+    [[nodiscard]] std::size_t max_in_window(duration window, duration since) const
     {
         std::size_t most = 0;
         std::size_t from = 0;
@@ -225,8 +225,8 @@
         for (const double limit : limits) {
             fleet sim{nodes, limit, demand, 1};
             sim.run(20s);
-            cr_assert_leq(sim.most_in(window, learning_time), allowed(limit), "%zu nodes, %.1f",
-                          nodes, limit);
+            cr_assert_leq(sim.max_in_window(window, learning_time), allowed(limit),
+                          "%zu nodes, %.1f", nodes, limit);
             const double wanted = std::min(limit, demand * static_cast<double>(nodes));
             const auto least = static_cast<std::size_t>(20.0 * wanted * 0.75);
             cr_assert_geq(sim.arrivals(), least, "%zu nodes, %.1f", nodes, limit);
@@ -261,7 +261,7 @@
                         sim.set_partition(at, 0);
                     sim.run(std::chrono::milliseconds{random.between(100, 3'000)});
                 }
-                cr_assert_leq(sim.most_in(window, learning_time), allowed(limit),
+                cr_assert_leq(sim.max_in_window(window, learning_time), allowed(limit),
                               "%zu nodes, %.1f, seed %zu", nodes, limit,
                               static_cast<std::size_t>(seed));
             }
--- a/routing/route_index.cc
+++ b/routing/route_index.cc
@@ -1,7 +1,8 @@
-// A model route takes at most four hash look-ups. A plain route takes a few for each distinct
-// length of path prefix in the table, so the cost is bounded by the table and not by the path that
-// a caller sends. Rows with the same key are sorted by name, those with methods before those
-// without, so the first match is the most specific.
+// A model route tries at most four combinations of model and workspace, with two hash look-ups
+// each. A plain route takes a few look-ups for each distinct length of path prefix in the table, so
+// the cost is bounded by the table and not by the path that a caller sends. Rows with the same key
+// are sorted by name, those with methods before those without, so the first match is the most
+// specific.
 #include "routing/route_index.h"
 
 #include <algorithm>
--- a/routing/target_table.cc
+++ b/routing/target_table.cc
@@ -188,8 +188,7 @@
         target_row& unused = m_rows[row];
         if (unused.present || unused.own > 0 || unused.release_due || unused.free)
             continue;
-        // Marked as free, because its id may be added again in another row; without the mark this
-        // row would then be freed twice and that id removed.
+        // The mark prevents the row from being freed again after its id was added in another row.
         unused.free = true;
         m_by_id.erase(unused.info.id);
         m_free.push_back(static_cast<target_row_index>(row));
