--- a/routing/fair_queue.h
+++ b/routing/fair_queue.h
@@ -32,7 +32,7 @@
     double cost = 1.0;
 };
 
-/// The end of its flow's queue at which a request is added.
+/// The end of its flow at which a request is queued.
 enum class queue_end {
     back,  ///< first in, first out
     front, ///< last in, first out
--- a/routing/modelled_fixture.h
+++ b/routing/modelled_fixture.h
@@ -139,7 +139,7 @@
 
     command_list submit(const std::string& path = "/chat/x", const std::string& host = "a.example",
                         const std::string& key = "key-1", std::uint32_t tokens = 1'000,
-                        std::optional<duration> patience = std::nullopt)
+                        std::optional<duration> time_to_deadline = std::nullopt)
     {
         request_info info;
         info.id = request_id{++m_last};
@@ -150,8 +150,8 @@
         info.credential = key;
         info.model = "m";
         info.prompt_tokens = tokens;
-        if (patience)
-            info.deadline = now + *patience;
+        if (time_to_deadline)
+            info.deadline = now + *time_to_deadline;
         return send(request_arrived{info});
     }
 
@@ -173,9 +173,10 @@
         return send(head);
     }
 
-    command_list fail_attempt(const send_attempt& order, attempt_failure why = attempt_failure::cut)
+    command_list fail_attempt(const send_attempt& order,
+                              attempt_failure reason = attempt_failure::cut)
     {
-        return send(attempt_failed{order.request, order.attempt, why});
+        return send(attempt_failed{order.request, order.attempt, reason});
     }
 
     command_list pass(duration time)
--- a/routing/modelled_test.cc
+++ b/routing/modelled_test.cc
@@ -142,7 +142,7 @@
 constexpr std::chrono::milliseconds report_age{500};
 
 /// A node of domain "a" with six groups in its own domain and six in "b".
-modelled_world beside_another_domain()
+modelled_world node_with_a_remote_domain()
 {
     core_settings settings = modelled_settings();
     settings.failure_domain = failure_domain_id{"a"};
@@ -189,7 +189,7 @@
 // This occurs with many nodes, groups in several failure domains and unequal traffic.
 Test(modelled, an_idle_domain_without_load_reports_gets_requests)
 {
-    modelled_world sim = beside_another_domain();
+    modelled_world sim = node_with_a_remote_domain();
     report(sim, 1, 6, 7);
     cr_assert_geq(sent_to_b(sim, 1), 45);
 }
@@ -197,7 +197,7 @@
 // Guards against a node that keeps sending requests to another domain that is as loaded as its own.
 Test(modelled, an_equally_busy_domain_gets_few_requests)
 {
-    modelled_world sim = beside_another_domain();
+    modelled_world sim = node_with_a_remote_domain();
     report(sim, 1, 6, 7);
     const int sent = sent_to_b(sim, 7);
     cr_assert_leq(sent, 10, "%d", sent);
--- a/routing/overload_test.cc
+++ b/routing/overload_test.cc
@@ -232,8 +232,8 @@
 Test(modelled, returning_requests_yield_to_those_that_can_meet_their_target)
 {
     world sim{1};
-    const auto submit = [&](duration patience) {
-        return sim.submit("/chat/x", "a.example", "key-1", 200, patience);
+    const auto submit = [&](duration time_to_deadline) {
+        return sim.submit("/chat/x", "a.example", "key-1", 200, time_to_deadline);
     };
     std::vector<send_attempt> running;
     for (int index = 0; index < 8; ++index) {
--- a/routing/policy_test.cc
+++ b/routing/policy_test.cc
@@ -34,7 +34,7 @@
 }
 
 // Guards against a policy that is no better than the baselines. Without admission control, engines
-// work on requests whose callers have gone; if callers also retry at once, hardly any response is
+// work on requests whose callers have left; if callers also retry at once, hardly any response is
 // in time.
 Test(policy, beats_the_baselines_under_overload)
 {
--- a/routing/prefix_index.h
+++ b/routing/prefix_index.h
@@ -63,11 +63,11 @@
     static constexpr float prior_requests = 32.0F;
 
     struct entry {
-        std::uint64_t block = 0; ///< 0 is empty
-        std::uint32_t used = 0;
-        std::uint32_t epoch = 0; ///< of `requests`
+        std::uint64_t block = 0; ///< 0: an empty entry
+        std::uint32_t used = 0;  ///< value of `m_clock` at the last use
+        std::uint32_t epoch = 0; ///< in which `requests` was last updated
         float requests = 0.0F;
-        std::array<target_slot, slots_per_entry> slots{}; ///< latest first
+        std::array<target_slot, slots_per_entry> slots{}; ///< most recently stored first
     };
 
     [[nodiscard]] const entry* find(std::uint64_t block) const;
@@ -78,8 +78,8 @@
     std::size_t m_set_mask = 0;
     std::uint32_t m_clock = 0;
     std::uint32_t m_epoch = 0;
-    float m_requests = 0.0F;         ///< of the present epoch
-    float m_earlier_requests = 0.0F; ///< of the epochs before, halved at each
+    float m_requests = 0.0F;         ///< in the current epoch
+    float m_earlier_requests = 0.0F; ///< in earlier epochs, halved at each new one
 };
 
 } // namespace jaynotch
--- a/routing/rate_limits.cc
+++ b/routing/rate_limits.cc
@@ -10,7 +10,7 @@
 // while, since it may be partitioned and still send.
 //
 // Nodes without a share learn from the others that a limit was lifted. In case all nodes with a
-// share have gone, each other node sends a trial request after a silence that increases with its
+// share have left, each other node sends a trial request after a silence that increases with its
 // rank; the response names the limit or shows that it was lifted.
 #include "routing/rate_limits.h"
 
--- a/routing/rate_limits.h
+++ b/routing/rate_limits.h
@@ -2,10 +2,12 @@
 // entry VMs together; this class computes and enforces the share of this node.
 //
 //   rate_limits limits{self};
-//   limits.fleet_seen(members, now);                           // about once a second
-//   if (limits.server_report(server, domain, 1.9, now)) ...    // a response named it: send to
-//   peers limits.peer_report(server, domain, 1.9, observed, now);    // received from a peer if
-//   (limits.may_send(server, now)) limits.consume(server, now);
+//   limits.fleet_seen(members, now);                     // about once a second
+//   // A response named a limit; if true, send the report to the peers.
+//   if (limits.server_report(server, domain, 1.9, now)) ...
+//   limits.peer_report(server, domain, 1.9, observed, now);
+//   if (limits.may_send(server, now))
+//       limits.consume(server, now);
 #pragma once
 
 #include "base/base.h"
@@ -76,7 +78,7 @@
         std::size_t rank = 0;
         double share = 0.0;       ///< requests a second
         double bucket_size = 1.0; ///< requests
-        double tokens = 0.0;      ///< requests, at `filled`
+        double tokens = 0.0;      ///< requests, at `refilled_at`
         time_point refilled_at;
     };
 
