--- a/routing/modelled_fixture.h
+++ b/routing/modelled_fixture.h
@@ -1,4 +1,9 @@
-// For tests: a core with the operators' tables, whose engines' speed is known.
+// Test fixture: a request core with a configuration as the operators use it, in which the
+// performance figures of the model's engines are known.
+//
+//   modelled_world world{2};                                     // two groups
+//   const command_list out = world.submit("/chat/x");
+//   const auto order = last_command<send_attempt>(out);
 #pragma once
 
 #include "routing/core_fixture.h"
@@ -118,7 +123,7 @@
     return settings;
 }
 
-/// A core with the operators' tables and `groups` groups of the model.
+/// A core with the configuration of modelled_tables() and `groups` groups of the model.
 class modelled_world : public fixture {
 public:
     explicit modelled_world(int groups, core_settings settings = modelled_settings())
@@ -134,7 +139,7 @@
 
     command_list submit(const std::string& path = "/chat/x", const std::string& host = "a.example",
                         const std::string& key = "key-1", std::uint32_t tokens = 1'000,
-                        std::optional<duration> patience = std::nullopt)
+                        std::optional<duration> time_to_deadline = std::nullopt)
     {
         request_info info;
         info.id = request_id{++m_last};
@@ -145,12 +150,12 @@
         info.credential = key;
         info.model = "m";
         info.prompt_tokens = tokens;
-        if (patience)
-            info.deadline = now + *patience;
+        if (time_to_deadline)
+            info.deadline = now + *time_to_deadline;
         return send(request_arrived{info});
     }
 
-    /// The sending that `out` asks for has left and brings its head.
+    /// Reports that the attempt was sent and that its response has begun with a first event.
     command_list begin(const send_attempt& order)
     {
         send(attempt_sent{order.request, order.attempt});
@@ -168,9 +173,10 @@
         return send(head);
     }
 
-    command_list fail_attempt(const send_attempt& order, attempt_failure why = attempt_failure::cut)
+    command_list fail_attempt(const send_attempt& order,
+                              attempt_failure reason = attempt_failure::cut)
     {
-        return send(attempt_failed{order.request, order.attempt, why});
+        return send(attempt_failed{order.request, order.attempt, reason});
     }
 
     command_list pass(duration time)
@@ -188,7 +194,7 @@
     std::uint64_t m_last = 0;
 };
 
-/// The last command of a kind.
+/// The last command of the given type in the list, if there is one.
 template <class Command>
 std::optional<Command> last_command(const command_list& list)
 {
