--- a/routing/claim_manager.cc
+++ b/routing/claim_manager.cc
@@ -1,19 +1,20 @@
-// Why a key runs at most once. A claim is created only if the key is absent, in one transaction
-// of the key-value service, and carries a claimant id that no other claim has. A request is granted
-// only after this node has seen its own claimant id in the record, in the reply to the creation or,
-// if that reply was lost, in what the same transaction finds when it is repeated. Nobody takes a
-// claim over: not when its creator is silent, not when it has died. So the key has one sender, and
-// that sender sends again only after a backend server said that it did not run.
+// Why a key runs at most once: A claim is created only if the key is absent, in one transaction of
+// the key-value service, and carries a unique claimant id. A request is granted only after this
+// node has confirmed that the record carries its own claimant id, either by the reply to the
+// creating transaction or, if that reply was lost, by reading the record when the transaction is
+// repeated. A claim is never taken over, even if its creator does not respond or has died. So a key
+// has one sender, and that sender retries only after a backend server reported that the call did
+// not run.
 //
 // A claim is deleted only by its creator, only if its request was certainly not sent, and only at
-// the revision that the creator wrote, so an old deletion that arrives late meets nothing. It
-// expires with a lease that nobody renews, longer than the key's keeping; until then the request's
-// own deadline has long passed.
+// the revision that the creator wrote, so a delayed deletion can't remove a newer claim. Claims
+// expire with a lease that is never renewed and is longer than the key's retention; the request's
+// own deadline has passed long before.
 //
-//   waiting -> claiming -> held -> storing -> (gone)
-//                 |          `--> deleting -> (gone)          given up, not sent
-//                 |--> polling -> waiting                     another's claim, then given up
-//                 `--> cleaning -> deleting or (gone)         given up, reply lost
+//   waiting -> claiming -> owned -> storing -> (removed)
+//                 |          `--> deleting -> (removed)       abandoned, not sent
+//                 |--> polling -> waiting                     another's claim, then deleted
+//                 `--> cleaning -> deleting or (removed)      abandoned, reply lost
 #include "routing/claim_manager.h"
 
 #include <algorithm>
@@ -23,7 +24,7 @@
 namespace {
 
 constexpr std::chrono::milliseconds first_poll{50};
-constexpr std::uint32_t max_poll_doublings = 5; ///< 1.6 s
+constexpr std::uint32_t max_poll_doublings = 5; ///< up to 1.6 s
 constexpr std::size_t max_stored_bytes = 16UL * 1024 * 1024;
 constexpr std::size_t max_items = 65'536;
 
@@ -138,13 +139,13 @@
     }
     granted.state = item_state::owned;
     const requester owner = granted.requesters.front();
-    // From here on the owner's time is its request's matter.
+    // From here on the request's own deadline applies to the owner.
     m_request_wakes.erase({owner.wait_until, owner.request.value()});
     if (now < owner.wait_until) {
         m_resolutions.emplace_back(claim_granted{owner.request});
         return;
     }
-    // The reply came after the request's time: it must not be sent any more.
+    // The reply came after the request's deadline: it must not be sent any more.
     m_resolutions.emplace_back(claim_store_unavailable{owner.request});
     abandon(owner.request, now);
 }
@@ -164,37 +165,38 @@
         m_resolutions.emplace_back(claim_ran_without_answer{request});
 }
 
-void claim_manager::resolve_all(item& settled, const claim_record& record)
+void claim_manager::resolve_all(item& resolved, const claim_record& record)
 {
-    while (!settled.requesters.empty()) {
-        const request_id request = settled.requesters.front().request;
-        drop_requester(settled, request);
-        resolve_one(request, settled.body_digest, record);
+    while (!resolved.requesters.empty()) {
+        const request_id request = resolved.requesters.front().request;
+        drop_requester(resolved, request);
+        resolve_one(request, resolved.body_digest, record);
     }
 }
 
 void claim_manager::handle_foreign_claim(item_number number, const claim_record& record,
                                          time_point now)
 {
-    item& judged = m_items[number];
-    judged.maybe_created = false;
+    item& current = m_items[number];
+    current.maybe_created = false;
     claim_record known = record;
-    // A claim of this node that this process doesn't hold was made before a restart, or given up
-    // without being deleted: nobody will write its outcome. Nor will a node that left; if it is
-    // only cut off, "unknown" is still true, and the repeat may ask again.
+    // A claim of this node that this process doesn't own was made before a restart, or abandoned
+    // without being deleted: its outcome will never be written. The same holds for a node that has
+    // left. If that node is only partitioned, "unknown" is still correct, and the repeat may ask
+    // again.
     if (record.progress == claim_progress::claimed && creator_has_left(record.claimant))
         known.progress = claim_progress::unknown;
-    const bool may_change = !judged.requesters.empty() &&
+    const bool may_change = !current.requesters.empty() &&
                             known.progress == claim_progress::claimed &&
-                            known.body_digest == judged.body_digest;
+                            known.body_digest == current.body_digest;
     if (!may_change) {
-        resolve_all(judged, known);
+        resolve_all(current, known);
         free_item(number);
         return;
     }
-    judged.state = item_state::polling;
-    schedule_wake(number, first_poll * (1U << std::min(judged.tries, max_poll_doublings)), now);
-    ++judged.tries;
+    current.state = item_state::polling;
+    schedule_wake(number, first_poll * (1U << std::min(current.tries, max_poll_doublings)), now);
+    ++current.tries;
 }
 
 void claim_manager::free_item(item_number number)
@@ -202,16 +204,16 @@
     item& freed = m_items[number];
     m_by_key.erase(freed.key);
     m_item_wakes.erase({freed.wake, number});
-    const std::vector<requester> left = std::move(freed.requesters);
+    const std::vector<requester> remaining = std::move(freed.requesters);
     const std::string key = freed.key;
     const std::string body_digest = freed.body_digest;
     const std::chrono::seconds retention = freed.retention;
     m_items.erase(number);
-    if (left.empty())
+    if (remaining.empty())
         return;
-    // Those who came while the old claim was being deleted start over with one of their own.
+    // Requests that joined while the old claim was being deleted start over with a new one.
     const item_number next = make_item(key, body_digest, retention);
-    for (const requester& each : left)
+    for (const requester& each : remaining)
         add_requester(next, each);
 }
 
@@ -260,24 +262,24 @@
     if (found == m_by_request.end())
         return;
     const item_number number = found->second;
-    item& left = m_items[number];
-    const bool was_owner = left.state == item_state::owned && !left.requesters.empty() &&
-                           left.requesters.front().request == request;
-    drop_requester(left, request);
-    if (was_owner && !left.requesters.empty()) {
-        grant(number, left.revision,
-              now); // the next in line inherits the claim, which was not used
+    item& abandoned = m_items[number];
+    const bool was_owner = abandoned.state == item_state::owned && !abandoned.requesters.empty() &&
+                           abandoned.requesters.front().request == request;
+    drop_requester(abandoned, request);
+    if (was_owner && !abandoned.requesters.empty()) {
+        // The claim was not used, so the next requester becomes its owner.
+        grant(number, abandoned.revision, now);
         return;
     }
-    if (!left.requesters.empty())
+    if (!abandoned.requesters.empty())
         return;
-    switch (left.state) {
+    switch (abandoned.state) {
     case item_state::owned:
-        left.state = item_state::deleting;
+        abandoned.state = item_state::deleting;
         break;
     case item_state::waiting:
-        if (left.maybe_created) {
-            left.state = item_state::cleaning;
+        if (abandoned.maybe_created) {
+            abandoned.state = item_state::cleaning;
             schedule_wake(number, 2 * m_settings.kv_timeout, now);
             return;
         }
@@ -287,7 +289,7 @@
         free_item(number);
         return;
     default:
-        return; // claiming: see grant; the others go their way
+        return; // claiming: see on_claimed; the other states need no requester
     }
     enqueue_for_state(number);
 }
@@ -321,7 +323,7 @@
         if (each.state == item_state::waiting)
             failed.push_back(number);
     }
-    std::sort(failed.begin(), failed.end()); // the map's order is not ours to depend on
+    std::sort(failed.begin(), failed.end()); // deterministic: the map's order is unspecified
     for (const item_number number : failed) {
         while (m_items.contains(number) && !m_items[number].requesters.empty()) {
             const request_id request = m_items[number].requesters.front().request;
--- a/routing/claim_manager.h
+++ b/routing/claim_manager.h
@@ -166,7 +166,7 @@
     void join(item_number number, requester added, const std::string& body_digest);
     void drop_requester(item& dropped, request_id request);
     void grant(item_number number, std::int64_t revision, time_point now);
-    void resolve_all(item& settled, const claim_record& record);
+    void resolve_all(item& resolved, const claim_record& record);
     void resolve_one(request_id request, const std::string& body_digest,
                      const claim_record& record);
     void handle_foreign_claim(item_number number, const claim_record& record, time_point now);
--- a/routing/claim_manager_kv.cc
+++ b/routing/claim_manager_kv.cc
@@ -1,15 +1,15 @@
-// The claim book's calls on the key-value service: four kinds, at most one call of each in flight,
-// each carrying many items. The service's writes then follow the number of nodes and not of
-// requests; `claim_interval` bounds them on top.
+// The claim manager's calls to the key-value service: claim, read, store and erase. At most one
+// call of each kind is in flight; claims, reads and stores are batched. So the load on the service
+// grows with the number of nodes and not of requests; `claim_interval` limits it further.
 //
-// A claim transaction creates all of its keys or none. If one exists already, the reply's gets name
-// those that exist; they are judged one by one, and the absent ones go into the next transaction.
-// Each round settles at least one item, so a batch of n takes at most n rounds.
+// A claim transaction creates all of its keys or none. If one exists already, the gets in the reply
+// return the existing records, which are handled one by one; the absent keys go into the next
+// transaction. Each round resolves at least one item, so a batch of n takes at most n rounds.
 //
-// If the reply is lost, the same items are sent again under the same claimant ids: those that the
-// lost transaction did create are found with our own id in them. After two failures in a row the
-// service counts as dark: who waits is told at once that nothing was sent, and for a while new
-// calls are too; the first call after that tries again.
+// If the reply is lost, the same items are sent again with the same claimant ids: records created
+// by the lost transaction are recognized by our own id. After two failures in a row the service is
+// considered unavailable: waiting requests are refused at once as not sent, and so are new calls
+// for `unavailable_period`; the first call after that tries again.
 #include "routing/claim_manager.h"
 
 #include <algorithm>
@@ -18,19 +18,21 @@
 
 namespace {
 
-/// etcd takes 128 operations in a transaction by default; a claim needs a compare, a put and a get.
+/// etcd allows 128 operations in a transaction by default; a claim needs a compare, a put and a
+/// get.
 constexpr std::size_t max_batch_items = 32;
 constexpr std::uint32_t failures_until_unavailable = 2;
 constexpr std::chrono::seconds unavailable_period{1};
 constexpr std::chrono::milliseconds first_backoff{200};
 constexpr std::uint32_t max_backoff_doublings = 5;
 constexpr std::uint32_t max_store_tries = 200;
-/// A lease takes claims for this part of the keeping, then the next one is granted.
+/// A lease is used for new claims during this part (1/8) of the retention; then a new one is
+/// requested.
 constexpr int lease_reuse_divisor = 8;
 constexpr std::chrono::seconds min_lease_reuse_period{60};
 constexpr std::chrono::seconds max_lease_reuse_period{3'600};
 constexpr std::chrono::seconds lease_slack{60};
-constexpr std::size_t max_leases = 64; ///< different keepings at once
+constexpr std::size_t max_leases = 64; ///< one for each different retention
 
 std::chrono::seconds lease_reuse_period(std::chrono::seconds retention)
 {
@@ -50,7 +52,7 @@
     return found == outcome.entries.end() ? nullptr : &*found;
 }
 
-/// A record that can't be read was not written by us: nothing is known of its call.
+/// An unreadable record was not written by this project: its call's outcome counts as unknown.
 claim_record parse_or_unknown(const kv_entry& entry, const std::string& body_digest)
 {
     const result<claim_record> parsed = parse_claim_record(entry.value);
@@ -113,7 +115,7 @@
         note_store_failure(now);
         return;
     }
-    // Its time runs from when it was asked for at the earliest.
+    // Counted from the request for the lease, since its lifetime can't have started earlier.
     row->granted = row->asked;
     row->lease = lease.value();
 }
@@ -204,7 +206,7 @@
 {
     if (m_busy[static_cast<std::size_t>(batch_kind::erase)])
         return;
-    // One at a time: a batch would fail as a whole where one record was changed by other hands.
+    // One at a time: a batch would fail entirely if one of its records had been changed elsewhere.
     while (!m_to_erase.empty()) {
         const item_number number = m_to_erase.front();
         m_to_erase.pop_front();
@@ -249,7 +251,7 @@
         item& claimed = m_items[number];
         claimed.state = item_state::waiting;
         if (!outcome) {
-            // The transaction may have taken effect; only our own id in the record will tell.
+            // The transaction may have taken effect; reading the record will tell.
             claimed.maybe_created = true;
             continue;
         }
@@ -345,8 +347,7 @@
         return;
     }
     const claim_record record = parse_or_unknown(*entry, "");
-    // A claim of this node that this process doesn't hold: its creator was the process before.
-    // Or its creator left.
+    // The claim was made by this node before a restart, or its creator has left.
     const bool creator_died = record.progress == claim_progress::claimed &&
                               creator_has_left(record.claimant) && !m_by_key.contains(asked.key);
     key_state state = key_state::in_progress;
--- a/routing/core_fixture.h
+++ b/routing/core_fixture.h
@@ -1,4 +1,4 @@
-// For tests: a small pair of tables, and a core whose time is moved by hand.
+// Test fixture: a small configuration, and a request core with a manual clock.
 #pragma once
 
 #include "routing/routing.h"
@@ -43,7 +43,8 @@
     return made;
 }
 
-/// Chat goes to the model pool "chat"; /orders is keyed, /once is never repeated, /read may be.
+/// Routes: chat requests to the model pool "chat"; /orders is keyed, /once must not be repeated,
+/// /read is idempotent.
 inline configuration make_tables()
 {
     configuration tables;
@@ -84,7 +85,7 @@
     return made;
 }
 
-/// A core with the tables of make_tables() and `groups` complete groups.
+/// A request core with the configuration of make_tables() and `groups` complete groups.
 class fixture {
 public:
     explicit fixture(int groups = 2, const std::string& node = "entry-1", std::uint64_t seed = 1)
@@ -109,7 +110,7 @@
         return settings;
     }
 
-    /// Hands in an event and returns the commands that it led to.
+    /// Processes an event and returns the resulting commands.
     command_list send(const event& happened)
     {
         command_list out;
@@ -118,11 +119,11 @@
         return out;
     }
 
-    /// Moves time on in steps of `step`, with a tick at each.
+    /// Advances the time by `span` in steps of `step`, with a tick at each.
     command_list pass(duration span, duration step = std::chrono::milliseconds{10})
     {
         command_list out;
-        for (duration gone{0}; gone < span; gone += step) {
+        for (duration passed{0}; passed < span; passed += step) {
             now += step;
             core.handle(tick{}, now, out);
         }
@@ -157,10 +158,10 @@
 
     time_point now{std::chrono::hours{1}};
     request_core core;
-    command_list commands; ///< all so far
+    command_list commands; ///< all since construction
 };
 
-/// The first command of a kind, or nullptr.
+/// The first command of a type, or nullptr.
 template <class Command>
 const Command* first(const command_list& commands)
 {
--- a/routing/event_sequences_test.cc
+++ b/routing/event_sequences_test.cc
@@ -1,5 +1,5 @@
-// Every short sequence of events on one request, against a slow reference that looks at the whole
-// list of attempts anew each time.
+// Runs every short sequence of events on one request and compares the commands with a simple
+// reference model, which derives its expectations from the list of all attempts.
 #include "routing/core_fixture.h"
 
 #include <criterion/criterion.h>
@@ -24,27 +24,27 @@
     caller_left,
     group_lost,
     wait_long,
-    count, ///< how many there are
+    count, ///< number of steps
 };
 
 enum class call { chat, read, keyed, once };
 
-/// What the reference knows of an attempt.
+/// An attempt as seen by the reference model.
 struct observed_attempt {
     attempt_id id;
     target_id target;
     bool sent = false;
-    bool repeated = false;    ///< sent to the same backend server once more
-    bool did_not_run = false; ///< the backend server said so of what it got last
+    bool repeated = false;    ///< resent to the same backend server
+    bool did_not_run = false; ///< reported by the backend server for the last sending
     bool delivered = false;
-    bool over = false; ///< ended, or cancelled
+    bool over = false; ///< ended or cancelled
 };
 
 class reference_model {
 public:
     explicit reference_model(call made) : m_call{made} {}
 
-    /// Before the event: notes what the world did to the present attempt.
+    /// Called before an event: updates the current attempt.
     void before(step next)
     {
         if (m_attempts.empty() || m_attempts.back().over)
@@ -60,12 +60,12 @@
         now.did_not_run = now.did_not_run || (next == step::head_did_not_run && !now.delivered);
     }
 
-    /// After the event: checks what the core said.
-    void after(const command_list& said)
+    /// Called after an event: checks the core's commands.
+    void after(const command_list& commands)
     {
-        for (const command& each : said) {
-            if (const auto* sending = std::get_if<send_attempt>(&each))
-                check_sending(*sending);
+        for (const command& each : commands) {
+            if (const auto* attempt = std::get_if<send_attempt>(&each))
+                check_attempt(*attempt);
             else if (const auto* ended = std::get_if<cancel_attempt>(&each))
                 check_cancelled(*ended);
             else if (std::holds_alternative<deliver>(each))
@@ -111,14 +111,14 @@
         return false;
     }
 
-    void check_sending(const send_attempt& sending)
+    void check_attempt(const send_attempt& attempt)
     {
         cr_assert_eq(m_finals, 0, "sent after the final answer");
         if (m_call == call::once)
-            cr_assert(!any_sent(), "a call that is sent once was sent again");
+            cr_assert(!any_sent(), "a non-repeatable call was sent again");
         if (m_call == call::keyed)
             cr_assert(!any_may_have_run(), "a keyed call was sent again though it may have run");
-        m_attempts.push_back({sending.attempt, sending.target});
+        m_attempts.push_back({attempt.attempt, attempt.target});
     }
 
     void check_cancelled(const cancel_attempt& ended)
@@ -131,11 +131,13 @@
     {
         ++m_finals;
         for (const observed_attempt& each : m_attempts)
-            cr_assert(!each.delivered, "refused after part of an answer was handed on");
+            cr_assert(!each.delivered, "refused after part of an answer was delivered");
         if (any_may_have_run())
-            cr_assert(refused.ran == ran_state::unknown, "said that it did not run; it may have");
+            cr_assert(refused.ran == ran_state::unknown,
+                      "reported as not run, but it may have run");
         else
-            cr_assert(refused.ran == ran_state::no, "nothing ran and it did not say so");
+            cr_assert(refused.ran == ran_state::no,
+                      "nothing ran, but the outcome was reported as unknown");
     }
 
     call m_call;
@@ -143,7 +145,7 @@
     int m_finals = 0;
 };
 
-/// One history: the request, then the steps.
+/// One request and a sequence of steps.
 class history {
 public:
     explicit history(call made) : m_world{small_settings(), 2, 1}, m_model{made}, m_call{made} {}
@@ -157,7 +159,7 @@
             m_model.before(next);
             m_model.after(play(next));
         }
-        // Whatever happened, time brings exactly one final answer.
+        // After any sequence, the timeouts lead to exactly one final answer.
         for (int tries = 0; tries < 8 && m_model.finals() == 0; ++tries)
             m_model.after(wait_long());
         cr_assert_eq(m_model.finals(), 1, "no final answer");
@@ -271,9 +273,9 @@
 
 } // namespace
 
-// A clerk is told "it did not run" and enters the route change again, while the first one did run:
-// it is recorded twice. Cause: an end of an attempt that was taken for more certain than it is.
-// All sequences of four events are tried on each kind of call.
+// Guards against a refusal that reports "did not run" although an attempt may have run: the caller
+// would repeat the call, and it would run twice. This happens if the end of an attempt is treated
+// as more certain than it is. Tries all sequences of four events on each kind of call.
 Test(event_sequences, every_short_history_of_a_chat)
 {
     run_all(call::chat, 4);
--- a/routing/history_simulation.h
+++ b/routing/history_simulation.h
@@ -1,6 +1,6 @@
-// For tests: entry nodes, a key-value store, backend servers and callers in one queue of timed
-// actions, with faults drawn from a seed. Both sides keep account: backend servers write down each
-// execution, callers each final answer.
+// Test fixture: a discrete-event simulation of entry nodes, a key-value store, backend servers and
+// callers, with faults drawn from a seeded generator. It records every execution on the backend
+// servers and every final answer to a caller, so that tests can compare them.
 #pragma once
 
 #include "routing/core_fixture.h"
@@ -13,23 +13,23 @@
 
 namespace jaynotch::testing {
 
-/// How often each fault comes, 0..1.
+/// Probability of each fault, 0..1.
 struct fault_rates {
-    double kv_reply_lost = 0.0;   ///< the transaction takes effect, its reply does not come
-    double kv_request_lost = 0.0; ///< it takes no effect
+    double kv_reply_lost = 0.0;   ///< the transaction takes effect, its reply is lost
+    double kv_request_lost = 0.0; ///< the transaction takes no effect
     double kv_delayed = 0.0;      ///< reported as failed, takes effect seconds later
     double connect_refused = 0.0;
-    double did_not_run = 0.0; ///< the server refuses and says so
+    double did_not_run = 0.0; ///< the server refuses and reports that the call did not run
     double cut_before_run = 0.0;
     double cut_after_run = 0.0;
-    double wrong_attempt_id = 0.0; ///< answers under another attempt's name
-    double stalled = 0.0;
+    double wrong_attempt_id = 0.0; ///< the answer carries another attempt's id
+    double stalled = 0.0;          ///< the call runs without an answer
     double caller_leaves = 0.0;
     double node_pauses = 0.0; ///< for each request
     double node_dies = 0.0;   ///< for each request
 };
 
-/// What a caller was told, by its request.
+/// A caller's request and what it received.
 struct caller_record {
     std::string path;
     std::string key;
@@ -40,7 +40,7 @@
     bool refused = false;
     ran_state ran = ran_state::unknown;
     error_kind kind = error_kind::internal;
-    std::string answer; ///< body of a whole or replayed answer
+    std::string answer; ///< body of a completed or replayed answer
     bool node_died = false;
 };
 
@@ -48,18 +48,18 @@
 public:
     history_simulation(std::uint64_t seed, fault_rates faults, int nodes);
 
-    /// A call enters at `node` at `at`.
+    /// Schedules a call to `node` at time `at`.
     void call(duration at, int node, const std::string& path, const std::string& key,
               const std::string& body);
-    /// The key-value service neither hears nor answers from `from` to `to`.
+    /// The key-value store processes no calls from `from` to `to`; they fail.
     void store_outage(duration from, duration to);
     void run(duration until);
 
     std::vector<caller_record> callers;
-    /// Executions by the caller's number, and by key.
+    /// Number of executions by the caller's index, and by key.
     std::map<std::size_t, int> executions_by_caller;
     std::map<std::string, int> executions_by_key;
-    std::map<std::string, std::string> answer_by_key; ///< of the execution
+    std::map<std::string, std::string> answer_by_key; ///< of the last execution
     std::size_t kv_writes = 0;
 
 private:
@@ -77,14 +77,14 @@
         int boot = 0;
         time_point paused_until;
         std::map<request_id, std::size_t> caller_of;
-        std::map<attempt_id, std::string> answer_of; ///< what the server answered the attempt
+        std::map<attempt_id, std::string> answer_of; ///< the server's answer to the attempt
         std::map<request_id, attempt_id> delivered;
         std::set<attempt_id> cancelled;
     };
 
     void schedule(duration after, std::function<void()> act);
     void boot(int node);
-    /// Hands an event to a node as soon as it is not paused, unless it has been restarted.
+    /// Delivers an event to a node as soon as it is not paused, unless it has been restarted.
     void deliver_event(int node, int boot, event happened);
     void execute(int node, const command_list& commands);
     void carry_out(int node, const send_attempt& sent);
@@ -130,7 +130,7 @@
 inline void history_simulation::boot(int node)
 {
     node_row& row = m_nodes[static_cast<std::size_t>(node)];
-    // Who waited for the dead process hears nothing more.
+    // Callers of the process that died get no answer.
     for (const auto& [request, caller] : row.caller_of)
         callers[caller].node_died = callers[caller].node_died || callers[caller].finals == 0;
     row = node_row{nullptr, row.boot + 1, m_now, {}, {}, {}, {}};
@@ -186,30 +186,30 @@
                 else
                     deliver_event(node, boot, lease_result{token, lease_id{9}});
             });
-        else if (const auto* handed = std::get_if<deliver>(&each))
-            row.delivered[handed->request] = handed->attempt;
-        else if (const auto* stopped = std::get_if<cancel_attempt>(&each))
-            row.cancelled.insert(stopped->attempt);
-        else if (const auto* whole = std::get_if<complete>(&each))
-            finish(node, whole->request, [&](caller_record& told) {
-                told.completed = true;
-                told.answer = row.answer_of[row.delivered[whole->request]];
+        else if (const auto* delivered = std::get_if<deliver>(&each))
+            row.delivered[delivered->request] = delivered->attempt;
+        else if (const auto* cancelled = std::get_if<cancel_attempt>(&each))
+            row.cancelled.insert(cancelled->attempt);
+        else if (const auto* completed = std::get_if<complete>(&each))
+            finish(node, completed->request, [&](caller_record& record) {
+                record.completed = true;
+                record.answer = row.answer_of[row.delivered[completed->request]];
             });
-        else if (const auto* again = std::get_if<replay>(&each))
-            finish(node, again->request, [&](caller_record& told) {
-                told.replayed = true;
-                told.answer = again->answer.body;
+        else if (const auto* replayed = std::get_if<replay>(&each))
+            finish(node, replayed->request, [&](caller_record& record) {
+                record.replayed = true;
+                record.answer = replayed->answer.body;
             });
         else if (const auto* refused = std::get_if<refuse>(&each))
-            finish(node, refused->request, [&](caller_record& told) {
-                told.refused = true;
-                told.ran = refused->ran;
-                told.kind = refused->failure.kind;
+            finish(node, refused->request, [&](caller_record& record) {
+                record.refused = true;
+                record.ran = refused->ran;
+                record.kind = refused->failure.kind;
             });
         else if (const auto* cut = std::get_if<end_truncated>(&each))
             finish(node, cut->request, [](caller_record&) {});
-        else if (const auto* gone = std::get_if<forget>(&each))
-            finish(node, gone->request, [](caller_record&) {});
+        else if (const auto* removed = std::get_if<forget>(&each))
+            finish(node, removed->request, [](caller_record&) {});
     }
 }
 
@@ -217,9 +217,9 @@
                                        const std::function<void(caller_record&)>& note)
 {
     node_row& row = m_nodes[static_cast<std::size_t>(node)];
-    caller_record& told = callers[row.caller_of.at(request)];
-    ++told.finals;
-    note(told);
+    caller_record& record = callers[row.caller_of.at(request)];
+    ++record.finals;
+    note(record);
 }
 
 inline void history_simulation::call(duration at, int node, const std::string& path,
@@ -277,7 +277,7 @@
 inline void history_simulation::connect(int node, int boot_number, const send_attempt& sent,
                                         std::size_t caller)
 {
-    // The shell is part of the node: a paused or dead node connects to nobody.
+    // The shell is part of the node: a paused or dead node does not connect.
     const node_row& row = m_nodes[static_cast<std::size_t>(node)];
     if (row.boot != boot_number || row.cancelled.contains(sent.attempt))
         return;
@@ -308,7 +308,7 @@
         });
         return;
     }
-    // It runs: written down on the server's side.
+    // The call runs: recorded as an execution.
     const caller_record& asked = callers[caller];
     const std::string body =
         "answer to " + asked.body + " by attempt " + std::to_string(sent.attempt.value());
@@ -394,8 +394,8 @@
             entry.mod_revision = m_revision;
             entry.create_revision = entry.create_revision == 0 ? m_revision : entry.create_revision;
         }
-        else if (const auto* gone = std::get_if<kv_delete>(&operation))
-            m_store.erase(gone->key);
+        else if (const auto* removed = std::get_if<kv_delete>(&operation))
+            m_store.erase(removed->key);
         else if (const auto found = m_store.find(std::get<kv_get>(operation).key);
                  found != m_store.end())
             outcome.entries.push_back(found->second);
--- a/routing/keyed_test.cc
+++ b/routing/keyed_test.cc
@@ -1,3 +1,4 @@
+// Keyed calls: records, repeats, restarts, outages of the key-value service and batching.
 #include "routing/claim_record.h"
 #include "routing/core_fixture.h"
 
@@ -8,7 +9,7 @@
 
 namespace {
 
-/// Brings a keyed call of the fixture as far as its sending.
+/// Starts a keyed call, grants its claim and returns its attempt.
 send_attempt claim_and_send(fixture& world, std::uint64_t id, const std::string& key)
 {
     const command_list asked = world.plain(id, "/orders", key);
@@ -21,8 +22,9 @@
 
 } // namespace
 
-// A farmer's signal drops while his confirmation runs. It is not cut off at the server; when he
-// presses again with the same key, he gets the first one's record, and his new body none at all.
+// Guards against losing the outcome of a call whose caller disconnects while it runs. The call must
+// not be cancelled; a repeat with the same key gets the stored answer, and one with another body is
+// refused.
 Test(keyed, a_call_whose_caller_left_is_recorded_for_the_repeat)
 {
     fixture world;
@@ -39,8 +41,9 @@
     cr_assert(first<refuse>(other)->ran == ran_state::no);
 }
 
-// The entry VM restarts while a confirmation is at the server. The repeat is told at once that the
-// outcome is unknown, not kept waiting for a process that no longer exists; so is the question.
+// Guards against waiting for the outcome of a claim whose process no longer exists, because the
+// entry VM restarted during the call. A repeat and a status query must be told at once that the
+// outcome is unknown.
 Test(keyed, a_claim_from_before_a_restart_is_unknown)
 {
     fixture world;
@@ -50,17 +53,18 @@
     const command_list asked = world.plain(1, "/orders", "monday");
     const command_list leased =
         world.send(lease_result{first<grant_lease>(asked)->token, lease_id{5}});
-    const command_list judged = world.send(kv_result{first<call_kv>(leased)->token, found});
-    cr_assert(first<refuse>(judged)->ran == ran_state::unknown);
+    const command_list resolved = world.send(kv_result{first<call_kv>(leased)->token, found});
+    cr_assert(first<refuse>(resolved)->ran == ran_state::unknown);
 
     const command_list question =
         world.send(key_status_requested{request_id{2}, workspace_id{"farm"}, "monday"});
-    const command_list told = world.send(kv_result{first<call_kv>(question)->token, found});
-    cr_assert(first<report_key_status>(told)->state == key_state::unknown);
+    const command_list reported = world.send(kv_result{first<call_kv>(question)->token, found});
+    cr_assert(first<report_key_status>(reported)->state == key_state::unknown);
 }
 
-// The entry VM that took the confirmation dies with it. Once the others know that it left, a repeat
-// is told at once that the outcome is unknown; while it may still be at work, the repeat waits.
+// Guards against waiting for the outcome of a claim whose entry VM has died. Once that VM has left
+// the membership, a repeat is told at once that the outcome is unknown; before that the repeat
+// waits, since the call may still be running.
 Test(keyed, a_claim_of_a_node_that_left_is_unknown)
 {
     for (const bool left : {true, false}) {
@@ -73,20 +77,21 @@
         const command_list asked = world.plain(1, "/orders", "monday");
         const command_list leased =
             world.send(lease_result{first<grant_lease>(asked)->token, lease_id{5}});
-        const command_list judged = world.send(kv_result{first<call_kv>(leased)->token, found});
-        cr_assert_eq(count<refuse>(judged), left ? 1 : 0);
+        const command_list resolved = world.send(kv_result{first<call_kv>(leased)->token, found});
+        cr_assert_eq(count<refuse>(resolved), left ? 1 : 0);
         if (left)
-            cr_assert(first<refuse>(judged)->ran == ran_state::unknown);
+            cr_assert(first<refuse>(resolved)->ran == ran_state::unknown);
         const command_list question =
             world.send(key_status_requested{request_id{2}, workspace_id{"farm"}, "monday"});
-        const command_list told = world.send(kv_result{first<call_kv>(question)->token, found});
-        cr_assert(first<report_key_status>(told)->state ==
+        const command_list reported = world.send(kv_result{first<call_kv>(question)->token, found});
+        cr_assert(first<report_key_status>(reported)->state ==
                   (left ? key_state::unknown : key_state::in_progress));
     }
 }
 
-// The platform is dark for an hour. Who confirms an order is told within two calls that it was not
-// sent; those who come after are told at once; reads of the same service go on all the while.
+// Guards against keyed calls that hang, or other calls that fail, while the key-value service is
+// unavailable. A keyed call must be refused as not sent after two failed calls to the key-value
+// service, later ones at once; reads of the same service continue.
 Test(keyed, a_store_outage_refuses_only_keyed_calls)
 {
     fixture world;
@@ -102,13 +107,13 @@
     cr_assert(first<refuse>(next) != nullptr && first<refuse>(next)->ran == ran_state::no);
     cr_assert(first<refuse>(next)->retry_after.has_value());
     cr_assert_not_null(first<send_attempt>(world.plain(3, "/read")));
-    // After a while one call tries the platform again.
+    // Later one call tries the key-value service again.
     world.pass(std::chrono::seconds{2});
     cr_assert_not_null(first<grant_lease>(world.plain(4, "/orders", "c")));
 }
 
-// Thirty orders arrive together. They are claimed in one transaction, and one that was used before
-// costs the others one more.
+// Guards against one transaction per claim. Thirty calls that arrive together are claimed in one
+// transaction; if one key was used before, the others need a second one.
 Test(keyed, many_claims_share_a_transaction)
 {
     fixture world;
--- a/routing/random_events_test.cc
+++ b/routing/random_events_test.cc
@@ -1,4 +1,4 @@
-// Events in no order at all, from a shell, peers and a platform that are all wrong.
+// Random events in random order, as from a faulty shell, faulty peers and a faulty platform.
 #include "routing/core_fixture.h"
 
 #include <criterion/criterion.h>
@@ -10,7 +10,7 @@
 
 namespace {
 
-/// Makes any event with ids from a small range, so that many hit something.
+/// Generates random events with ids from a small range, so that many refer to existing objects.
 class random_event_source {
 public:
     explicit random_event_source(std::uint64_t seed) : m_random{seed} {}
@@ -68,9 +68,9 @@
         }
     }
 
-    void note(const command_list& said)
+    void note(const command_list& commands)
     {
-        for (const command& each : said) {
+        for (const command& each : commands) {
             if (const auto* sent = std::get_if<send_attempt>(&each))
                 m_attempts.push_back(sent->attempt);
             else if (const auto* call = std::get_if<call_kv>(&each))
@@ -86,7 +86,7 @@
     {
         if (values.empty())
             return T{};
-        // Mostly a late one.
+        // One of the latest.
         const std::size_t back = std::min(values.size(), std::size_t{12});
         return values[values.size() - 1 - m_random.index(back)];
     }
@@ -161,7 +161,7 @@
     std::vector<kv_token> m_tokens;
 };
 
-std::optional<request_id> final_of(const command& said)
+std::optional<request_id> final_of(const command& candidate)
 {
     return std::visit(
         [](const auto& each) -> std::optional<request_id> {
@@ -177,14 +177,14 @@
             else
                 return std::nullopt;
         },
-        said);
+        candidate);
 }
 
 } // namespace
 
-// A defect elsewhere (a shell that tells things twice, a store that answers nonsense, tables that
-// change under the requests) must cost the requests concerned, not the entry VM: nobody gets two
-// final answers, everybody gets one in the end, and no place in a pool leaks away.
+// Guards against an entry VM that fails because of a defect elsewhere: duplicate events from the
+// shell, invalid replies of the key-value service, tables that change during requests. Every
+// request must get exactly one final answer in the end, and no pool capacity may leak.
 Test(random_event_source, any_order_of_events_ends_every_request_once)
 {
     for (std::uint64_t seed = 1; seed <= 60; ++seed) {
@@ -193,13 +193,13 @@
         settings.max_requests = 40;
         settings.max_queued_per_workspace = 4;
         fixture world{settings, 3, seed};
-        random_event_source wrong{seed};
+        random_event_source source{seed};
         random_source random{seed};
         std::map<request_id, int> finals;
         std::size_t highest_open = 0;
-        const auto note = [&](const command_list& said) {
-            wrong.note(said);
-            for (const command& each : said) {
+        const auto note = [&](const command_list& commands) {
+            source.note(commands);
+            for (const command& each : commands) {
                 if (const auto request = final_of(each))
                     ++finals[*request];
             }
@@ -207,7 +207,7 @@
         };
         std::map<request_id, int> arrivals;
         for (int step = 0; step < 3'000; ++step) {
-            const event next = wrong.next();
+            const event next = source.next();
             if (const auto* arrived = std::get_if<request_arrived>(&next))
                 ++arrivals[arrived->request.id];
             if (const auto* asked = std::get_if<key_status_requested>(&next))
@@ -218,7 +218,7 @@
                                 std::chrono::milliseconds{50}));
         }
         cr_assert_leq(highest_open, 40);
-        // The keyed ones wait for their claims' time, the sent ones for their deadlines.
+        // Keyed requests end at the timeout of their claims, sent ones at their deadlines.
         note(world.pass(std::chrono::seconds{700}, std::chrono::milliseconds{500}));
         cr_assert_eq(world.core.open_requests(), 0, "seed %lu: %lu without an end", seed,
                      world.core.open_requests());
--- a/routing/request_arrival.cc
+++ b/routing/request_arrival.cc
@@ -1,7 +1,8 @@
-// From arrival to the queue: route, refuse early what can't be served in time, claim what is keyed.
+// From arrival to the queue: routing, early refusal of requests that can't be served in time, and
+// claims of keyed requests.
 //
-// Early refusal comes before the claim, so overload costs the key-value service nothing; the claim
-// comes before the queue, so that a repeat is answered from its record without a place in the pool.
+// Early refusal precedes the claim, so overload puts no load on the key-value service. The claim
+// precedes the queue, so a repeat is answered from its record without using the pool's capacity.
 #include "routing/modelled_pick.h"
 #include "routing/request_state.h"
 
@@ -15,8 +16,8 @@
 constexpr std::chrono::seconds in_progress_retry{1};
 constexpr std::chrono::seconds full_retry{5};
 
-/// Cost against a workspace's share: work in an engine is mostly the tokens it generates; a prompt
-/// token costs about an eighth of one, since prompts are processed in parallel.
+/// Cost of a request in fair queueing. An engine's work is mostly the tokens that it generates; a
+/// prompt token costs about an eighth of one, since prompts are processed in parallel.
 double cost_of(const request_info& info)
 {
     constexpr double prompt_part = 0.125;
@@ -29,8 +30,8 @@
     return std::clamp(tokens / unit_tokens, least, most);
 }
 
-/// How long callers wait for a stream's first event: two seconds, or longer where the route's own
-/// targets are, by four times the first event's or eight times the pause's.
+/// How long callers wait for the first event of a stream: at least 2 s, and longer on routes with
+/// longer latency targets (4 times the first event's target, 8 times the target between events).
 duration first_event_timeout(const route& taken)
 {
     constexpr std::chrono::milliseconds least{2'000};
@@ -51,7 +52,8 @@
 
 } // namespace
 
-/// Finds out whose request it is by its key, where the tables say so; false if it was refused.
+/// Determines the request's workspace from its key, if the tables define workspace keys; false if
+/// the request was refused.
 bool request_core::state::authenticate(request_info& info, const route& taken,
                                        std::optional<priority_class>& priority, command_list& out)
 {
@@ -73,7 +75,8 @@
     return false;
 }
 
-/// The pool of one of the route's services, by their weights; size() if there is none.
+/// Picks one of the route's services at random by weight and returns its pool; size() if it has
+/// none.
 pool_index request_core::state::choose_pool(const route& taken, const request_info& info)
 {
     if (taken.backends.empty())
@@ -102,14 +105,14 @@
         return true;
     };
     if (requests.contains(info.id))
-        return true; // the shell's defect; the first one with this id keeps its single answer
+        return true; // duplicate id, a bug in the shell: the first request gets the only answer
     if (requests.size() >= settings.max_requests)
         return refuse_with(error_kind::overloaded, "this entry VM holds as many requests as it may",
                            "come back after the time in Retry-After", full_retry);
     if (taken == nullptr)
         return refuse_with(error_kind::not_found, "no route takes " + describe(info),
                            "check the name or path, or add a row to routes.toml");
-    // A service without a pool for the model named: the operators' next version may bring it.
+    // The service has no pool for this model; a later configuration may add one, hence a retry.
     if (index == pools.size() && !taken->backends.empty())
         return refuse_with(error_kind::unavailable,
                            "route " + taken->name.value() +
@@ -190,8 +193,8 @@
         enqueue(row, now, out);
 }
 
-/// The latest sending that still meets the route's first target: at full groups, since a request
-/// that waits does so because they are full.
+/// The latest dispatch that still meets the route's target for the first event. The prediction
+/// assumes full groups, since requests wait only if the groups are full.
 time_point request_core::state::latest_start(const request_row& row, time_point now) const
 {
     const duration first_target = row.terms.first_target;
@@ -206,20 +209,21 @@
     return now + first_target - std::chrono::duration_cast<duration>(first);
 }
 
-/// Whether the caller has come back after a refusal; its first target has passed then. It would be
-/// the newest of all that wait, and take the place of one that can still be in time, who would be
-/// refused and come back in turn: under overload nobody would be in time.
+/// Whether the caller is likely to have been refused before, in which case the request's first
+/// target has already passed. With newest-first queueing it would be served before requests that
+/// can still be in time; those would be refused and return in turn, so that under overload no
+/// request would be in time.
 bool request_core::state::is_returning_caller(const request_row& row, time_point now)
 {
-    const bool targeted = row.terms.first_target.count() > 0 && row.info.deadline;
-    if (!targeted || !pools.at(row.terms.pool).modelled())
+    const bool has_target = row.terms.first_target.count() > 0 && row.info.deadline;
+    if (!has_target || !pools.at(row.terms.pool).modelled())
         return false;
     constexpr double ms_in_second = 1000.0;
     const double left_ms = ms_in_second * seconds(*row.info.deadline - now);
-    caller_timeout_estimate& usual = caller_timeouts_by_route[row.terms.route];
-    const bool again = usual.is_returning(left_ms);
-    usual.note(left_ms);
-    return again && settings.mechanisms.has(mechanism::returning_gives_way);
+    caller_timeout_estimate& estimate = caller_timeouts_by_route[row.terms.route];
+    const bool returning = estimate.is_returning(left_ms);
+    estimate.note(left_ms);
+    return returning && settings.mechanisms.has(mechanism::returning_gives_way);
 }
 
 bool request_core::state::refuse_early(request_row& row, time_point now, command_list& out)
@@ -234,7 +238,7 @@
     if (wait_s <= max_queued_fraction * left_s)
         return false;
     ++counters.refused_early;
-    row.keyed = false; // nothing is claimed yet
+    row.keyed = false; // no claim has been made yet
     finish_refuse(row,
                   {error_kind::overloaded, "it would wait past its deadline",
                    "come back after the time in Retry-After"},
@@ -268,8 +272,9 @@
         return;
     }
     const double weight = pool.weight_of(row.info.workspace, row.terms.priority);
-    // Where all groups are full, first come first served would have everyone wait for as long as
-    // the first target allows, and begin too late. Newest first, those that are served are in time.
+    // If all groups are full, first-come-first-served would make every request wait for as long as
+    // its first target allows and then begin too late. With newest first, the requests that are
+    // served are in time.
     const bool newest_first = pool.modelled() && settings.mechanisms.has(mechanism::newest_first);
     const queue_end end = newest_first ? queue_end::front : queue_end::back;
     if (!pool.queue.push(flow_of(row), weight, {row.info.id, cost_of(row.info)}, end)) {
@@ -289,54 +294,57 @@
         set_wake(still->second, next_wake_time(still->second));
 }
 
-void request_core::state::on_key_status_requested(const key_status_requested& asked, time_point now,
-                                                  command_list& out)
+void request_core::state::on_key_status_requested(const key_status_requested& requested,
+                                                  time_point now, command_list& out)
 {
-    const std::string key = claim_key(deployment, asked.workspace, asked.idempotency_key);
+    const std::string key = claim_key(deployment, requested.workspace, requested.idempotency_key);
     ++counters.arrived;
-    if (requests.contains(asked.request))
+    if (requests.contains(requested.request))
         return;
-    if (requests.size() >= settings.max_requests || !claims.query_status(asked.request, key, now)) {
-        refuse_untracked(asked.request,
+    if (requests.size() >= settings.max_requests ||
+        !claims.query_status(requested.request, key, now)) {
+        refuse_untracked(requested.request,
                          {error_kind::overloaded, "too many questions wait", "ask again later"},
                          full_retry, out);
         return;
     }
-    request_row& row = requests[asked.request];
-    row.info.id = asked.request;
+    request_row& row = requests[requested.request];
+    row.info.id = requested.request;
     row.phase = request_phase::querying_key;
-    row.deadline = now + 3 * settings.kv_timeout; // it may wait for one call before its own
+    row.deadline = now + 3 * settings.kv_timeout; // another call may have to finish first
     set_wake(row, row.deadline);
 }
 
 void request_core::state::run_claims(time_point now, command_list& out)
 {
     claims.pump(now, out);
-    // Settling one may settle others, for example by handing a claim on; each round settles some.
-    for (std::vector<claim_resolution> settled = claims.take_resolutions(); !settled.empty();
-         settled = claims.take_resolutions())
+    // A resolution may lead to others, for example if its claim passes to the next requester. Each
+    // round resolves some requests, so the loop ends.
+    for (std::vector<claim_resolution> resolved = claims.take_resolutions(); !resolved.empty();
+         resolved = claims.take_resolutions())
     {
-        for (const claim_resolution& each : settled)
+        for (const claim_resolution& each : resolved)
             on_claim_resolved(each, now, out);
         claims.pump(now, out);
     }
     counters.claim_transactions = claims.transactions();
 }
 
-void request_core::state::on_claim_resolved(const claim_resolution& settled, time_point now,
+void request_core::state::on_claim_resolved(const claim_resolution& resolution, time_point now,
                                             command_list& out)
 {
-    const request_id request = std::visit([](const auto& each) { return each.request; }, settled);
+    const request_id request =
+        std::visit([](const auto& each) { return each.request; }, resolution);
     const auto found = requests.find(request);
     if (found == requests.end())
         return;
     request_row& row = found->second;
-    // A shell that uses an id twice must not make a claim's answer end another request.
-    const bool asked = row.phase == request_phase::querying_key;
-    const bool fits = asked ? std::holds_alternative<claim_status_reported>(settled) ||
-                                  std::holds_alternative<claim_store_unavailable>(settled)
-                            : row.phase == request_phase::claiming &&
-                                  !std::holds_alternative<claim_status_reported>(settled);
+    // If the shell reuses an id, a claim's resolution must not end another request.
+    const bool is_query = row.phase == request_phase::querying_key;
+    const bool fits = is_query ? std::holds_alternative<claim_status_reported>(resolution) ||
+                                     std::holds_alternative<claim_store_unavailable>(resolution)
+                               : row.phase == request_phase::claiming &&
+                                     !std::holds_alternative<claim_status_reported>(resolution);
     if (!fits) {
         claims.abandon(request, now);
         return;
@@ -351,38 +359,38 @@
         void refuse_with(error_kind kind, std::string message, std::string remedy, ran_state ran,
                          std::optional<std::chrono::seconds> after) const
         {
-            row.keyed = false; // the claim is not ours
+            row.keyed = false; // this request does not own the claim
             core.finish_refuse(row, {kind, std::move(message), std::move(remedy)}, ran, after, now,
                                out);
         }
-        void operator()(const claim_granted& /*settled*/) const { core.enqueue(row, now, out); }
+        void operator()(const claim_granted& /*resolution*/) const { core.enqueue(row, now, out); }
         void operator()(const claim_replayed& replayed) const
         {
             core.finish_replay(row, replayed.answer, out);
         }
-        void operator()(const claim_ran_without_answer& /*settled*/) const
+        void operator()(const claim_ran_without_answer& /*resolution*/) const
         {
             refuse_with(error_kind::too_large, "the call ran; its answer was too large to be kept",
                         "read its effect back from the service", ran_state::yes, std::nullopt);
         }
-        void operator()(const claim_conflict& /*settled*/) const
+        void operator()(const claim_conflict& /*resolution*/) const
         {
             refuse_with(error_kind::conflict, "the key was used with another body",
                         "use a new key for a new call", ran_state::no, std::nullopt);
         }
-        void operator()(const claim_unknown& /*settled*/) const
+        void operator()(const claim_unknown& /*resolution*/) const
         {
             refuse_with(error_kind::unknown_outcome,
                         "a call with this key was accepted and its outcome is not known",
                         "read its effect back from the service; a new key would repeat it",
                         ran_state::unknown, std::nullopt);
         }
-        void operator()(const claim_in_progress& /*settled*/) const
+        void operator()(const claim_in_progress& /*resolution*/) const
         {
             refuse_with(error_kind::unknown_outcome, "a call with this key is still on its way",
                         "ask again with the same key", ran_state::unknown, in_progress_retry);
         }
-        void operator()(const claim_store_unavailable& /*settled*/) const
+        void operator()(const claim_store_unavailable& /*resolution*/) const
         {
             if (row.phase == request_phase::querying_key) {
                 core.finish_refuse(row,
@@ -401,7 +409,7 @@
             core.finish_report(row, reported, out);
         }
     };
-    std::visit(visitor{*this, row, now, out}, settled);
+    std::visit(visitor{*this, row, now, out}, resolution);
 }
 
 } // namespace jaynotch
--- a/routing/request_attempt.cc
+++ b/routing/request_attempt.cc
@@ -1,22 +1,23 @@
-// What becomes of a sending.
+// Progress and end of an attempt, and the decision to retry.
 //
-// The truth about a request is one bit, `may_have_run`. It is set when a sending of which a byte
-// may have left ends in any way other than the backend server's own word that it did not run. It is
-// never unset: a later sending that certainly did not run says nothing about the earlier one.
-// Hence
-//   - "did not run" is said only if the bit is clear when the request ends;
-//   - a request that must not be repeated is sent again only while the bit is clear, and only by
-//     the one that holds its claim;
-//   - an answer is handed on only from the request's present attempt, if the answer names it.
-// A stream that was handed on in part goes on only from a target of the same version, so that no
-// answer is made of two models.
+// Whether a request may have run is tracked by one flag, `may_have_run`. It is set when an attempt
+// of which a byte may have been sent ends in any way other than the backend server's own report
+// that it did not run. It is never reset: a later attempt that certainly did not run proves nothing
+// about an earlier one. Hence
+//   - "did not run" is reported only if the flag is clear when the request ends;
+//   - a request that must not be repeated is retried only while the flag is clear and, if keyed,
+//     only by the owner of its claim;
+//   - an answer is delivered only from the request's current attempt, and not if it carries another
+//     attempt's id.
+// A partly delivered stream resumes only on a target of the same model version, so that no answer
+// combines two models.
 #include "routing/request_state.h"
 
 namespace jaynotch {
 
 namespace {
 
-/// Statuses by which a server says that it, not the request, is at fault.
+/// Whether the status means that the server or its load, not the request, is at fault.
 bool is_server_failure_status(std::uint32_t status)
 {
     constexpr std::uint32_t too_many_requests = 429;
@@ -27,19 +28,20 @@
            status == gateway_timeout;
 }
 
-/// Sendings that certainly did not run may be repeated at least this often, whatever the route.
+/// Attempts that certainly did not run may be retried at least this often on any route.
 constexpr std::uint32_t min_safe_retries = 2;
 
-/// Of a request that may run on several servers; beyond that something else is wrong.
+/// Retries of a request whose route limits the servers that it may run on. Attempts that did not
+/// run don't use up servers, so this limit ends the retries if all servers fail that way.
 constexpr std::uint32_t max_retries_across_servers = 4;
 
-/// Whether the server may have run the request. Only its own word proves that it did not: silence
-/// and a closed connection also come from servers that run it to the end. Of a repeated sending its
-/// word covers only what it got last.
+/// Whether the server may have run the request. Only its own report proves that it did not: a
+/// server that does not answer or closes the connection may still run the request to the end. If
+/// the attempt was resent to the same server, the report covers only the last sending.
 bool may_have_run_at_target(const attempt_row& attempt, attempt_failure reason)
 {
-    const bool said_not = reason == attempt_failure::refused_did_not_run;
-    return attempt.sent && (attempt.repeated || !said_not);
+    const bool reported_not_run = reason == attempt_failure::refused_did_not_run;
+    return attempt.sent && (attempt.repeated || !reported_not_run);
 }
 
 double seconds(duration span)
@@ -88,7 +90,7 @@
     row->attempt.sent = true;
     if (row->attempt.repeated)
         consume_limit(targets.at(row->attempt.target), now);
-    // The same server once more: no further server, but further load on its service.
+    // Resending to the same server does not use another server, but adds load to the service.
     if (row->attempt.repeated && settings.retry_budget && settings.charge_every_retry)
         (void)pools.at(row->terms.pool).budget.take();
 }
@@ -97,7 +99,7 @@
 {
     request_row* row = find_attempt(head.request, head.attempt);
     if (row == nullptr || row->phase != request_phase::sending) {
-        // Late, or a second answer to the same attempt.
+        // A late answer, or a second one to the same attempt.
         ++counters.answers_dropped;
         return;
     }
@@ -114,16 +116,16 @@
         note_refusal(targets.at(row->attempt.target).health, now);
     if (head.reported_not_run || head.wrong_instance)
         return drop(attempt_failure::refused_did_not_run);
-    // Part of a stream has gone out under its own head. A second head, a failure's mostly, would
-    // reach the caller as garbage among the events and end the stream as if it were complete.
+    // The caller has already received a head and part of a stream. A second response, usually an
+    // error, would reach it as garbage among the events and end the stream as if it were complete.
     if (head.buffered && row->head_delivered)
         return drop(attempt_failure::cut);
     if (!head.version.empty() && head.version != row->attempt.version)
         return drop(attempt_failure::version_changed);
     if (is_server_failure_status(head.status)) {
         pools.at(row->terms.pool).limit.note_overload();
-        // What was handed on in part can't go on with an error's body; the rest is handed on as it
-        // is if another sending is not allowed.
+        // A partly delivered answer can't continue with the body of an error. Otherwise the error
+        // is delivered as it is if no retry is allowed.
         if (row->head_delivered || may_retry(*row, attempt_failure::cut))
             return drop(attempt_failure::cut);
     }
@@ -143,7 +145,7 @@
     set_wake(*row, next_wake_time(*row));
 }
 
-/// A byte of an answer shows that its target is at work.
+/// A received byte shows that the target is not silent.
 void request_core::state::note_activity(request_row& row, time_point now)
 {
     target_row& target = targets.at(row.attempt.target);
@@ -192,9 +194,9 @@
     note_first_part(*row, now);
 }
 
-void request_core::state::on_writing_to_caller(const attempt_writing_to_caller& waiting)
+void request_core::state::on_writing_to_caller(const attempt_writing_to_caller& writing)
 {
-    request_row* row = find_attempt(waiting.request, waiting.attempt);
+    request_row* row = find_attempt(writing.request, writing.attempt);
     if (row != nullptr && row->phase == request_phase::answering)
         row->attempt.waits_for_caller = true;
 }
@@ -230,7 +232,7 @@
     const bool ran = may_have_run_at_target(row.attempt, reason);
     const bool may_have_run_now = row.may_have_run || ran;
     if (row.terms.most_servers > 0) {
-        // Sendings that did not run use up none of the servers that it may run on.
+        // Attempts that did not run don't count against the servers that it may run on.
         const std::uint32_t used = row.servers_used + (ran ? 1 : 0);
         if (used >= row.terms.most_servers || row.retries_used >= max_retries_across_servers)
             return false;
@@ -247,7 +249,7 @@
             return row.retries_used < row.terms.retries;
         return row.retries_used < std::max(row.terms.retries, min_safe_retries);
     case repeat_policy::keyed:
-        // Without a key there is no claim, and it is as never.
+        // A call without a key has no claim and is treated like repeat_policy::never.
         if (row.keyed)
             return !may_have_run_now && row.retries_used < min_safe_retries;
         [[fallthrough]];
@@ -292,10 +294,10 @@
     dispatch(index, now, out);
 }
 
-/// Whether sending it again is charged to the budget that guards against retry storms. A group's
-/// loss is no overload, a resumed stream is bounded by what was in flight, and a group that says it
-/// is not whole costs it nothing and gets no more for a moment: none of these is, unless every
-/// repeat is.
+/// Whether a retry is charged to the budget that prevents retry storms. Three kinds are free unless
+/// every retry is charged: the loss of a group, which is no overload; the resumption of a stream,
+/// since resumptions are bounded by the streams in flight; and the refusal by an incomplete group,
+/// which costs the group nothing and excludes it for a while.
 bool request_core::state::is_charged_to_budget(const request_row& row, bool servers_fault) const
 {
     const bool costs =
@@ -332,8 +334,8 @@
         return;
     request_row& row = found->second;
     if (row.keyed && row.has_attempt && row.attempt.sent) {
-        // It may have taken effect already. Let it end, so that its record says what came of it and
-        // the caller, who may only have lost the signal, is told when it asks again.
+        // The call may have taken effect already. It continues, so that its outcome is recorded and
+        // the caller, who may only have lost the connection, gets it when it repeats the call.
         row.caller_left = true;
         return;
     }
--- a/routing/request_core.cc
+++ b/routing/request_core.cc
@@ -1,9 +1,9 @@
-// The request core takes one event, runs the systems that it concerns, and settles what follows
-// from it (claims, places that became free) before it returns, so that the shell never holds a
-// decision that is half made.
+// Event dispatch of the request core, and the handling of target, table, peer and timer events.
+// handle() also processes all consequences of an event (resolved claims, freed capacity) before it
+// returns, so the commands that it appends are complete.
 //
-// Memory is bounded by core_settings for any input: requests, queues, claims, peers, prefix index;
-// targets and pools by the tables and groups that the platform holds.
+// Memory is bounded by core_settings for any input: requests, queues, claims, peers and the prefix
+// index. Targets and pools are bounded by the tables and groups that the platform stores.
 #include "routing/request_core.h"
 
 #include "routing/engine_model.h"
@@ -13,7 +13,7 @@
 
 namespace {
 
-constexpr unsigned attempt_space_bits = 24; ///< attempts of one process before ids could meet
+constexpr unsigned attempt_space_bits = 24; ///< 2^24 attempts per process without id collisions
 
 } // namespace
 
@@ -21,7 +21,7 @@
     : settings{std::move(given)}, random{source}, peers{settings.max_peers, settings.demand_ttl},
       claims{settings}, limits{settings.node}, next_share{now}
 {
-    // Attempts of different nodes and processes must not share an id: an engine cancels by it.
+    // Attempt ids must be unique across nodes and processes, since engines cancel attempts by id.
     next_attempt = random.bits() << attempt_space_bits;
 }
 
@@ -29,14 +29,15 @@
                                           time_point now)
 {
     if (settings.node.value().empty() || settings.incarnation.empty())
-        return error{error_kind::invalid_argument, "the request core has no node or incarnation",
-                     "set both; claims are told apart by them"};
+        return error{error_kind::invalid_argument,
+                     "the request core's node or incarnation is empty",
+                     "set both; they make claim ids unique"};
     if (settings.node.value().find('/') != std::string::npos)
-        return error{error_kind::invalid_argument, "the node's name holds a '/'",
+        return error{error_kind::invalid_argument, "the node's name contains a '/'",
                      "choose a name without it"};
     if (settings.max_requests == 0 || settings.max_queued_per_workspace == 0 ||
         settings.max_pending_claims == 0 || settings.prefix_index_entries == 0)
-        return error{error_kind::invalid_argument, "a bound of the request core is 0",
+        return error{error_kind::invalid_argument, "a limit of the request core is 0",
                      "set it to 1 or more"};
     return request_core{std::make_unique<state>(std::move(settings), random, now)};
 }
@@ -68,13 +69,13 @@
 
 bool request_core::responded_recently(const vm_id& instance, time_point now) const
 {
-    constexpr std::chrono::milliseconds moment{400}; // longer than the pauses of a sound engine
+    constexpr std::chrono::milliseconds recent{400}; // longer than the pauses of a healthy engine
     const target_table& targets = m_state->targets;
     const target_row_index at = targets.find_instance(instance);
     if (at == no_target)
         return false;
     const target_row& row = targets.at(at);
-    return row.own > 0 && !row.health.silent && now - row.heard < moment;
+    return row.own > 0 && !row.health.silent && now - row.heard < recent;
 }
 
 std::vector<target_status> request_core::targets() const
@@ -163,11 +164,11 @@
             const target_row_index row = core.targets.find(e.target);
             if (row == no_target)
                 return;
-            target_row& told = core.targets.at(row);
+            target_row& target = core.targets.at(row);
             if (e.age.count() == 0)
-                told.load.report_now(e.load, told.own, now);
+                target.load.report_now(e.load, target.own, now);
             else
-                told.load.report(e.load, e.age, now);
+                target.load.report(e.load, e.age, now);
         }
         void operator()(const cache_events_received& e) const { core.on_cache_events(e); }
         void operator()(const tables_installed& e) const
@@ -188,11 +189,11 @@
     };
     std::visit(visitor{*this, now, out}, happened);
 
-    const bool frees_a_place = std::holds_alternative<attempt_finished>(happened) ||
-                               std::holds_alternative<attempt_failed>(happened) ||
-                               std::holds_alternative<caller_gone>(happened) ||
-                               std::holds_alternative<attempt_head>(happened);
-    if (frees_a_place) {
+    const bool may_free_capacity = std::holds_alternative<attempt_finished>(happened) ||
+                                   std::holds_alternative<attempt_failed>(happened) ||
+                                   std::holds_alternative<caller_gone>(happened) ||
+                                   std::holds_alternative<attempt_head>(happened);
+    if (may_free_capacity) {
         dispatch_all(now, out);
         emit_released(out);
     }
@@ -200,7 +201,7 @@
         std::holds_alternative<groups_changed>(happened) ||
         std::holds_alternative<servers_changed>(happened))
         emit_released(out);
-    // Claims wait for nobody's tick.
+    // Claims are processed after every event, not only at ticks, to keep their latency low.
     run_claims(now, out);
 }
 
@@ -294,9 +295,9 @@
         out.emplace_back(target_released{std::move(id)});
 }
 
-void request_core::state::on_cache_events(const cache_events_received& seen)
+void request_core::state::on_cache_events(const cache_events_received& received)
 {
-    const target_row_index at = targets.find(seen.target);
+    const target_row_index at = targets.find(received.target);
     if (at == no_target)
         return;
     const target_row& row = targets.at(at);
@@ -304,7 +305,7 @@
     if (index == pools.size())
         return;
     prefix_index& prefixes = pools.at(index).prefixes;
-    for (const prefix_event& change : seen.events) {
+    for (const prefix_event& change : received.events) {
         if (change.evicted)
             prefixes.note_evicted(change.prefix, row.slot(at));
         else
@@ -323,29 +324,30 @@
     emit_released(out);
 }
 
-/// Sends what a lost target was to do elsewhere, as far as that may be repeated. What must not be
-/// is left to its connection: the target may still answer it.
+/// Sends the idempotent requests of a lost target to other targets. The others keep their
+/// connections: the target may still answer them.
 void request_core::state::reroute_requests(target_row_index from, time_point now, command_list& out)
 {
     for (const request_id request : repeatable_requests_at(from))
         reroute_request(requests.at(request), cancel_reason::target_lost, now, out);
 }
 
-/// A silent target may yet go on, so only what another can take over now leaves it. For the rest,
-/// waiting is the only chance that is left; the patience between two parts bounds it.
+/// Moves requests away from a silent target. It may still recover, so a request is moved only if
+/// another target can take it now and the retry budget allows it. The others wait for the silent
+/// target, until the timeout between two parts.
 void request_core::state::reroute_from_silent(const pool_row& pool, target_row_index from,
                                               time_point now, command_list& out)
 {
-    const bool taken =
+    const bool has_alternative =
         std::any_of(pool.view.targets.begin(), pool.view.targets.end(), [&](target_row_index at) {
             return at != from && targets.at(at).may_be_picked();
         });
-    if (!taken)
+    if (!has_alternative)
         return;
     for (const request_id request : repeatable_requests_at(from)) {
         request_row& row = requests.at(request);
-        const bool afforded = !is_charged_to_budget(row, false) || pool.budget.has_retry();
-        if (afforded && may_retry(row, attempt_failure::cut))
+        const bool within_budget = !is_charged_to_budget(row, false) || pool.budget.has_retry();
+        if (within_budget && may_retry(row, attempt_failure::cut))
             reroute_request(row, cancel_reason::target_silent, now, out);
     }
 }
@@ -358,7 +360,7 @@
             row.terms.repeat == repeat_policy::idempotent)
             found.push_back(request);
     }
-    std::sort(found.begin(), found.end()); // the map's order is not ours to depend on
+    std::sort(found.begin(), found.end()); // deterministic: the map's order is unspecified
     return found;
 }
 
@@ -369,14 +371,15 @@
     end_attempt(row, attempt_failure::cut, attempt_end::group_lost, now, out);
 }
 
-// A group that has lost a member goes on taking requests and moves nothing, for seconds, until it
-// knows itself broken. It shows as silence of all its streams at once, longer than the longest pass
-// of a sound engine. It gets nothing more but a request now and then to see whether it is back, and
-// what it had goes on elsewhere while callers still wait.
+// A group that has lost a member accepts requests without making progress for seconds, until it
+// detects the loss itself. The symptom is that all its streams pause at once, for longer than the
+// longest step of a healthy engine. A silent group gets no new requests except a probe every
+// `trial` to see whether it has recovered, and its requests move to other groups while their
+// callers still wait.
 void request_core::state::detect_silent_targets(time_point now, command_list& out)
 {
     constexpr double times_usual = 4.0;
-    constexpr std::chrono::milliseconds shortest{300}; // for the network and this node's own turns
+    constexpr std::chrono::milliseconds shortest{300}; // allows for network and local scheduling
     constexpr std::chrono::milliseconds longest{1'500};
     constexpr std::chrono::seconds trial{1};
     for (pool_index index = 0; index < pools.size(); ++index) {
@@ -393,12 +396,12 @@
             }
             const duration usual = std::chrono::duration_cast<duration>(
                 std::chrono::duration<double, std::milli>{times_usual * row.health.gap_ms});
-            const duration sound =
+            const duration healthy =
                 longest_pause(pool.info.engine, row.info.places,
                               static_cast<double>(fleet_size) * row.pending_tokens);
-            const duration most =
-                std::min<duration>(std::max<duration>({sound * 3 / 2, usual, shortest}), longest);
-            if (row.own == 0 || row.health.silent || now - row.heard <= most)
+            const duration max_pause =
+                std::min<duration>(std::max<duration>({healthy * 3 / 2, usual, shortest}), longest);
+            if (row.own == 0 || row.health.silent || now - row.heard <= max_pause)
                 continue;
             row.health.silent = true;
             row.health.silent_since = now;
@@ -410,7 +413,8 @@
     }
 }
 
-/// Each pool's part of the retries that the fleet may have: pools of one service share theirs.
+/// Sets each pool's retry budget. A fleet-wide `retry_extra` is divided among the nodes and among
+/// the pools of a service.
 void request_core::state::update_retry_budgets()
 {
     for (pool_index index = 0; index < pools.size(); ++index) {
--- a/routing/request_core_test.cc
+++ b/routing/request_core_test.cc
@@ -1,3 +1,4 @@
+// The request core: answers, resumption, draining, overload, timeouts, ejection and limits.
 #include "routing/core_fixture.h"
 
 #include <criterion/criterion.h>
@@ -10,7 +11,7 @@
 
 namespace {
 
-/// Sends the first byte and the head of what `commands` sends, and returns it.
+/// Reports the first byte and the answer's head for the attempt in `commands`, and returns it.
 send_attempt answer_head(fixture& world, const command_list& commands, std::uint32_t status = 200)
 {
     const send_attempt* sent = first<send_attempt>(commands);
@@ -35,8 +36,8 @@
     cr_assert_eq(world.core.open_requests(), 0);
 }
 
-// A caller asks for a model nobody routes, or one whose groups are all gone. Both are told at once,
-// truthfully, that nothing ran; only the second is told to come back.
+// Guards against queueing requests that can't be served: a model without a route, or without
+// complete groups. Both are refused at once as not run; only the second gets a Retry-After.
 Test(request_core, refuses_unroutable_requests_at_once)
 {
     fixture world{0};
@@ -55,8 +56,8 @@
     cr_assert(!first<refuse>(unknown)->retry_after);
 }
 
-// A dealer's answer must never reach a clerk. The backend server answers with another attempt's
-// name; nothing of it is handed on, its connection is closed, and the request goes elsewhere.
+// Guards against delivering an answer to the wrong caller. If a backend server answers with another
+// attempt's id, nothing is delivered, the connection is closed, and another target is tried.
 Test(request_core, drops_an_answer_that_names_another_attempt)
 {
     fixture world;
@@ -70,16 +71,16 @@
     const send_attempt* again = first<send_attempt>(crossed);
     cr_assert_not_null(again);
     cr_assert(again->target != sent.target);
-    // The first one's answer after all: late, and nobody's any more.
+    // A later answer to the cancelled attempt is dropped.
     const command_list late =
         world.send(attempt_head{sent.request, sent.attempt, 200, sent.attempt, false, ""});
     cr_assert(late.empty());
     cr_assert_eq(world.core.counters().answers_dropped, 2);
 }
 
-// A group dies in the middle of a stream. The stream goes on from another group of the same
-// version; if the only other group runs another version, the stream is ended so that nobody takes
-// it for whole, since its two halves would come from two models.
+// Guards against a stream that combines the output of two model versions. If a group is lost during
+// a stream, the stream resumes on another group of the same version; if there is none, it ends as
+// truncated.
 Test(request_core, resumes_a_stream_only_on_the_same_version)
 {
     for (const bool same : {true, false}) {
@@ -108,9 +109,8 @@
     }
 }
 
-// The only group of the version a stream began on comes back as a replacement two seconds after the
-// loss: the stream waits for it and resumes; a new engine that names another version in its answer
-// is not joined on.
+// Guards against resuming on an engine that runs another version than its group's: the version in
+// the resumed answer's head is checked as well.
 Test(request_core, a_resumed_stream_refuses_another_version_in_the_answer)
 {
     fixture world{2};
@@ -124,9 +124,9 @@
     cr_assert_eq(count<deliver>(joined), 0);
 }
 
-// A stream has begun on one group and goes on from another, which answers with a whole body: its
-// own failure, or a page of text. Written into the open stream, the caller would read the head of
-// an answer among the events. The sending has failed; a third group goes on where one is allowed.
+// Guards against writing a buffered answer, such as an error, into a started stream, where the
+// caller would read it among the events. The attempt that resumed the stream counts as failed; the
+// stream resumes on a third group, if a retry is allowed, or ends as truncated.
 Test(request_core, a_buffered_answer_never_completes_a_started_stream)
 {
     for (const std::uint32_t status : {200U, 404U, 500U}) {
@@ -150,15 +150,15 @@
     }
 }
 
-// An operator takes a server out while it answers: no new request goes there from then on, the one
-// in flight is not cut, and when it ends the server is released, once.
+// Guards against cutting requests when an operator drains a server: it gets no new requests, the
+// one in flight continues, and when it ends the server is released exactly once.
 Test(request_core, drains_without_cutting_requests)
 {
     fixture world;
     const send_attempt sent = answer_head(world, world.chat(1));
-    const command_list told = world.send(target_leaving{sent.target, true});
-    cr_assert_eq(count<cancel_attempt>(told), 0);
-    cr_assert_eq(count<target_released>(told), 0);
+    const command_list notified = world.send(target_leaving{sent.target, true});
+    cr_assert_eq(count<cancel_attempt>(notified), 0);
+    cr_assert_eq(count<target_released>(notified), 0);
     for (std::uint64_t id = 2; id < 10; ++id)
         cr_assert(first<send_attempt>(world.chat(id))->target != sent.target);
     const command_list end = world.send(attempt_finished{sent.request, sent.attempt, true, {}});
@@ -167,7 +167,8 @@
     cr_assert_eq(count<target_released>(world.pass(std::chrono::seconds{1})), 0);
 }
 
-// The word that a server is leaving overtakes the list that names the server. It still holds.
+// Guards against losing the notice that a target is leaving if it arrives before the list that
+// contains the target.
 Test(request_core, a_leaving_notice_before_the_target_is_known_is_kept)
 {
     fixture world{0};
@@ -177,9 +178,8 @@
         cr_assert(first<send_attempt>(world.chat(id))->target == target_id{"group-2"});
 }
 
-// Under twice what the pool holds, a farmer should hear "come back in n seconds" at once and not
-// after the deadline. Requests that can't be served in time are refused on arrival, and nothing
-// that was refused was ever sent.
+// Guards against refusals only at the deadline under overload: requests that can't be served in
+// time are refused on arrival, with a Retry-After, and are never sent.
 Test(request_core, refuses_early_under_overload_with_a_time_to_come_back)
 {
     fixture world{1};
@@ -187,7 +187,8 @@
     for (std::uint64_t id = 1; id <= 8; ++id)
         running.push_back(answer_head(world, world.chat(id)));
     world.pass(std::chrono::seconds{3});
-    // One ends, so that the core knows that an answer takes three seconds; its place is taken.
+    // One ends, so that the core learns that an answer takes three seconds; the next request takes
+    // its place.
     world.send(attempt_finished{running[0].request, running[0].attempt, true, {}});
     answer_head(world, world.chat(9));
     std::size_t early = 0;
@@ -204,8 +205,8 @@
     cr_assert_eq(world.core.counters().refused_early, early);
 }
 
-// Dealers' chat floods the pool while the morning summary wants a few places. The summary's
-// workspace gets its share, and batch work of the flood's own workspace still moves.
+// Guards against starvation of a workspace: while one workspace floods the pool, another with few
+// requests gets its share, and the first one's requests are still served.
 Test(request_core, a_flood_of_one_workspace_leaves_the_others_their_share)
 {
     fixture world{1};
@@ -237,14 +238,14 @@
         }
         note(world.pass(std::chrono::milliseconds{10}));
     }
-    // One of the two places that become free each round is the summary's.
+    // Two places become free each round; one of them goes to the "summary" workspace.
     cr_assert_gt(served["summary"], 170, "summary got %d, dealers %d", served["summary"],
                  served["dealers"]);
     cr_assert_gt(served["dealers"], 150);
 }
 
-// A server takes requests and never answers. Their callers are told at their deadline, and their
-// places in the pool are free again: the next ones are served.
+// Guards against leaking capacity: requests to a server that never answers end at their deadlines,
+// and their places in the pool are free again for the next requests.
 Test(request_core, a_timeout_frees_its_place)
 {
     fixture world{1};
@@ -260,9 +261,9 @@
     }
 }
 
-// A foreman reads a long answer over a bad line and takes none of it for half a minute. The engine
-// is not to blame: its stream is neither cut nor begun again elsewhere, and when it does go silent
-// after that, it is.
+// Guards against blaming a server for a slow caller: while a part of the answer is being written to
+// the caller, here for 30 s, the attempt is not cancelled as stalled. When the server itself sends
+// nothing afterwards, it is.
 Test(request_core, a_slow_caller_is_not_a_stalled_server)
 {
     fixture world;
@@ -275,9 +276,8 @@
     cr_assert_eq(count<cancel_attempt>(world.pass(std::chrono::seconds{2})), 1);
 }
 
-// A permit office asks for a whole answer at once, not streamed, which takes ten seconds, while
-// chats get their first token in a tenth of one. Its silence until then is no reason to ask another
-// group.
+// Guards against cancelling non-streamed requests as stalled: their head comes only after the whole
+// answer has been generated, here after 10 s, while streams get their first token after 0.1 s.
 Test(request_core, an_answer_that_is_not_streamed_has_until_its_deadline)
 {
     configuration tables = make_tables();
@@ -303,7 +303,8 @@
         count<complete>(world.send(attempt_finished{sent.request, sent.attempt, true, {}})), 1);
 }
 
-// A caller hangs up. The engine is told to stop, and nothing is sent again for nobody.
+// Guards against work for a caller that has disconnected: the attempt is cancelled at the engine,
+// and there is no retry.
 Test(request_core, a_caller_that_leaves_stops_the_engine)
 {
     fixture world;
@@ -314,9 +315,9 @@
     cr_assert(world.send(attempt_failed{sent.request, sent.attempt, attempt_failure::cut}).empty());
 }
 
-// One server of three refuses every connection. Callers of calls that may be repeated notice
-// nothing, and after a few failures the server is left alone for a while; when two of three fail,
-// the second stays in, since a bad server is better than a single one for everybody.
+// Guards against failed calls while one of three servers refuses every connection: idempotent calls
+// succeed on retry, and the server is ejected after a few failures. If two of three fail, only one
+// is ejected, since a single server could not carry the load of all.
 Test(request_core, ejects_a_bad_server_but_never_most_of_a_pool)
 {
     for (const std::size_t bad : {1UL, 2UL}) {
@@ -353,8 +354,8 @@
     }
 }
 
-// All servers of a service fail while callers keep coming. Retries must not multiply the load: they
-// stay a tenth of the traffic, over the handful saved up.
+// Guards against a retry storm when all servers of a service fail: retries stay at a tenth of the
+// requests, plus the initial budget.
 Test(request_core, retries_stay_a_share_of_the_traffic)
 {
     fixture world;
@@ -372,8 +373,9 @@
     cr_assert_gt(world.core.counters().retries, 10);
 }
 
-// A workspace's limit of four counts over all entry VMs. While two of them have plenty of it to
-// send, together they stay at four; when one goes quiet, the other gets what it left.
+// Guards against a workspace's limit that applies to each entry VM instead of all of them: two VMs
+// with demand for more stay at the limit of four together; when one has no more requests, the other
+// gets its share.
 Test(request_core, a_workspace_limit_holds_over_two_entry_nodes)
 {
     configuration tables = make_tables();
@@ -386,7 +388,7 @@
         two.send(peer_demand_received{node_id{"entry-1"}, first<share_demand>(from_one)->rows});
         one.send(peer_demand_received{node_id{"entry-2"}, first<share_demand>(from_two)->rows});
     };
-    // Each has told the other that it wants six before either sends.
+    // Each knows the other's demand for six requests before either sends.
     const std::vector<demand_row> six{{pool_id{"chat"}, workspace_id{"dealers"}, 0, 6}};
     one.send(peer_demand_received{node_id{"entry-2"}, six});
     two.send(peer_demand_received{node_id{"entry-1"}, six});
--- a/routing/request_dispatch.cc
+++ b/routing/request_dispatch.cc
@@ -1,8 +1,8 @@
-// From the queue to a target, and the clock of each request.
+// From the queue to a target, and the timers of each request.
 //
-// Each request has one wake-up time, the earliest at which something may be due. Parts of an answer
-// only move `last_part`; the wake-up then finds that nothing is due yet and moves itself on, so a
-// token costs no work on the ordered set.
+// Each request has one wake-up time, the earliest at which an action may be due. Received parts of
+// an answer only update `last_part`; when the wake-up time comes, it is moved on if nothing is due
+// yet. So a received token does not change the ordered set of wake-ups.
 #include "routing/modelled_pick.h"
 #include "routing/request_state.h"
 
@@ -13,8 +13,8 @@
 namespace {
 
 constexpr std::size_t max_tried_targets = 4;
-/// What is left before the deadline must be this many typical times to the first token; with less
-/// it would be worked on in vain.
+/// A queued request is refused when the time left before its deadline falls below this many typical
+/// times to the first token, since it would be processed in vain.
 constexpr double reserved_first_token_times = 2.0;
 
 duration from_seconds(double span)
@@ -71,8 +71,8 @@
     return {row.info.workspace, row.terms.priority, gives_way(row)};
 }
 
-/// Whether it goes behind those that can still begin in time. A stream that has begun does not: its
-/// caller sees the pause.
+/// Whether the request is queued behind those that can still begin in time. A started stream is
+/// not, since its caller notices the pause.
 bool request_core::state::gives_way(const request_row& row) const
 {
     return row.late && !row.head_delivered && settings.mechanisms.has(mechanism::late_gives_way);
@@ -83,7 +83,7 @@
     return pools.at(row.terms.pool).weight_of(row.info.workspace, row.terms.priority);
 }
 
-/// Or no_target, if the request has to wait.
+/// Returns no_target if the request has to wait.
 target_row_index request_core::state::choose_target(request_row& row, time_point now)
 {
     pool_row& pool = pools.at(row.terms.pool);
@@ -163,8 +163,8 @@
     sent.repeat = row.terms.repeat;
     sent.instance = target.info.instance;
     sent.workspace = row.info.workspace;
-    sent.deadline =
-        row.answer_deadline; // the server stops then; first events have a shorter patience
+    // The server stops at this time; row.deadline is only for the first byte.
+    sent.deadline = row.answer_deadline;
     sent.resume = row.head_delivered;
     sent.basis = basis_of(row, target, now);
     out.emplace_back(std::move(sent));
@@ -212,24 +212,25 @@
         row.deadline = std::min(row.answer_deadline, now + settings.stall_timeout);
     pool_row& pool = pools.at(row.terms.pool);
     const flow_key flow = flow_of(row);
-    // At the head and free of cost: its flow has paid for it once.
+    // At the front and at no cost: its flow was charged when it was first dequeued.
     pool.queue.push_front(flow, queue_weight(row), {row.info.id, 0.0});
     ++pool.use_of(row.info.workspace, peers).queued;
     set_wake(row, next_wake_time(row));
 }
 
-/// Moves a request that waits behind those that can still begin in time, which are worth more. It
-/// gets what they leave. If that is nothing for a moment it is unlikely to be more soon, and its
-/// caller is told so while it has most of its time left.
+/// Moves a waiting request behind those that can still begin in time; it gets the capacity that
+/// they leave. If there is none within `late_wait`, there is unlikely to be any soon, and the
+/// request is refused while its caller still has most of its time left.
 void request_core::state::queue_as_late(request_row& row)
 {
     pool_row& pool = pools.at(row.terms.pool);
     if (!pool.queue.remove(flow_of(row), row.info.id))
         return;
-    constexpr std::chrono::milliseconds late_patience{250};
+    constexpr std::chrono::milliseconds late_wait{250};
     row.late = true;
-    row.queue_until = std::min<time_point>(row.queue_until, row.start_by + late_patience);
-    // Not as one that has had its turn: each that became late would give its flow another at once.
+    row.queue_until = std::min<time_point>(row.queue_until, row.start_by + late_wait);
+    // push_front() is for requests that were popped before: used here, each request that becomes
+    // late would get its flow another turn at once. It only serves as a fallback for a full queue.
     const queued_request waiting{row.info.id, 1.0};
     if (!pool.queue.push(flow_of(row), queue_weight(row), waiting, queue_end::front))
         pool.queue.push_front(flow_of(row), queue_weight(row), waiting);
@@ -245,17 +246,17 @@
 
 bool request_core::state::head_comes_early(const request_row& row) const
 {
-    // A model's answer that is not streamed comes when all of it is generated.
+    // A non-streamed answer of a model is sent only after all of it has been generated.
     return row.info.stream || row.info.kind == request_kind::plain;
 }
 
-/// Between two parts of an answer.
+/// Timeout between two parts of an answer.
 duration request_core::state::part_timeout(const request_row& row) const
 {
     if (!pools.at(row.terms.pool).modelled())
         return settings.stall_timeout;
-    // One stream of a sound engine doesn't pause alone: its connection is silent or its group
-    // stands still. Callers leave after two seconds.
+    // In a healthy engine a single stream doesn't pause: its connection has failed or its group has
+    // stopped. Callers disconnect after two seconds.
     constexpr double times_usual = 8.0;
     constexpr std::chrono::milliseconds shortest{800};
     constexpr std::chrono::milliseconds longest{1'600};
@@ -269,8 +270,8 @@
         constexpr std::chrono::milliseconds modelled{1'200};
         return modelled;
     }
-    // A target that is far beyond the pool's usual time hangs; a second try elsewhere may still be
-    // in time. Only where a second sending is allowed.
+    // A target that takes far longer than the pool's typical time is probably stuck; a retry on
+    // another one may still be in time. Applies only if a retry is allowed.
     constexpr double times_typical = 8.0;
     constexpr std::chrono::seconds shortest{1};
     const double typical_s = pools.at(row.terms.pool).limit.first_token_s();
@@ -364,7 +365,7 @@
                           now, out);
             return;
         }
-        // Without a retry to spare the present sending is the best hope that there is.
+        // Without a retry in the budget, the current attempt is the only chance for an answer.
         if (settings.retry_budget && !row.head_delivered &&
             !pools.at(row.terms.pool).budget.has_retry()) {
             set_wake(row, std::min(row.deadline, now + head_timeout(row)));
@@ -396,7 +397,7 @@
                       ran_state::unknown, std::chrono::seconds{2}, now, out);
         return;
     case request_phase::claiming:
-        return; // the claim book keeps its time
+        return; // the claim manager handles its deadline
     }
 }
 
--- a/routing/request_finish.cc
+++ b/routing/request_finish.cc
@@ -1,8 +1,8 @@
-// The ends of a request. Each writes one final command and erases the row, so a second one can't
-// follow; every event for a request without a row is dropped.
+// The ends of a request. Each function issues one final command and erases the row, so there can't
+// be a second one: events for a request without a row are ignored.
 //
-// Whether a request ran is told from `may_have_run` alone, which the attempts' ends set and nothing
-// unsets (request_attempt.cc).
+// Whether a request may have run is derived only from `may_have_run`, which is set when an attempt
+// ends and is never reset (see request_attempt.cc).
 #include "routing/request_state.h"
 
 #include <cmath>
@@ -12,7 +12,7 @@
 void request_core::state::erase(request_row& row)
 {
     const request_id request = row.info.id;
-    release_target(row); // whichever way it ended, its place must not stay taken
+    release_target(row); // frees the target's capacity for every kind of end
     wakes.erase({row.wake, request});
     if (row.phase != request_phase::querying_key)
         --pools.at(row.terms.pool).requests;
@@ -59,8 +59,8 @@
     }
     else {
         ++counters.refused;
-        // This sending did not run; one before it with the same key may have. A new key would make
-        // it a second order.
+        // This call did not run, but an earlier one with the same key may have. A retry with a new
+        // key could run it twice.
         if (row.terms.repeat == repeat_policy::keyed && ran == ran_state::no && after)
             failure.remedy += ", with the same key";
         out.emplace_back(refuse{row.info.id, std::move(failure), ran, after, row.terms.route});
@@ -78,7 +78,7 @@
             failure.remedy = row.keyed ? "ask for the status of its key; do not use another key"
                                        : "find out whether it took effect before sending it again";
         }
-        // What never ran may come back, once a server is likely to be free.
+        // A request that did not run may be retried when a server is likely to have capacity.
         std::optional<std::chrono::milliseconds> after;
         if (ran == ran_state::no)
             after = retry_after(pools.at(row.terms.pool).service_s);
@@ -125,7 +125,8 @@
 
 std::chrono::milliseconds request_core::state::retry_after(double wait_s)
 {
-    // Spread over twice the wait, so that those refused together don't come back together.
+    // Random between once and twice the wait, so that requests refused together don't return
+    // together.
     constexpr std::chrono::milliseconds longest{60'000};
     constexpr double ms_in_second = 1000.0;
     const double spread_ms = wait_s * (1.0 + random.unit()) * ms_in_second;
--- a/routing/request_limits.cc
+++ b/routing/request_limits.cc
@@ -1,14 +1,15 @@
-// Targets whose servers limit the requests a second of all entry VMs together (rate_limits.h). A
-// target is left out of the choice while this node's part is used up; a request that would wait for
-// too long for a part of any is refused on arrival, since callers come back through other nodes.
+// Targets whose servers limit the requests per second of all entry VMs together (rate_limits.h). A
+// target is not picked while this node's share of the limit is used up. A request that would wait
+// too long for any target's limit is refused on arrival, since its caller may reach another node
+// with a free share when it retries.
 #include "routing/request_state.h"
 
 namespace jaynotch {
 
 namespace {
 
-/// For a caller that comes back to a node without a part.
-constexpr double no_part_retry_s = 0.5;
+/// Retry-After base if this node has no share of any limit, seconds.
+constexpr double no_share_retry_s = 0.5;
 
 double seconds(duration span)
 {
@@ -17,28 +18,29 @@
 
 } // namespace
 
-void request_core::state::on_limit_received(const response_limit_received& answered, time_point now,
+void request_core::state::on_limit_received(const response_limit_received& received, time_point now,
                                             command_list& out)
 {
-    const target_row_index at = targets.find(answered.target);
+    const target_row_index at = targets.find(received.target);
     if (at == no_target || targets.at(at).info.instance.value().empty())
         return;
     target_row& target = targets.at(at);
     const vm_id& server = target.info.instance;
-    const bool tell = limits.answered(server, target.info.failure_domain, answered.per_second, now);
+    const bool share_needed =
+        limits.answered(server, target.info.failure_domain, received.per_second, now);
     target.limit_used_up = !limits.may_send(server, now);
-    if (!tell)
+    if (!share_needed)
         return;
     const double share = limits.share(server).value_or(0.0);
-    out.emplace_back(share_limit{server, answered.per_second, share});
+    out.emplace_back(share_limit{server, received.per_second, share});
 }
 
-void request_core::state::on_limit_received(const peer_limit_received& told, time_point now)
+void request_core::state::on_limit_received(const peer_limit_received& received, time_point now)
 {
-    const target_row_index at = targets.find_instance(told.server);
+    const target_row_index at = targets.find_instance(received.server);
     const failure_domain_id where =
         at == no_target ? failure_domain_id{} : targets.at(at).info.failure_domain;
-    limits.told(told.server, where, told.per_second, now - told.age, now);
+    limits.told(received.server, where, received.per_second, now - received.age, now);
 }
 
 void request_core::state::consume_limit(target_row& target, time_point now)
@@ -49,9 +51,9 @@
     target.limit_used_up = !limits.may_send(target.info.instance, now);
 }
 
-void request_core::state::on_fleet_updated(const fleet_updated& seen, time_point now)
+void request_core::state::on_fleet_updated(const fleet_updated& updated, time_point now)
 {
-    limits.fleet_updated(seen.members, now);
+    limits.fleet_updated(updated.members, now);
     const auto known = [&](const vm_id& server) {
         return targets.find_instance(server) != no_target;
     };
@@ -100,8 +102,8 @@
     if (wait == duration{0} || seconds(wait) <= max_queued_fraction * seconds(row.deadline - now))
         return false;
     ++counters.refused_limited;
-    row.keyed = false; // nothing is claimed yet
-    const double back_s = wait == duration::max() ? no_part_retry_s : seconds(wait);
+    row.keyed = false; // no claim has been made yet
+    const double back_s = wait == duration::max() ? no_share_retry_s : seconds(wait);
     finish_refuse(row,
                   {error_kind::overloaded,
                    "all its backend servers limit the requests a second that they take",
--- a/routing/request_limits_test.cc
+++ b/routing/request_limits_test.cc
@@ -1,4 +1,4 @@
-// A core before servers that limit the requests a second of all nodes together.
+// Servers that limit the requests per second of all nodes together.
 #include "routing/modelled_fixture.h"
 
 #include <criterion/criterion.h>
@@ -11,7 +11,7 @@
 
 using world = modelled_world;
 
-/// Servers that answer at once and name their limits, if they have one.
+/// Servers that answer at once and state their limits, if they have one.
 struct servers {
     std::map<std::string, double> limits;
     std::map<std::string, int> got;
@@ -19,24 +19,24 @@
     void answer(world& here, const command_list& wanted)
     {
         for (const command& each : wanted) {
-            if (const auto* order = std::get_if<send_attempt>(&each))
-                answer(here, *order);
+            if (const auto* sent = std::get_if<send_attempt>(&each))
+                answer(here, *sent);
         }
     }
-    void answer(world& here, const send_attempt& order)
+    void answer(world& here, const send_attempt& sent)
     {
-        ++got[order.target.value()];
-        const auto limit = limits.find(order.target.value());
+        ++got[sent.target.value()];
+        const auto limit = limits.find(sent.target.value());
         std::optional<double> named;
         if (limit != limits.end())
             named = limit->second;
-        here.send(response_limit_received{order.target, named});
-        here.begin(order);
-        answer(here, here.send(attempt_finished{order.request, order.attempt, {}}));
+        here.send(response_limit_received{sent.target, named});
+        here.begin(sent);
+        answer(here, here.send(attempt_finished{sent.request, sent.attempt, {}}));
     }
 };
 
-/// So many requests a second for `span`; counts what each target got.
+/// Sends `per_second` requests for `span`; returns the number of requests by target.
 std::map<std::string, int> serve(world& here, duration span, int per_second,
                                  const std::map<std::string, double>& limits)
 {
@@ -59,7 +59,7 @@
 
 } // namespace
 
-// Guards against a limited server that gets its usual part of the requests, or none.
+// Guards against a limited server that gets its usual share of the requests, or none.
 Test(request_limits, excess_over_a_server_limit_goes_to_other_servers)
 {
     world here{3};
@@ -70,7 +70,7 @@
     cr_assert_geq(sent.at("g2") + sent.at("g3"), 560);
 }
 
-// Guards against requests that wait for a server whose limit leaves this node no part.
+// Guards against requests that wait for a server whose limit leaves this node no share.
 Test(request_limits, a_node_without_a_share_refuses_at_once)
 {
     world here{1};
@@ -91,7 +91,7 @@
     cr_assert_geq(refused, 38, "either refused at once or, rarely, sent");
 }
 
-// Guards against a server that stays limited though its answers no longer say so.
+// Guards against a server that stays limited although its answers no longer state a limit.
 Test(request_limits, a_lifted_limit_restores_normal_use)
 {
     world here{1};
@@ -101,7 +101,7 @@
     cr_assert_geq(sent.at("g1"), 150);
 }
 
-// Guards against a peer's word on a limit that is not kept to.
+// Guards against ignoring a limit reported by a peer.
 Test(request_limits, a_limit_reported_by_a_peer_holds)
 {
     world here{1};
--- a/routing/request_state.h
+++ b/routing/request_state.h
@@ -105,7 +105,7 @@
     void run_tick(time_point now, command_list& out);
     void share_demand_if_due(time_point now, command_list& out);
     void emit_released(command_list& out);
-    void on_cache_events(const cache_events_received& seen);
+    void on_cache_events(const cache_events_received& received);
     void on_group_broken(const target_id& group, time_point now, command_list& out);
     void reroute_requests(target_row_index from, time_point now, command_list& out);
     void reroute_request(request_row& row, cancel_reason why, time_point now, command_list& out);
@@ -116,10 +116,10 @@
     void update_retry_budgets();
 
     // request_limits.cc: servers that limit the requests per second of all nodes together
-    void on_limit_received(const response_limit_received& answered, time_point now,
+    void on_limit_received(const response_limit_received& received, time_point now,
                            command_list& out);
-    void on_limit_received(const peer_limit_received& told, time_point now);
-    void on_fleet_updated(const fleet_updated& seen, time_point now);
+    void on_limit_received(const peer_limit_received& received, time_point now);
+    void on_fleet_updated(const fleet_updated& updated, time_point now);
     void consume_limit(target_row& target, time_point now);
     void refresh_limits(time_point now);
     bool refuse_limited(request_row& row, time_point now, command_list& out);
@@ -139,10 +139,10 @@
     bool refuse_early(request_row& row, time_point now, command_list& out);
     void begin_claim(request_row& row, time_point now, command_list& out);
     void enqueue(request_row& row, time_point now, command_list& out);
-    void on_key_status_requested(const key_status_requested& asked, time_point now,
+    void on_key_status_requested(const key_status_requested& requested, time_point now,
                                  command_list& out);
     void run_claims(time_point now, command_list& out);
-    void on_claim_resolved(const claim_resolution& settled, time_point now, command_list& out);
+    void on_claim_resolved(const claim_resolution& resolution, time_point now, command_list& out);
 
     // request_dispatch.cc: from the queue to the target
     void dispatch(pool_index pool, time_point now, command_list& out);
@@ -172,7 +172,7 @@
     void on_sent(const attempt_sent& sent, time_point now);
     void on_head(const attempt_head& head, time_point now, command_list& out);
     void on_progress(const attempt_progress& part, time_point now);
-    void on_writing_to_caller(const attempt_writing_to_caller& waiting);
+    void on_writing_to_caller(const attempt_writing_to_caller& writing);
     void on_finished(const attempt_finished& finished, time_point now, command_list& out);
     void on_failed(const attempt_failed& failed, time_point now, command_list& out);
     void on_caller_gone(request_id request, time_point now, command_list& out);
