--- a/routing/claim_manager.cc
+++ b/routing/claim_manager.cc
@@ -3,8 +3,8 @@
 // node has confirmed that the record carries its own claimant id, either by the reply to the
 // creating transaction or, if that reply was lost, by reading the record when the transaction is
 // repeated. A claim is never taken over, even if its creator does not respond or has died. So a key
-// has one sender, and that sender retries only after a backend server reported that the call did
-// not run.
+// has one sender, and that sender retries only if the call certainly did not run (see
+// request_attempt.cc).
 //
 // A claim is deleted only by its creator, only if its request was certainly not sent, and only at
 // the revision that the creator wrote, so a delayed deletion can't remove a newer claim. Claims
--- a/routing/request_core.cc
+++ b/routing/request_core.cc
@@ -374,14 +374,14 @@
 // A group that has lost a member accepts requests without making progress for seconds, until it
 // detects the loss itself. The symptom is that all its streams pause at once, for longer than the
 // longest step of a healthy engine. A silent group gets no new requests except a probe every
-// `trial` to see whether it has recovered, and its requests move to other groups while their
-// callers still wait.
+// `probe_interval` to see whether it has recovered, and its requests move to other groups while
+// their callers still wait.
 void request_core::state::detect_silent_targets(time_point now, command_list& out)
 {
-    constexpr double times_usual = 4.0;
-    constexpr std::chrono::milliseconds shortest{300}; // allows for network and local scheduling
-    constexpr std::chrono::milliseconds longest{1'500};
-    constexpr std::chrono::seconds trial{1};
+    constexpr double gap_multiple = 4.0;
+    constexpr std::chrono::milliseconds min_silence{300}; // allows for network and local scheduling
+    constexpr std::chrono::milliseconds max_silence{1'500};
+    constexpr std::chrono::seconds probe_interval{1};
     for (pool_index index = 0; index < pools.size(); ++index) {
         const pool_row& pool = pools.at(index);
         if (!pool.present || !pool.modelled())
@@ -395,17 +395,17 @@
                 continue;
             }
             const duration usual = std::chrono::duration_cast<duration>(
-                std::chrono::duration<double, std::milli>{times_usual * row.health.gap_ms});
-            const duration healthy =
+                std::chrono::duration<double, std::milli>{gap_multiple * row.health.gap_ms});
+            const duration healthy_pause =
                 longest_pause(pool.info.engine, row.info.places,
                               static_cast<double>(fleet_size) * row.pending_tokens);
-            const duration max_pause =
-                std::min<duration>(std::max<duration>({healthy * 3 / 2, usual, shortest}), longest);
-            if (row.own == 0 || row.health.silent || now - row.heard <= max_pause)
+            const duration silence_limit = std::min<duration>(
+                std::max<duration>({healthy_pause * 3 / 2, usual, min_silence}), max_silence);
+            if (row.own == 0 || row.health.silent || now - row.heard <= silence_limit)
                 continue;
             row.health.silent = true;
             row.health.silent_since = now;
-            row.health.next_trial = now + trial;
+            row.health.next_trial = now + probe_interval;
             ++counters.silences;
             out.emplace_back(target_silent{row.info.id, row.info.instance});
             reroute_from_silent(pool, at, now, out);
--- a/routing/request_dispatch.cc
+++ b/routing/request_dispatch.cc
@@ -257,28 +257,29 @@
         return settings.stall_timeout;
     // In a healthy engine a single stream doesn't pause: its connection has failed or its group has
     // stopped. Callers disconnect after two seconds.
-    constexpr double times_usual = 8.0;
-    constexpr std::chrono::milliseconds shortest{800};
-    constexpr std::chrono::milliseconds longest{1'600};
+    constexpr double gap_multiple = 8.0;
+    constexpr std::chrono::milliseconds min_timeout{800};
+    constexpr std::chrono::milliseconds max_timeout{1'600};
     const double usual_ms = targets.at(row.attempt.target).health.gap_ms;
-    return std::clamp<duration>(from_seconds(times_usual * usual_ms / 1000.0), shortest, longest);
+    return std::clamp<duration>(from_seconds(gap_multiple * usual_ms / 1000.0), min_timeout,
+                                max_timeout);
 }
 
 duration request_core::state::head_timeout(const request_row& row) const
 {
     if (pools.at(row.terms.pool).modelled()) {
-        constexpr std::chrono::milliseconds modelled{1'200};
-        return modelled;
+        constexpr std::chrono::milliseconds modelled_timeout{1'200};
+        return modelled_timeout;
     }
     // A target that takes far longer than the pool's typical time is probably stuck; a retry on
     // another one may still be in time. Applies only if a retry is allowed.
-    constexpr double times_typical = 8.0;
-    constexpr std::chrono::seconds shortest{1};
+    constexpr double first_token_multiple = 8.0;
+    constexpr std::chrono::seconds min_timeout{1};
     const double typical_s = pools.at(row.terms.pool).limit.first_token_s();
     if (typical_s == 0.0)
         return settings.stall_timeout;
-    const duration patience = from_seconds(times_typical * typical_s);
-    return std::clamp<duration>(patience, shortest, settings.stall_timeout);
+    const duration timeout = from_seconds(first_token_multiple * typical_s);
+    return std::clamp<duration>(timeout, min_timeout, settings.stall_timeout);
 }
 
 time_point request_core::state::next_wake_time(const request_row& row) const
