--- a/routing/request_history_test.cc
+++ b/routing/request_history_test.cc
@@ -13,34 +13,34 @@
 constexpr int callers_in_history = 60;
 
 /// Schedules calls of all kinds over 10 s; every key is used about three times, at random nodes.
-void add_random_calls(history_simulation& simulation, random_source& random, int nodes)
+void add_random_calls(history_simulation& world, random_source& random, int nodes)
 {
     for (int caller = 0; caller < callers_in_history; ++caller) {
         const duration at = std::chrono::milliseconds{random.between(0, 10'000)};
         const int node = static_cast<int>(random.index(static_cast<std::size_t>(nodes)));
         const std::size_t kind = random.index(6);
         if (kind == 0) {
-            simulation.call(at, node, "/once", "", "b");
+            world.call(at, node, "/once", "", "b");
             continue;
         }
         if (kind == 1) {
-            simulation.call(at, node, "/read", "", "b");
+            world.call(at, node, "/read", "", "b");
             continue;
         }
         const std::string key = "key-" + std::to_string(random.index(12));
         const std::string body = random.chance(0.9) ? "b" : "another";
-        simulation.call(at, node, "/orders", key, body);
+        world.call(at, node, "/orders", key, body);
     }
 }
 
-void check(const history_simulation& simulation, std::uint64_t seed)
+void check(const history_simulation& world, std::uint64_t seed)
 {
-    for (const auto& [key, runs] : simulation.executions_by_key)
+    for (const auto& [key, runs] : world.executions_by_key)
         cr_assert_leq(runs, 1, "seed %lu: %s ran %d times", seed, key.c_str(), runs);
-    for (std::size_t number = 0; number < simulation.callers.size(); ++number) {
-        const caller_record& caller = simulation.callers[number];
-        const auto found = simulation.executions_by_caller.find(number);
-        const int runs = found == simulation.executions_by_caller.end() ? 0 : found->second;
+    for (std::size_t number = 0; number < world.callers.size(); ++number) {
+        const caller_record& caller = world.callers[number];
+        const auto found = world.executions_by_caller.find(number);
+        const int runs = found == world.executions_by_caller.end() ? 0 : found->second;
         if (caller.node_died)
             cr_assert_eq(caller.finals, 0, "seed %lu: an answer from a node that died", seed);
         else
@@ -57,7 +57,7 @@
         }
         if (caller.replayed) {
             cr_assert_eq(runs, 0, "seed %lu: replayed and executed", seed);
-            cr_assert(simulation.answer_by_key.at(caller.key) == caller.answer,
+            cr_assert(world.answer_by_key.at(caller.key) == caller.answer,
                       "seed %lu: replay differs from what ran", seed);
             cr_assert(caller.answer.starts_with("answer to " + caller.body),
                       "seed %lu: replay for another body", seed);
@@ -70,14 +70,14 @@
 {
     std::size_t completed = 0;
     for (std::uint64_t seed = 1; seed <= count; ++seed) {
-        history_simulation simulation{seed, faults, nodes};
+        history_simulation world{seed, faults, nodes};
         random_source random{seed + 1'000};
-        add_random_calls(simulation, random, nodes);
+        add_random_calls(world, random, nodes);
         if (with_store_outage)
-            simulation.store_outage(3s, 6s);
-        simulation.run(60s);
-        check(simulation, seed);
-        for (const caller_record& caller : simulation.callers)
+            world.store_outage(3s, 6s);
+        world.run(60s);
+        check(world, seed);
+        for (const caller_record& caller : world.callers)
             completed += caller.completed ? 1 : 0;
     }
     // Without completed calls the checks would prove nothing.
