--- a/config/config_service.cc
+++ b/config/config_service.cc
@@ -129,7 +129,7 @@
         // Confirmations are gossiped sparingly; whoever waits for some asks for them.
         if (unheard.size() > nodes_asked_at_once)
             unheard.resize(nodes_asked_at_once);
-        m_peers.ask(unheard);
+        m_peers.ping_nodes(unheard);
         return out;
     }
 
--- a/config/spread_test.cc
+++ b/config/spread_test.cc
@@ -311,8 +311,8 @@
         const auto fleet = settled_fleet(seed, 15, 3);
         random_source& random = fleet->net.random;
         fleet->net.loss = 0.03;
-        fleet->net.doubled = 0.05;
-        fleet->net.most_delay = milliseconds{60};
+        fleet->net.duplication = 0.05;
+        fleet->net.max_delay = milliseconds{60};
         std::int64_t newest = 1;
         std::string cut_domain;
         std::uint64_t boot = 1;
--- a/config/test_fleet.h
+++ b/config/test_fleet.h
@@ -63,7 +63,7 @@
         node.link->on_command = [this, &node](const membership_command& command) {
             if (const auto* message = std::get_if<config_message>(&command))
                 run(node, node.spread->peer_spoke(net.now, *message));
-            if (const auto* news = std::get_if<rumor_heard>(&command)) {
+            if (const auto* news = std::get_if<rumor_received>(&command)) {
                 if (const auto* told = std::get_if<confirmation>(&news->item))
                     run(node, node.spread->peer_confirmed(net.now, *told));
             }
--- a/daemon/formation_driver.cc
+++ b/daemon/formation_driver.cc
@@ -213,7 +213,7 @@
             if (asked.size() >= most_asked)
                 break;
             asked.insert(one.node);
-            peers.send_server(one.node, server_question{wanted.vm, wanted.address});
+            peers.send_server_message(one.node, server_question{wanted.vm, wanted.address});
         }
         if (asked.empty())
             m_asked.erase(wanted.vm);
@@ -230,7 +230,7 @@
     {
         for (const member& one : peers.members()) {
             if (one.node != settings.node && one.live())
-                peers.send_server(one.node, wanted.word);
+                peers.send_server_message(one.node, wanted.word);
         }
         install_word(wanted.word);
     }
@@ -250,7 +250,7 @@
             answers = co_await orders.answers(asked.address, probe_timeout);
         }
         if (!stopped)
-            peers.send_server(from, server_answer{asked.vm, answers});
+            peers.send_server_message(from, server_answer{asked.vm, answers});
     }
 
     net::awaitable<void> transact(failure_domain_id domain, groups::kv_call wanted)
@@ -327,7 +327,7 @@
 {
     m_impl->traffic = !settings.first_start;
     m_impl->start();
-    peers.on_servers([weak = std::weak_ptr{m_impl}](const server_message& message) {
+    peers.on_server_message([weak = std::weak_ptr{m_impl}](const server_message& message) {
         if (const auto self = weak.lock())
             self->take_message(message);
     });
--- a/daemon/group_driver.cc
+++ b/daemon/group_driver.cc
@@ -101,7 +101,7 @@
 
 void group_driver::take_notice(const key_notice& heard)
 {
-    m_impl->records->noticed(heard);
+    m_impl->records->notice_received(heard);
 }
 
 void group_driver::take_ticket(const ticket_digest& heard)
--- a/daemon/key_relay_driver.cc
+++ b/daemon/key_relay_driver.cc
@@ -16,9 +16,10 @@
     carry_out(m_core.tick(runtime_clock::now()));
 }
 
-void key_relay_driver::learned(const kv_entry& entry)
+void key_relay_driver::key_changed(const kv_entry& entry)
 {
-    carry_out(m_core.learned(runtime_clock::now(), {entry.key, entry.mod_revision, entry.value}));
+    carry_out(
+        m_core.key_changed(runtime_clock::now(), {entry.key, entry.mod_revision, entry.value}));
 }
 
 void key_relay_driver::read(const kv_entry& entry)
@@ -31,14 +32,14 @@
     carry_out(m_core.push(store_age));
 }
 
-void key_relay_driver::noticed(const key_notice& notice)
+void key_relay_driver::notice_received(const key_notice& notice)
 {
-    carry_out(m_core.noticed(runtime_clock::now(), notice));
+    carry_out(m_core.notice_received(runtime_clock::now(), notice));
 }
 
-void key_relay_driver::heard(const key_message& message)
+void key_relay_driver::message_received(const key_message& message)
 {
-    carry_out(m_core.heard(runtime_clock::now(), message));
+    carry_out(m_core.message_received(runtime_clock::now(), message));
 }
 
 void key_relay_driver::members_changed()
@@ -70,7 +71,7 @@
         m_hooks.on_watch();
 }
 
-void key_relay_driver::carry_out(const tell_keys& order)
+void key_relay_driver::carry_out(const send_key_message& order)
 {
     m_peers.send_keys(order.to, order.body);
 }
@@ -80,7 +81,7 @@
     m_peers.publish(order.notice);
 }
 
-void key_relay_driver::carry_out(const take_key& order)
+void key_relay_driver::carry_out(const key_updated& order)
 {
     kv_entry entry;
     entry.key = order.entry.key;
--- a/daemon/key_relay_driver.h
+++ b/daemon/key_relay_driver.h
@@ -41,15 +41,15 @@
     key_relay_driver& operator=(const key_relay_driver&) = delete;
 
     void tick();
-    void learned(const kv_entry& entry);
+    void key_changed(const kv_entry& entry);
     /// One of everything that the platform has, which the others most likely have too.
     void read(const kv_entry& entry);
     /// Tells the own failure domain at once what was learned since the last push, or that nothing
     /// was, and that the platform answered `store_age` ago.
     void push(duration store_age);
     void stop_pushing() { m_core.stop_pushing(); }
-    void noticed(const key_notice& notice);
-    void heard(const key_message& message);
+    void notice_received(const key_notice& notice);
+    void message_received(const key_message& message);
     [[nodiscard]] bool watching() const { return m_core.watching(); }
     [[nodiscard]] const std::map<std::string, relayed_key>& keys() const { return m_core.keys(); }
 
@@ -57,9 +57,9 @@
     void members_changed();
     void carry_out(const key_relay_commands& commands);
     void carry_out(const watch_keys& order);
-    void carry_out(const tell_keys& order);
+    void carry_out(const send_key_message& order);
     void carry_out(const announce_key& order);
-    void carry_out(const take_key& order);
+    void carry_out(const key_updated& order);
     void carry_out(const neighbour_fresh& order);
 
     const daemon_settings& m_settings;
--- a/daemon/outage_inquiry.cc
+++ b/daemon/outage_inquiry.cc
@@ -75,7 +75,7 @@
         if (node == m_settings.node)
             continue;
         begun.silent.insert(node);
-        m_peers.send_server(node, store_question{domain, begun.number});
+        m_peers.send_server_message(node, store_question{domain, begun.number});
     }
     if (begun.silent.empty())
         m_hooks.on_confirmed(domain, begun.asked);
@@ -109,7 +109,8 @@
         m_conceded = runtime_clock::now();
         m_hooks.on_conceded(to.question.domain);
     }
-    m_peers.send_server(to.node, store_answer{to.question.domain, to.question.round, reached});
+    m_peers.send_server_message(to.node,
+                                store_answer{to.question.domain, to.question.round, reached});
 }
 
 void outage_inquiry::begin_check()
--- a/daemon/record_feed.cc
+++ b/daemon/record_feed.cc
@@ -60,7 +60,7 @@
     void learn(const kv_entry& record)
     {
         if (groups::is_record_key(settings.deployment, record.key))
-            relay.learned(record);
+            relay.key_changed(record);
     }
 
     net::io_context& io;
@@ -107,7 +107,7 @@
 {
     peers.on_keys([weak = std::weak_ptr{m_impl}](const key_message& message) {
         if (const auto self = weak.lock(); self && !self->stopped)
-            self->relay.heard(message);
+            self->relay.message_received(message);
     });
 }
 
@@ -131,9 +131,9 @@
     m_impl->relay.tick();
 }
 
-void record_feed::noticed(const key_notice& notice)
+void record_feed::notice_received(const key_notice& notice)
 {
-    m_impl->relay.noticed(notice);
+    m_impl->relay.notice_received(notice);
 }
 
 void record_feed::written(const kv_entry& record)
--- a/daemon/record_feed.h
+++ b/daemon/record_feed.h
@@ -35,7 +35,7 @@
     void start();
     void stop();
     void tick();
-    void noticed(const key_notice& notice);
+    void notice_received(const key_notice& notice);
     void written(const kv_entry& record);
 
 private:
--- a/daemon/registry_daemon.cc
+++ b/daemon/registry_daemon.cc
@@ -94,7 +94,7 @@
              [this] { return metrics_page(); }, runtime_clock::now()}});
         peers->on_rumor([this](const rumor& heard) {
             if (const auto* newer = std::get_if<key_notice>(&heard))
-                feed->noticed(*newer);
+                feed->notice_received(*newer);
             if (const auto* limit = std::get_if<server_limit>(&heard))
                 requests->handle(limit_told{vm_id{limit->server}, limit->per_second, limit->age});
         });
--- a/daemon/registry_feed.cc
+++ b/daemon/registry_feed.cc
@@ -130,7 +130,7 @@
         given.on_key = [this](const kv_entry& entry) { take(entry); };
         given.on_watch = [this] { m_pause.cancel(); };
         given.on_fresh = [this](const node_id& from, duration store_age) {
-            m_followers.told(from, store_age, runtime_clock::now());
+            m_followers.push_received(from, store_age, runtime_clock::now());
             if (store_age < outage)
                 regained();
         };
@@ -144,17 +144,17 @@
     [[nodiscard]] watch_pace pace() const
     {
         const time_point now = runtime_clock::now();
-        const bool relied_upon = m_followers.relied_upon();
-        if (m_first_start && !relied_upon && now - m_started < start_span)
+        const bool has_dependents = m_followers.has_dependents();
+        if (m_first_start && !has_dependents && now - m_started < start_span)
             return start_pace;
-        if (!relied_upon)
+        if (!has_dependents)
             return own_pace;
-        return m_followers.first_fresh(now) ? first_pace : second_pace;
+        return m_followers.is_first_fresh(now) ? first_pace : second_pace;
     }
 
     [[nodiscard]] bool should_watch()
     {
-        return !m_read_once || !m_shares_watches || m_followers.due(runtime_clock::now());
+        return !m_read_once || !m_shares_watches || m_followers.should_follow(runtime_clock::now());
     }
 
     void push()
@@ -165,10 +165,10 @@
     }
 
     /// The store has answered, and what it said has been learned.
-    void answered()
+    void store_answered()
     {
         m_watched = runtime_clock::now();
-        m_followers.answered(m_watched);
+        m_followers.store_answered(m_watched);
     }
 
     /// True if the store answered.
@@ -192,7 +192,7 @@
         if (stopped)
             co_return false;
         if (!read) {
-            lost(read.error());
+            store_failed(read.error());
             co_return false;
         }
         log_event(log_level::info, "store_read",
@@ -213,7 +213,7 @@
         relay.stop_pushing(); // the neighbours compare before they count on the next push
         m_revision = read.value().revision;
         m_read_once = true;
-        answered();
+        store_answered();
         set_current(true);
         end_batch();
         push();
@@ -227,7 +227,7 @@
         result<kv_watch> watch =
             co_await kv.watch(std::string{platform::watched_prefix()}, m_revision + 1);
         if (!watch) {
-            lost(watch.error());
+            store_failed(watch.error());
             co_return false;
         }
         const time_point begun = runtime_clock::now();
@@ -244,7 +244,7 @@
                 if (batch.error().kind == error_kind::not_found)
                     m_revision = 0; // that history is gone: read everything anew
                 else
-                    lost(batch.error());
+                    store_failed(batch.error());
                 // One that ends again and again soon after its first answer must not be begun anew
                 // at once.
                 co_return m_revision == 0 || runtime_clock::now() - begun >= longest_pause;
@@ -255,12 +255,12 @@
             regained();
             for (const kv_event& event : batch.value().events) {
                 if (event.deleted)
-                    relay.learned(gone(event.entry.key, event.entry.mod_revision));
+                    relay.key_changed(gone(event.entry.key, event.entry.mod_revision));
                 else
-                    relay.learned(event.entry);
+                    relay.key_changed(event.entry);
             }
             m_revision = std::max(m_revision, batch.value().revision);
-            answered();
+            store_answered();
             set_current(true);
             end_batch();
             push();
@@ -288,14 +288,14 @@
         return made;
     }
 
-    void lost(const error& why)
+    void store_failed(const error& why)
     {
         if (!m_lost_since) {
             m_lost_since = runtime_clock::now();
             log_event(log_level::warning, "store_lost",
                       {{"reason", why.message}, {"revision", m_revision}});
         }
-        m_followers.lost(runtime_clock::now());
+        m_followers.store_failed(runtime_clock::now());
         set_current(false);
     }
 
@@ -408,7 +408,7 @@
         const auto self = weak.lock();
         if (!self || self->stopped)
             return;
-        self->relay.heard(message);
+        self->relay.message_received(message);
         self->end_batch();
     });
 }
@@ -433,9 +433,9 @@
     m_impl->tick();
 }
 
-void registry_feed::noticed(const key_notice& notice)
+void registry_feed::notice_received(const key_notice& notice)
 {
-    m_impl->relay.noticed(notice);
+    m_impl->relay.notice_received(notice);
 }
 
 bool registry_feed::current() const
--- a/daemon/registry_feed.h
+++ b/daemon/registry_feed.h
@@ -50,7 +50,7 @@
     void start();
     void stop();
     void tick();
-    void noticed(const key_notice& notice);
+    void notice_received(const key_notice& notice);
     [[nodiscard]] bool current() const;
 
 private:
--- a/peers/frame.cc
+++ b/peers/frame.cc
@@ -17,7 +17,7 @@
 using apache::thrift::transport::TMemoryBuffer;
 using compact_protocol = TCompactProtocolT<TMemoryBuffer>;
 
-error broken_frame(std::string what)
+error invalid_frame(std::string what)
 {
     return {error_kind::protocol, "peer frame refused: " + std::move(what),
             "see that every node runs a version that can talk to the others"};
@@ -63,9 +63,9 @@
 result<wire::frame> decode_frame(std::string_view bytes)
 {
     if (bytes.empty())
-        return broken_frame("empty");
+        return invalid_frame("empty");
     if (bytes.size() > max_frame_bytes)
-        return broken_frame("longer than " + std::to_string(max_frame_bytes) + " bytes");
+        return invalid_frame("longer than " + std::to_string(max_frame_bytes) + " bytes");
     try {
         const auto limits = std::make_shared<TConfiguration>(static_cast<int>(max_frame_bytes));
         // Thrift reads from a buffer that it takes to be writable, though OBSERVE never writes.
@@ -77,13 +77,13 @@
         wire::frame frame;
         frame.read(&protocol);
         if (buffer->available_read() != 0)
-            return broken_frame("bytes after its end");
+            return invalid_frame("bytes after its end");
         if (frame.sender.empty() || !names_fit(frame))
-            return broken_frame("a name is empty or too long");
+            return invalid_frame("a name is empty or too long");
         return frame;
     }
     catch (const apache::thrift::TException& failure) {
-        return broken_frame(failure.what());
+        return invalid_frame(failure.what());
     }
 }
 
--- a/peers/key_relay.cc
+++ b/peers/key_relay.cc
@@ -18,13 +18,13 @@
 
 namespace {
 
-constexpr std::size_t ask_a_watcher_each = 3;
+constexpr std::size_t requests_per_watcher_request = 3;
 /// After so many the comparisons alone go on: what nobody has (a notice whose origin died before it
 /// told the value, or a forged one) must not be asked for for ever.
-constexpr std::size_t most_in_vain = 12;
+constexpr std::size_t max_failed_requests = 12;
 constexpr std::size_t entry_overhead = 16; ///< of an entry in a frame, bytes, about
 
-std::vector<node_id> without(const std::vector<node_id>& nodes, const node_id& self)
+std::vector<node_id> all_except(const std::vector<node_id>& nodes, const node_id& self)
 {
     std::vector<node_id> others;
     std::copy_if(nodes.begin(), nodes.end(), std::back_inserter(others),
@@ -53,10 +53,10 @@
         if (watcher != m_settings.self)
             m_watchers.push_back(watcher);
     }
-    m_neighbours = without(own_domain, m_settings.self);
+    m_neighbours = all_except(own_domain, m_settings.self);
     m_peers = m_neighbours;
     if (m_peers.empty())
-        m_peers = without(all, m_settings.self);
+        m_peers = all_except(all, m_settings.self);
     key_relay_commands out;
     if (chosen != m_watching) {
         m_watching = chosen;
@@ -71,26 +71,27 @@
     if (m_peers.empty())
         return out;
     if (now >= m_next_sync) {
-        const duration wait = m_synced ? m_settings.sync_interval : m_settings.start_interval;
+        const duration wait =
+            m_synced ? m_settings.sync_interval : m_settings.initial_sync_interval;
         // Spread over half to one and a half, so that nodes started together don't ask together.
         const duration jitter{m_random.between(-wait.count() / 2, wait.count() / 2)};
         m_next_sync = now + wait + jitter;
-        ask(now, true, out);
+        send_request(now, true, out);
     }
-    else if (!m_behind.empty() && now >= m_ask_again) {
-        ask(now, false, out);
-        if (m_asked_in_vain >= most_in_vain)
-            m_behind.clear();
+    else if (!m_missing.empty() && now >= m_next_request) {
+        send_request(now, false, out);
+        if (m_failed_requests >= max_failed_requests)
+            m_missing.clear();
     }
     return out;
 }
 
-key_relay_commands key_relay_core::learned(time_point /*now*/, const relayed_key& entry)
+key_relay_commands key_relay_core::key_changed(time_point /*now*/, const relayed_key& entry)
 {
     key_relay_commands out;
     m_synced = true;
-    if (take(entry, out)) {
-        m_untold.insert(entry.key);
+    if (update_if_newer(entry, out)) {
+        m_unpushed.insert(entry.key);
         out.emplace_back(announce_key{{wire_key(entry.key), entry.revision, duration{0}}});
     }
     return out;
@@ -100,7 +101,7 @@
 {
     key_relay_commands out;
     m_synced = true;
-    take(entry, out);
+    update_if_newer(entry, out);
     return out;
 }
 
@@ -111,10 +112,10 @@
     // Split by size, so that the first reading of everything fits into frames.
     std::vector<key_reply> parts(1);
     std::size_t bytes = 0;
-    for (const std::string& key : std::exchange(m_untold, {})) {
+    for (const std::string& key : std::exchange(m_unpushed, {})) {
         const relayed_key& entry = m_keys.at(key);
         const std::size_t size = entry.key.size() + entry.value.size() + entry_overhead;
-        if (bytes + size > m_settings.reply_bytes && !parts.back().entries.empty()) {
+        if (bytes + size > m_settings.max_reply_bytes && !parts.back().entries.empty()) {
             parts.emplace_back();
             bytes = 0;
         }
@@ -126,7 +127,7 @@
     parts.back().store_age = store_age;
     for (const node_id& neighbour : m_neighbours) {
         for (const key_reply& part : parts)
-            out.emplace_back(tell_keys{neighbour, part});
+            out.emplace_back(send_key_message{neighbour, part});
     }
     return out;
 }
@@ -134,34 +135,34 @@
 void key_relay_core::stop_pushing()
 {
     m_pushing = false;
-    m_untold.clear();
+    m_unpushed.clear();
     ++m_push_number; // what was learned meanwhile is missing
 }
 
-key_relay_commands key_relay_core::noticed(time_point now, const key_notice& notice)
+key_relay_commands key_relay_core::notice_received(time_point now, const key_notice& notice)
 {
     key_relay_commands out;
     const relayed_key* held = find(notice.key);
     if (held != nullptr && held->revision >= notice.revision)
         return out;
-    if (m_behind.size() >= m_settings.most_keys)
+    if (m_missing.size() >= m_settings.max_keys)
         return out;
-    const bool first = m_behind.empty();
-    std::int64_t& wanted = m_behind[notice.key];
+    const bool first = m_missing.empty();
+    std::int64_t& wanted = m_missing[notice.key];
     wanted = std::max(wanted, notice.revision);
     if (first) {
         // A moment's wait gathers notices that come together, and lets the peer asked get them too.
-        m_asked_in_vain = 0;
-        m_ask_again = now + m_settings.ask_wait / 4;
+        m_failed_requests = 0;
+        m_next_request = now + m_settings.request_timeout / 4;
     }
     return out;
 }
 
-key_relay_commands key_relay_core::heard(time_point now, const key_message& message)
+key_relay_commands key_relay_core::message_received(time_point now, const key_message& message)
 {
     key_relay_commands out;
     if (const auto* asked = std::get_if<key_request>(&message.body)) {
-        answer(now, message.from, *asked, out);
+        handle_request(now, message.from, *asked, out);
         return out;
     }
     m_synced = true;
@@ -169,62 +170,62 @@
     std::size_t bytes = 0;
     for (const relayed_key& entry : reply.entries) {
         bytes += entry.key.size() + entry.value.size() + entry_overhead;
-        const bool news = take(entry, out);
+        const bool changed = update_if_newer(entry, out);
         // The neighbours may not have heard of it, not even of a push: its sender may not know all
         // of them. Told by the platform afterwards it would be no news here.
-        if (news && m_pushing)
-            m_untold.insert(entry.key);
+        if (changed && m_pushing)
+            m_unpushed.insert(entry.key);
     }
     if (reply.push_number)
-        take_push(now, message.from, reply, out);
-    else if (reply.complete && m_pushers.contains(message.from))
-        m_pushers[message.from].complete = true;
+        handle_push(now, message.from, reply, out);
+    else if (reply.complete && m_push_sources.contains(message.from))
+        m_push_sources[message.from].complete = true;
     // A reply that is nearly as large as it may be had no room for the rest.
-    if (bytes > m_settings.reply_bytes / 2)
-        m_next_sync = std::min(m_next_sync, now + m_settings.ask_wait);
+    if (bytes > m_settings.max_reply_bytes / 2)
+        m_next_sync = std::min(m_next_sync, now + m_settings.request_timeout);
     if (!reply.entries.empty()) {
-        m_asked_in_vain = 0;
-        m_ask_again = now; // what the reply had no room for is asked for at the next tick
+        m_failed_requests = 0;
+        m_next_request = now; // what the reply had no room for is asked for at the next tick
     }
     return out;
 }
 
 /// A push that was lost took its entries with it, and those after it say nothing of them. So unless
 /// the numbers follow one another, the neighbour counts as fresh only after a comparison with it.
-void key_relay_core::take_push(time_point now, const node_id& from, const key_reply& push,
-                               key_relay_commands& out)
+void key_relay_core::handle_push(time_point now, const node_id& from, const key_reply& push,
+                                 key_relay_commands& out)
 {
-    pusher& known = m_pushers[from];
+    push_source& known = m_push_sources[from];
     const bool next = known.number != 0 && *push.push_number == known.number + 1;
     known.number = *push.push_number;
     known.complete = known.complete && next;
-    if (!known.complete && now - known.asked >= m_settings.ask_wait) {
+    if (!known.complete && now - known.asked >= m_settings.request_timeout) {
         known.asked = now;
-        out.emplace_back(tell_keys{from, key_request{this->known(), {}}});
+        out.emplace_back(send_key_message{from, key_request{this->known(), {}}});
     }
     if (known.complete && push.store_age)
         out.emplace_back(neighbour_fresh{from, *push.store_age});
 }
 
-bool key_relay_core::take(const relayed_key& entry, key_relay_commands& out)
+bool key_relay_core::update_if_newer(const relayed_key& entry, key_relay_commands& out)
 {
     const auto found = m_keys.find(entry.key);
     if (found != m_keys.end() && found->second.revision >= entry.revision)
         return false;
-    if (found == m_keys.end() && m_keys.size() >= m_settings.most_keys)
+    if (found == m_keys.end() && m_keys.size() >= m_settings.max_keys)
         return false;
     const std::uint32_t wire = wire_key(entry.key);
     m_keys[entry.key] = entry;
     m_names[wire] = entry.key;
-    const auto behind = m_behind.find(wire);
-    if (behind != m_behind.end() && behind->second <= entry.revision)
-        m_behind.erase(behind);
-    out.emplace_back(take_key{entry});
+    const auto missing = m_missing.find(wire);
+    if (missing != m_missing.end() && missing->second <= entry.revision)
+        m_missing.erase(missing);
+    out.emplace_back(key_updated{entry});
     return true;
 }
 
-void key_relay_core::answer(time_point now, const node_id& to, const key_request& asked,
-                            key_relay_commands& out)
+void key_relay_core::handle_request(time_point now, const node_id& to, const key_request& asked,
+                                    key_relay_commands& out)
 {
     std::map<std::uint32_t, std::int64_t> theirs;
     for (const known_key& item : asked.known)
@@ -240,7 +241,7 @@
         if (!newer || (!wanted.empty() && !wanted.contains(wire)))
             continue;
         const std::size_t size = name.size() + entry.value.size() + entry_overhead;
-        if (!reply.entries.empty() && bytes + size > m_settings.reply_bytes) {
+        if (!reply.entries.empty() && bytes + size > m_settings.max_reply_bytes) {
             reply.complete = false; // the rest is asked for again
             break;
         }
@@ -248,28 +249,29 @@
         reply.entries.push_back(entry);
     }
     // An empty reply is sent too: it tells a node that has just started that nothing is missing.
-    if (may_reply(now, bytes))
-        out.emplace_back(tell_keys{to, std::move(reply)});
+    if (consume_reply_budget(now, bytes))
+        out.emplace_back(send_key_message{to, std::move(reply)});
 }
 
-void key_relay_core::ask(time_point now, bool everything, key_relay_commands& out)
+void key_relay_core::send_request(time_point now, bool everything, key_relay_commands& out)
 {
     key_request request;
     if (everything)
         request.known = known();
     else {
-        for (const auto& [wire, revision] : m_behind) {
+        for (const auto& [wire, revision] : m_missing) {
             const relayed_key* held = find(wire);
             request.wanted.push_back(wire);
             if (held != nullptr)
                 request.known.push_back({wire, held->revision});
         }
     }
-    const bool watcher = m_asked_in_vain % ask_a_watcher_each == ask_a_watcher_each - 1;
+    const bool watcher =
+        m_failed_requests % requests_per_watcher_request == requests_per_watcher_request - 1;
     const std::vector<node_id>& among = watcher && !m_watchers.empty() ? m_watchers : m_peers;
-    ++m_asked_in_vain;
-    m_ask_again = now + m_settings.ask_wait;
-    out.emplace_back(tell_keys{among[m_random.index(among.size())], std::move(request)});
+    ++m_failed_requests;
+    m_next_request = now + m_settings.request_timeout;
+    out.emplace_back(send_key_message{among[m_random.index(among.size())], std::move(request)});
 }
 
 std::vector<known_key> key_relay_core::known() const
@@ -287,14 +289,15 @@
     return name == m_names.end() ? nullptr : &m_keys.at(name->second);
 }
 
-bool key_relay_core::may_reply(time_point now, std::size_t bytes)
+bool key_relay_core::consume_reply_budget(time_point now, std::size_t bytes)
 {
-    const double burst = m_settings.reply_bytes_s + static_cast<double>(m_settings.reply_bytes);
+    const double burst =
+        m_settings.max_reply_bytes_s + static_cast<double>(m_settings.max_reply_bytes);
     if (!m_refilled)
         m_reply_tokens = burst;
     else {
         const double seconds = std::chrono::duration<double>(now - *m_refilled).count();
-        m_reply_tokens = std::min(burst, m_reply_tokens + seconds * m_settings.reply_bytes_s);
+        m_reply_tokens = std::min(burst, m_reply_tokens + seconds * m_settings.max_reply_bytes_s);
     }
     m_refilled = now;
     if (m_reply_tokens < static_cast<double>(bytes))
--- a/peers/key_relay_test.cc
+++ b/peers/key_relay_test.cc
@@ -20,7 +20,7 @@
     std::size_t sent = 0; ///< messages
 };
 
-struct flight {
+struct in_flight_message {
     node_id to;
     key_message message;
 };
@@ -64,11 +64,11 @@
     void write(const std::string& key, std::int64_t revision, const std::string& more = "")
     {
         m_platform[key] = {key, revision, key + "@" + std::to_string(revision) + more};
-        if (platform_dark)
+        if (platform_unreachable)
             return;
         for (node& each : m_nodes) {
             if (each.up && each.core.watching())
-                run(each, each.core.learned(m_now, m_platform[key]));
+                run(each, each.core.key_changed(m_now, m_platform[key]));
         }
     }
 
@@ -100,29 +100,29 @@
     std::vector<node>& nodes() { return m_nodes; }
 
     double loss = 0.0;
-    bool platform_dark = false;
-    std::string cut_off; ///< a domain whose messages to others are lost
-    bool went_back = false;
+    bool platform_unreachable = false;
+    std::string partitioned_domain; ///< a domain whose messages to others are lost
+    bool revision_decreased = false;
 
 private:
     void run(node& from, const key_relay_commands& commands)
     {
         for (const key_relay_command& command : commands) {
-            if (const auto* tell = std::get_if<tell_keys>(&command)) {
+            if (const auto* tell = std::get_if<send_key_message>(&command)) {
                 ++from.sent;
-                m_flights.push_back({tell->to, {from.name, tell->body}});
+                m_in_flight.push_back({tell->to, {from.name, tell->body}});
             }
             else if (const auto* told = std::get_if<announce_key>(&command))
                 announce(from, told->notice);
-            else if (const auto* taken = std::get_if<take_key>(&command)) {
+            else if (const auto* taken = std::get_if<key_updated>(&command)) {
                 std::int64_t& high = m_high[from.name][taken->entry.key];
-                went_back = went_back || taken->entry.revision <= high;
+                revision_decreased = revision_decreased || taken->entry.revision <= high;
                 high = taken->entry.revision;
             }
             else if (const auto* watch = std::get_if<watch_keys>(&command)) {
                 for (const auto& [key, entry] : m_platform) {
-                    if (watch->on && !platform_dark)
-                        run(from, from.core.learned(m_now, entry));
+                    if (watch->on && !platform_unreachable)
+                        run(from, from.core.key_changed(m_now, entry));
                 }
             }
         }
@@ -132,22 +132,22 @@
     {
         for (node& each : m_nodes) {
             if (each.up && each.name != from.name && !lost(from, each))
-                run(each, each.core.noticed(m_now, notice));
+                run(each, each.core.notice_received(m_now, notice));
         }
     }
 
     bool lost(const node& from, const node& to)
     {
-        const bool parted =
-            from.domain != to.domain && (from.domain == cut_off || to.domain == cut_off);
-        return parted || m_random.chance(loss);
+        const bool partitioned = from.domain != to.domain && (from.domain == partitioned_domain ||
+                                                              to.domain == partitioned_domain);
+        return partitioned || m_random.chance(loss);
     }
 
     void deliver()
     {
-        std::deque<flight> now;
-        now.swap(m_flights);
-        for (const flight& each : now) {
+        std::deque<in_flight_message> now;
+        now.swap(m_in_flight);
+        for (const in_flight_message& each : now) {
             const auto by_name = [&](const node_id& name) {
                 return std::find_if(m_nodes.begin(), m_nodes.end(),
                                     [&](const node& one) { return one.name == name; });
@@ -155,21 +155,21 @@
             const auto from = by_name(each.message.from);
             const auto to = by_name(each.to);
             if (to->up && !lost(*from, *to))
-                run(*to, to->core.heard(m_now, each.message));
+                run(*to, to->core.message_received(m_now, each.message));
         }
     }
 
     random_source m_random;
     time_point m_now{std::chrono::seconds{100}};
     std::vector<node> m_nodes;
-    std::deque<flight> m_flights;
+    std::deque<in_flight_message> m_in_flight;
     std::map<std::string, relayed_key> m_platform;
     std::map<node_id, std::map<std::string, std::int64_t>> m_high;
 };
 
 } // namespace
 
-Test(key_relay, two_nodes_of_each_domain_watch_however_large_it_is)
+Test(key_relay, two_nodes_of_each_domain_watch_at_any_size)
 {
     for (const std::size_t nodes : {2U, 4U, 12U, 60U, 410U}) {
         network net{nodes, 2, 1};
@@ -179,7 +179,7 @@
     }
 }
 
-Test(key_relay, a_value_reaches_everyone_within_two_seconds_though_messages_are_lost)
+Test(key_relay, a_value_reaches_most_nodes_within_two_seconds_despite_message_loss)
 {
     for (std::uint64_t seed = 0; seed < 20; ++seed) {
         network net{40, 4, seed};
@@ -201,13 +201,13 @@
 // The platform is down for an hour, and an entry VM is replaced meanwhile. Its callers would find
 // no group though all groups serve, since the fresh node could read no record. It learns them from
 // a peer.
-Test(key_relay, a_node_started_while_the_platform_is_dark_learns_all_keys_from_a_peer)
+Test(key_relay, a_node_started_during_an_outage_gets_all_keys_from_a_peer)
 {
     network net{4, 3, 7};
     for (int i = 0; i < 30; ++i)
         net.write("r" + std::to_string(i), 10 + i);
     net.steps(30);
-    net.platform_dark = true;
+    net.platform_unreachable = true;
     net.nodes()[3].up = false;
     net.add("fresh", "d1");
     net.members_changed();
@@ -217,14 +217,14 @@
 
 // The same in a fleet of hundreds: what is known takes several replies. The fresh node had the rest
 // twenty seconds after the first, and forty.
-Test(key_relay, a_node_started_while_the_platform_is_dark_learns_a_thousand_keys_in_seconds)
+Test(key_relay, a_node_started_during_an_outage_gets_a_thousand_keys_within_five_seconds)
 {
     network net{24, 1, 7};
     for (int i = 0; i < 1'100; ++i)
         net.write("r" + std::to_string(i), 10 + i, std::string(600, 'v'));
     net.steps(1'000);
     cr_assert(net.everyone_has("r1099", 10 + 1'099));
-    net.platform_dark = true;
+    net.platform_unreachable = true;
     net.nodes()[3].up = false;
     net.add("fresh", "d0");
     net.members_changed();
@@ -233,7 +233,7 @@
 }
 
 // Both watchers of a domain die. The domain's other nodes take their places by themselves.
-Test(key_relay, watchers_that_die_are_replaced)
+Test(key_relay, dead_watchers_are_replaced)
 {
     network net{10, 1, 3};
     for (node& each : net.nodes()) {
@@ -248,24 +248,24 @@
 
 // A failure domain is cut off from the others; both sides learn new keys. When the cut heals each
 // side hears of the other's by comparison alone, as the rumors were lost.
-Test(key_relay, a_cut_domain_catches_up_without_rumors)
+Test(key_relay, a_partitioned_domain_catches_up_by_comparison)
 {
     network net{12, 3, 9};
     net.steps(10);
-    net.platform_dark = true;
-    net.cut_off = "d0";
+    net.platform_unreachable = true;
+    net.partitioned_domain = "d0";
     const auto in_domain = [&](const std::string& domain) -> node& {
         return *std::find_if(net.nodes().begin(), net.nodes().end(),
                              [&](const node& each) { return each.domain == domain; });
     };
-    (void)in_domain("d0").core.learned(time_point{std::chrono::seconds{200}}, {"a", 3, "v"});
+    (void)in_domain("d0").core.key_changed(time_point{std::chrono::seconds{200}}, {"a", 3, "v"});
     net.steps(1800); // three minutes: a comparison with one random peer each 20 s or so
     std::size_t have = 0;
     for (const node& each : net.nodes())
         have += each.core.keys().contains("a") ? 1 : 0;
     cr_assert_eq(have, 4, "%zu nodes of the cut-off domain have it", have);
-    net.cut_off.clear();
-    net.platform_dark = false;
+    net.partitioned_domain.clear();
+    net.platform_unreachable = false;
     net.write("a", 4);
     net.steps(20);
     cr_assert(net.everyone_has("a", 4));
@@ -273,12 +273,13 @@
 
 // A forged or orphaned notice names a revision that nobody has. Asking has to end, or each such
 // notice would cost every node two messages a second for ever.
-Test(key_relay, a_notice_of_what_nobody_has_is_given_up)
+Test(key_relay, requests_for_a_nonexistent_revision_end)
 {
     network net{4, 1, 11};
     net.steps(20);
     for (node& each : net.nodes())
-        (void)each.core.noticed(time_point{std::chrono::seconds{102}}, {wire_key("ghost"), 99, {}});
+        (void)each.core.notice_received(time_point{std::chrono::seconds{102}},
+                                        {wire_key("ghost"), 99, {}});
     std::size_t before = 0;
     for (const node& each : net.nodes())
         before += each.sent;
@@ -290,7 +291,7 @@
     cr_assert(after - before < 4 * (2 * 12 + 2 * 8), "%zu messages", after - before);
 }
 
-Test(key_relay, random_histories_never_go_back_and_end_the_same)
+Test(key_relay, random_histories_never_lower_revisions_and_converge)
 {
     for (std::uint64_t seed = 0; seed < 40; ++seed) {
         random_source random{seed};
@@ -298,8 +299,8 @@
         std::int64_t revision = 0;
         for (int step = 0; step < 300; ++step) {
             net.loss = random.chance(0.3) ? 0.5 : 0.0;
-            net.platform_dark = random.chance(0.2);
-            net.cut_off = random.chance(0.2) ? "d0" : "";
+            net.platform_unreachable = random.chance(0.2);
+            net.partitioned_domain = random.chance(0.2) ? "d0" : "";
             if (random.chance(0.1)) {
                 node& victim = net.nodes()[random.index(net.nodes().size())];
                 victim.up = !victim.up;
@@ -312,8 +313,8 @@
         for (node& each : net.nodes())
             each.up = true;
         net.loss = 0.0;
-        net.platform_dark = false;
-        net.cut_off.clear();
+        net.platform_unreachable = false;
+        net.partitioned_domain.clear();
         net.members_changed();
         for (int i = 0; i < 5; ++i)
             net.write("r" + std::to_string(i), ++revision);
@@ -321,7 +322,7 @@
         for (int i = 0; i < 5; ++i)
             cr_assert(net.everyone_has("r" + std::to_string(i), revision - 4 + i), "seed %lu",
                       seed);
-        cr_assert(!net.went_back, "seed %lu", seed);
+        cr_assert(!net.revision_decreased, "seed %lu", seed);
     }
 }
 
@@ -339,18 +340,18 @@
 }
 
 /// What is to be told to a node.
-std::vector<key_body> told_to(const std::string& name, const key_relay_commands& commands)
+std::vector<key_body> bodies_sent_to(const std::string& name, const key_relay_commands& commands)
 {
     std::vector<key_body> bodies;
     for (const key_relay_command& one : commands) {
-        const auto* order = std::get_if<tell_keys>(&one);
+        const auto* order = std::get_if<send_key_message>(&one);
         if (order != nullptr && order->to == node_id{name})
             bodies.push_back(order->body);
     }
     return bodies;
 }
 
-bool finds_fresh(const key_relay_commands& commands)
+bool reports_fresh_neighbour(const key_relay_commands& commands)
 {
     return std::any_of(commands.begin(), commands.end(), [](const key_relay_command& one) {
         return std::holds_alternative<neighbour_fresh>(one);
@@ -361,26 +362,27 @@
 
 // A watcher hears of a revoked key from a peer of another domain before the platform tells it. The
 // platform's word is no news to it then, and its neighbours never heard of the change.
-Test(key_relay, what_a_watcher_hears_from_peers_is_pushed_too)
+Test(key_relay, keys_received_from_peers_are_pushed_too)
 {
     const time_point now{std::chrono::hours{1}};
     key_relay_core watcher = core_of("n0");
     watcher.push({});
-    watcher.heard(now, {node_id{"far"}, key_reply{{{"config", 7, "v"}}, {}, {}, false}});
-    watcher.learned(now, {"config", 7, "v"});
+    watcher.message_received(now, {node_id{"far"}, key_reply{{{"config", 7, "v"}}, {}, {}, false}});
+    watcher.key_changed(now, {"config", 7, "v"});
     const auto told = [&] {
-        const std::vector<key_body> bodies = told_to("n1", watcher.push({}));
+        const std::vector<key_body> bodies = bodies_sent_to("n1", watcher.push({}));
         return std::get<key_reply>(bodies.at(0)).entries.size();
     };
     cr_assert_eq(told(), 1U);
-    watcher.heard(now, {node_id{"n2"}, key_reply{{{"config", 8, "v"}}, duration{0}, 1, false}});
+    watcher.message_received(
+        now, {node_id{"n2"}, key_reply{{{"config", 8, "v"}}, duration{0}, 1, false}});
     cr_assert_eq(told(), 1U, "the other watcher may not know of every neighbour");
     cr_assert_eq(told(), 0U);
 }
 
 // A fleet starts, and every node reads all entries. Were they pushed and announced, each node would
 // get them from both watchers once more, megabytes while it has most to do.
-Test(key_relay, a_reading_of_everything_is_compared_not_pushed)
+Test(key_relay, a_full_read_is_compared_not_pushed)
 {
     const time_point now{std::chrono::hours{1}};
     key_relay_core watcher = core_of("n0");
@@ -392,57 +394,60 @@
             other.read(entry);
     }
     watcher.stop_pushing();
-    const std::vector<key_body> pushed = told_to("n1", watcher.push({}));
+    const std::vector<key_body> pushed = bodies_sent_to("n1", watcher.push({}));
     cr_assert(std::get<key_reply>(pushed.at(0)).entries.empty());
-    const auto asked = told_to("n0", other.heard(now, {node_id{"n0"}, pushed.at(0)}));
-    const auto answer = told_to("n1", watcher.heard(now, {node_id{"n1"}, asked.at(0)}));
+    const auto asked =
+        bodies_sent_to("n0", other.message_received(now, {node_id{"n0"}, pushed.at(0)}));
+    const auto answer =
+        bodies_sent_to("n1", watcher.message_received(now, {node_id{"n1"}, asked.at(0)}));
     cr_assert_eq(std::get<key_reply>(answer.at(0)).entries.size(), 1U);
-    other.heard(now, {node_id{"n0"}, answer.at(0)});
+    other.message_received(now, {node_id{"n0"}, answer.at(0)});
     cr_assert(other.keys().contains("r42"));
 }
 
 // A connection is reset while a push is on its way. The next push has nothing new, and the
 // neighbour took it for proof that it had everything.
-Test(key_relay, after_a_lost_push_a_neighbour_is_fresh_only_once_compared)
+Test(key_relay, after_a_lost_push_a_neighbour_is_fresh_only_after_a_comparison)
 {
     time_point now{std::chrono::hours{1}};
     key_relay_core watcher = core_of("n0");
     key_relay_core other = core_of("n1");
     const auto carry = [&](const key_relay_commands& pushed) {
         key_relay_commands all;
-        for (const key_body& body : told_to("n1", pushed)) {
-            for (key_relay_command& one : other.heard(now, {node_id{"n0"}, body}))
+        for (const key_body& body : bodies_sent_to("n1", pushed)) {
+            for (key_relay_command& one : other.message_received(now, {node_id{"n0"}, body}))
                 all.push_back(std::move(one));
         }
         return all;
     };
     const auto compare = [&](const key_relay_commands& asked) {
-        const std::vector<key_body> request = told_to("n0", asked);
+        const std::vector<key_body> request = bodies_sent_to("n0", asked);
         cr_assert_eq(request.size(), 1U);
-        return carry(watcher.heard(now, {node_id{"n1"}, request.front()}));
+        return carry(watcher.message_received(now, {node_id{"n1"}, request.front()}));
     };
     const key_relay_commands first = carry(watcher.push({}));
-    cr_assert(!finds_fresh(first), "what came before its first push is not known");
+    cr_assert(!reports_fresh_neighbour(first), "what came before its first push is not known");
     compare(first);
-    cr_assert(finds_fresh(carry(watcher.push({}))));
+    cr_assert(reports_fresh_neighbour(carry(watcher.push({}))));
 
-    watcher.learned(now, {"config", 7, "v"});
+    watcher.key_changed(now, {"config", 7, "v"});
     watcher.push({}); // lost
     now += std::chrono::seconds{1};
     const key_relay_commands after = carry(watcher.push({}));
-    cr_assert(!finds_fresh(after));
+    cr_assert(!reports_fresh_neighbour(after));
     compare(after);
     cr_assert(other.keys().contains("config"));
-    cr_assert(finds_fresh(carry(watcher.push({}))));
+    cr_assert(reports_fresh_neighbour(carry(watcher.push({}))));
 
     watcher.stop_pushing();
     now += std::chrono::seconds{1};
-    cr_assert(!finds_fresh(carry(watcher.push({}))), "it may have missed something meanwhile");
+    cr_assert(!reports_fresh_neighbour(carry(watcher.push({}))),
+              "it may have missed something meanwhile");
 }
 
 // Two nodes of a domain watch the platform. The others must hear of each change at once, and of the
 // watchers being there when nothing changes, since they would watch themselves otherwise.
-Test(key_relay, a_push_tells_the_whole_domain_what_is_new_and_then_nothing)
+Test(key_relay, a_push_sends_each_change_to_the_domain_once)
 {
     key_relay_settings settings;
     settings.self = node_id{"n0"};
@@ -450,12 +455,12 @@
     const time_point now{std::chrono::hours{1}};
     watcher.members_changed({node_id{"n0"}, node_id{"n1"}, node_id{"n2"}},
                             {node_id{"n0"}, node_id{"n1"}, node_id{"n2"}, node_id{"far"}});
-    watcher.learned(now, {"key", 5, "value"});
+    watcher.key_changed(now, {"key", 5, "value"});
     const auto told = [](const key_relay_commands& commands) {
         std::size_t entries = 0;
         std::set<node_id> to;
         for (const key_relay_command& one : commands) {
-            const auto& order = std::get<tell_keys>(one);
+            const auto& order = std::get<send_key_message>(one);
             to.insert(order.to);
             entries += std::get<key_reply>(order.body).entries.size();
         }
--- a/peers/member_table.cc
+++ b/peers/member_table.cc
@@ -20,30 +20,30 @@
     return hash64(text);
 }
 
-bool supersedes(const member& heard, const member& known) noexcept
+bool supersedes(const member& reported, const member& known) noexcept
 {
-    return std::tie(heard.boot, heard.incarnation, heard.state) >
+    return std::tie(reported.boot, reported.incarnation, reported.state) >
            std::tie(known.boot, known.incarnation, known.state);
 }
 
-std::optional<member> member_table::merge(const member& heard, time_point now)
+std::optional<member> member_table::merge(const member& reported, time_point now)
 {
-    const auto found = m_rows.find(heard.node);
+    const auto found = m_rows.find(reported.node);
     if (found == m_rows.end()) {
-        if (m_rows.size() >= max_members && !make_room())
+        if (m_rows.size() >= max_members && !evict_oldest())
             return std::nullopt;
-        m_rows.emplace(heard.node, row{heard, now});
-        m_digest ^= member_hash(heard);
-        return heard;
+        m_rows.emplace(reported.node, row{reported, now});
+        m_digest ^= member_hash(reported);
+        return reported;
     }
-    row& held = found->second;
-    const bool left_for_good =
-        held.known.state == member_state::left && heard.boot == held.known.boot;
-    if (left_for_good || !supersedes(heard, held.known))
+    row& stored = found->second;
+    const bool already_left =
+        stored.known.state == member_state::left && reported.boot == stored.known.boot;
+    if (already_left || !supersedes(reported, stored.known))
         return std::nullopt;
-    m_digest ^= member_hash(held.known) ^ member_hash(heard);
-    held = {heard, now};
-    return heard;
+    m_digest ^= member_hash(stored.known) ^ member_hash(reported);
+    stored = {reported, now};
+    return reported;
 }
 
 const member* member_table::find(const node_id& node) const
@@ -56,34 +56,34 @@
 {
     std::vector<member> out;
     out.reserve(m_rows.size());
-    for (const auto& [node, held] : m_rows)
-        out.push_back(held.known);
+    for (const auto& [node, stored] : m_rows)
+        out.push_back(stored.known);
     return out;
 }
 
-std::vector<member> member_table::worth_telling(time_point now, duration age) const
+std::vector<member> member_table::live_or_recent(time_point now, duration age) const
 {
     std::vector<member> out;
-    for (const auto& [node, held] : m_rows) {
-        if (held.known.live() || now - held.changed < age)
-            out.push_back(held.known);
+    for (const auto& [node, stored] : m_rows) {
+        if (stored.known.live() || now - stored.changed < age)
+            out.push_back(stored.known);
     }
     return out;
 }
 
-void member_table::forget(time_point now, duration age)
+void member_table::remove_expired(time_point now, duration age)
 {
     std::erase_if(m_rows, [&](const auto& entry) {
         return !entry.second.known.live() && now - entry.second.changed >= age;
     });
 }
 
-std::vector<member> member_table::overdue_suspects(time_point now, duration age) const
+std::vector<member> member_table::expired_suspects(time_point now, duration age) const
 {
     std::vector<member> out;
-    for (const auto& [node, held] : m_rows) {
-        if (held.known.state == member_state::suspect && now - held.changed >= age)
-            out.push_back(held.known);
+    for (const auto& [node, stored] : m_rows) {
+        if (stored.known.state == member_state::suspect && now - stored.changed >= age)
+            out.push_back(stored.known);
     }
     return out;
 }
@@ -91,15 +91,15 @@
 std::vector<node_id> member_table::select(const std::function<bool(const member&)>& wanted) const
 {
     std::vector<node_id> out;
-    for (const auto& [node, held] : m_rows) {
-        if (wanted(held.known))
+    for (const auto& [node, stored] : m_rows) {
+        if (wanted(stored.known))
             out.push_back(node);
     }
     return out;
 }
 
 // A full table drops whoever has been gone longest; live members are never dropped.
-bool member_table::make_room()
+bool member_table::evict_oldest()
 {
     auto oldest = m_rows.end();
     for (auto entry = m_rows.begin(); entry != m_rows.end(); ++entry) {
--- a/peers/membership.cc
+++ b/peers/membership.cc
@@ -16,11 +16,11 @@
 
 constexpr std::size_t urgent_frame_bytes = 180;
 constexpr duration push_interval = std::chrono::milliseconds{100};
-constexpr duration young = std::chrono::seconds{30};
+constexpr duration startup_period = std::chrono::seconds{30};
 /// How fast the least delay may rise again, since two clocks drift apart: 200 parts per million.
-constexpr double drift = 2e-4;
-constexpr duration newcomer_memory = std::chrono::minutes{10};
-constexpr std::size_t most_seeds = 64;
+constexpr double max_clock_drift = 2e-4;
+constexpr duration sync_history = std::chrono::minutes{10};
+constexpr std::size_t max_seeds = 64;
 
 std::int64_t milliseconds_of(duration span)
 {
@@ -42,8 +42,8 @@
         if (!known && address != m_self.address)
             m_seeds.push_back(address);
     }
-    if (m_seeds.size() > most_seeds)
-        m_seeds.erase(m_seeds.begin(), m_seeds.end() - most_seeds);
+    if (m_seeds.size() > max_seeds)
+        m_seeds.erase(m_seeds.begin(), m_seeds.end() - max_seeds);
     m_next_seed = {};
 }
 
@@ -76,9 +76,9 @@
 {
     if (!to.node.value().empty())
         frame.__set_target(to.node.value());
-    const bool small = frame.kind != wire::frame_kind::sync_reply &&
-                       frame.kind != wire::frame_kind::config_reply &&
-                       frame.kind != wire::frame_kind::key_reply;
+    const bool carries_rumors = frame.kind != wire::frame_kind::sync_reply &&
+                                frame.kind != wire::frame_kind::config_reply &&
+                                frame.kind != wire::frame_kind::key_reply;
     // A peer that we hold for dead or left is told so: it alone can refute it.
     const member* known = m_members.find(to.node);
     if (known != nullptr && known->state != member_state::alive) {
@@ -86,30 +86,30 @@
         frame.__isset.members = true;
     }
     // A peer that has never answered may not know our address yet, and could not.
-    const auto spoken = m_links.find(to.node);
-    const bool stranger =
-        known != nullptr && (spoken == m_links.end() || spoken->second.boot != known->boot);
-    if (stranger) {
+    const auto spoken = m_peer_info.find(to.node);
+    const bool introduce_self =
+        known != nullptr && (spoken == m_peer_info.end() || spoken->second.boot != known->boot);
+    if (introduce_self) {
         frame.members.push_back(to_wire(m_self));
         frame.__isset.members = true;
     }
-    if (small)
+    if (carries_rumors)
         m_rumors.fill(frame, now);
     out.emplace_back(send_frame{to.node, to.address, encode_frame(frame)});
 }
 
-void membership_core::send_plain(time_point now, const member& to, wire::frame_kind::type kind,
-                                 membership_commands& out)
+void membership_core::send_simple_frame(time_point now, const member& to,
+                                        wire::frame_kind::type kind, membership_commands& out)
 {
     wire::frame frame = make_frame(now, kind);
     send(now, to, frame, out);
 }
 
-bool membership_core::accept(const wire::frame& frame, const node_id& proved) const
+bool membership_core::should_accept(const wire::frame& frame, const node_id& verified_name) const
 {
     if (frame.deployment != static_cast<std::int32_t>(m_deployment_key))
         return false;
-    if (!proved.value().empty() && proved.value() != frame.sender)
+    if (!verified_name.value().empty() && verified_name.value() != frame.sender)
         return false;
     if (frame.sender == m_self.node.value() && frame.boot == static_cast<std::int64_t>(m_self.boot))
         return false;
@@ -121,50 +121,51 @@
     return known == nullptr || static_cast<std::uint64_t>(frame.boot) >= known->boot;
 }
 
-membership_commands membership_core::frame_received(time_point now, const node_id& proved,
+membership_commands membership_core::frame_received(time_point now, const node_id& verified_name,
                                                     std::string_view bytes)
 {
     membership_commands out;
     const result<wire::frame> decoded = decode_frame(bytes);
-    if (!decoded || !accept(decoded.value(), proved)) {
+    if (!decoded || !should_accept(decoded.value(), verified_name)) {
         ++m_refused;
         return out;
     }
     const wire::frame& frame = decoded.value();
     if (m_started == time_point{})
         m_started = now;
-    const duration stuck = stuck_for(now, frame);
-    take_members(now, frame, out);
-    take_rumors(now, stuck, frame, out);
-    take_config(frame, out);
-    take_keys(frame, out);
-    take_servers(frame, out);
-    answer(now, frame, out);
+    const duration delay = estimate_delay(now, frame);
+    apply_members(now, frame, out);
+    apply_rumors(now, delay, frame, out);
+    handle_config(frame, out);
+    handle_keys(frame, out);
+    handle_server_messages(frame, out);
+    respond(now, frame, out);
     push_urgent(now, out);
     return out;
 }
 
-duration membership_core::stuck_for(time_point now, const wire::frame& frame)
+duration membership_core::estimate_delay(time_point now, const wire::frame& frame)
 {
-    const duration apart =
+    const duration clock_offset =
         now.time_since_epoch() - duration{std::chrono::milliseconds{frame.sent_ms}};
     const auto boot = static_cast<std::uint64_t>(frame.boot);
-    link& seen = m_links[node_id{frame.sender}];
+    peer_info& seen = m_peer_info[node_id{frame.sender}];
     if (seen.boot != boot) {
-        seen = {boot, apart, now, {}};
+        seen = {boot, clock_offset, now, {}};
         return duration{0};
     }
-    const auto drifted = std::chrono::duration_cast<duration>((now - seen.measured) * drift);
-    seen.least_delay = std::min(seen.least_delay + drifted, apart);
-    seen.measured = now;
-    return apart - seen.least_delay;
+    const auto drift_allowance =
+        std::chrono::duration_cast<duration>((now - seen.measured_at) * max_clock_drift);
+    seen.min_clock_offset = std::min(seen.min_clock_offset + drift_allowance, clock_offset);
+    seen.measured_at = now;
+    return clock_offset - seen.min_clock_offset;
 }
 
-void membership_core::take_members(time_point now, const wire::frame& frame,
-                                   membership_commands& out)
+void membership_core::apply_members(time_point now, const wire::frame& frame,
+                                    membership_commands& out)
 {
     for (const wire::member_update& update : frame.members)
-        take_member(now, from_wire(update), out);
+        apply_member_report(now, from_wire(update), out);
     // A frame of its own shows that a known member has started anew; its address comes with the
     // update that it sends until it is known.
     const member* known = m_members.find(node_id{frame.sender});
@@ -173,125 +174,127 @@
     member shown = *known;
     shown.incarnation = static_cast<std::uint32_t>(frame.incarnation);
     shown.state = member_state::alive;
-    take_member(now, shown, out);
+    apply_member_report(now, shown, out);
 }
 
-void membership_core::take_member(time_point now, const member& heard, membership_commands& out)
+void membership_core::apply_member_report(time_point now, const member& received,
+                                          membership_commands& out)
 {
-    if (heard.node == m_self.node) {
-        take_report_on_self(now, heard, out);
+    if (received.node == m_self.node) {
+        apply_report_on_self(now, received, out);
         return;
     }
-    if (heard.node.value().empty() || heard.address.empty())
+    if (received.node.value().empty() || received.address.empty())
         return;
-    const std::optional<member> changed = m_members.merge(heard, now);
+    const std::optional<member> changed = m_members.merge(received, now);
     if (!changed)
         return;
     m_views_stale = true;
-    m_rumors.offer(*changed, now, now, m_members.size());
+    m_rumors.insert_if_newer(*changed, now, now, m_members.size());
     out.emplace_back(member_changed{*changed});
 }
 
 // Others may hold this node for dead after a pause or a partition: it says that it is alive with a
 // higher incarnation, which wins over what was said about the old one.
-void membership_core::take_report_on_self(time_point now, const member& heard,
-                                          membership_commands& out)
+void membership_core::apply_report_on_self(time_point now, const member& received,
+                                           membership_commands& out)
 {
-    if (heard.boot > m_self.boot) {
+    if (received.boot > m_self.boot) {
         // Just started, and its clock runs behind that of its last start: take a later number.
         // Otherwise a newer process has the name, and this one was paused or cut off.
-        if (now - m_started < young && heard.address == m_self.address) {
-            m_self.boot = heard.boot + 1;
-            update_self(now);
+        if (now - m_started < startup_period && received.address == m_self.address) {
+            m_self.boot = received.boot + 1;
+            publish_self(now);
             return;
         }
-        out.emplace_back(superseded{heard.boot});
+        out.emplace_back(superseded{received.boot});
         return;
     }
-    const bool wrong = heard.boot == m_self.boot && heard.state != member_state::alive &&
-                       heard.incarnation >= m_self.incarnation && !m_leaving;
+    const bool wrong = received.boot == m_self.boot && received.state != member_state::alive &&
+                       received.incarnation >= m_self.incarnation && !m_leaving;
     if (!wrong)
         return;
-    m_self.incarnation = heard.incarnation + 1;
-    update_self(now);
+    m_self.incarnation = received.incarnation + 1;
+    publish_self(now);
 }
 
-void membership_core::update_self(time_point now)
+void membership_core::publish_self(time_point now)
 {
-    m_rumors.offer(m_self, now, now, m_members.size());
+    m_rumors.insert_if_newer(m_self, now, now, m_members.size());
 }
 
-void membership_core::take_rumors(time_point now, duration stuck, const wire::frame& frame,
-                                  membership_commands& out)
+void membership_core::apply_rumors(time_point now, duration delay, const wire::frame& frame,
+                                   membership_commands& out)
 {
-    for (const wire::ticket_digest& heard : frame.tickets) {
-        take_rumor(now, stuck,
-                   ticket_digest{static_cast<std::uint32_t>(heard.group),
-                                 fencing_number{heard.fencing},
-                                 static_cast<std::uint16_t>(std::max<int>(heard.load, 0)),
-                                 heard.complete, from_wire_age(heard.age)},
-                   out);
+    for (const wire::ticket_digest& received : frame.tickets) {
+        apply_rumor(now, delay,
+                    ticket_digest{static_cast<std::uint32_t>(received.group),
+                                  fencing_number{received.fencing},
+                                  static_cast<std::uint16_t>(std::max<int>(received.load, 0)),
+                                  received.complete, from_wire_age(received.age)},
+                    out);
     }
-    for (const wire::demand& heard : frame.demands) {
-        take_rumor(now, stuck,
-                   demand{static_cast<std::uint32_t>(heard.node),
-                          static_cast<std::uint32_t>(heard.pool),
-                          static_cast<std::uint32_t>(heard.workspace),
-                          static_cast<std::uint32_t>(heard.in_flight),
-                          static_cast<double>(heard.arrivals) / 10.0, from_wire_age(heard.age)},
-                   out);
+    for (const wire::demand& received : frame.demands) {
+        apply_rumor(now, delay,
+                    demand{static_cast<std::uint32_t>(received.node),
+                           static_cast<std::uint32_t>(received.pool),
+                           static_cast<std::uint32_t>(received.workspace),
+                           static_cast<std::uint32_t>(received.in_flight),
+                           static_cast<double>(received.arrivals) / 10.0,
+                           from_wire_age(received.age)},
+                    out);
     }
-    for (const wire::leaving& heard : frame.leavings)
-        take_rumor(now, stuck, leaving{heard.server, from_wire_age(heard.age)}, out);
-    for (const wire::key_notice& heard : frame.notices) {
-        take_rumor(now, stuck,
-                   key_notice{static_cast<std::uint32_t>(heard.key), heard.revision,
-                              from_wire_age(heard.age)},
-                   out);
+    for (const wire::leaving& received : frame.leavings)
+        apply_rumor(now, delay, leaving{received.server, from_wire_age(received.age)}, out);
+    for (const wire::key_notice& received : frame.notices) {
+        apply_rumor(now, delay,
+                    key_notice{static_cast<std::uint32_t>(received.key), received.revision,
+                               from_wire_age(received.age)},
+                    out);
     }
-    for (const wire::server_limit& heard : frame.limits) {
-        server_limit told{heard.server, std::nullopt, from_wire_age(heard.age)};
-        if (heard.__isset.per_second_milli)
-            told.per_second = limit_from_wire(heard.per_second_milli);
-        take_rumor(now, stuck, std::move(told), out);
+    for (const wire::server_limit& received : frame.limits) {
+        server_limit told{received.server, std::nullopt, from_wire_age(received.age)};
+        if (received.__isset.per_second_milli)
+            told.per_second = limit_from_wire(received.per_second_milli);
+        apply_rumor(now, delay, std::move(told), out);
     }
-    for (const wire::confirmation& heard : frame.confirmations) {
-        take_rumor(now, stuck,
-                   confirmation{static_cast<std::uint32_t>(heard.node),
-                                config_revision{heard.revision}, heard.platform_lost,
-                                from_wire_age(heard.age)},
-                   out);
+    for (const wire::confirmation& received : frame.confirmations) {
+        apply_rumor(now, delay,
+                    confirmation{static_cast<std::uint32_t>(received.node),
+                                 config_revision{received.revision}, received.platform_lost,
+                                 from_wire_age(received.age)},
+                    out);
     }
 }
 
-void membership_core::take_rumor(time_point now, duration stuck, rumor item,
-                                 membership_commands& out)
+void membership_core::apply_rumor(time_point now, duration delay, rumor item,
+                                  membership_commands& out)
 {
-    const duration age = std::visit([&](auto& heard) { return heard.age += stuck; }, item);
-    const spread_item spread =
-        std::visit([](const auto& heard) { return spread_item{heard}; }, item);
-    if (!m_rumors.offer(spread, now - age, now, m_members.size()))
+    const duration age = std::visit([&](auto& received) { return received.age += delay; }, item);
+    const gossip_item gossip =
+        std::visit([](const auto& received) { return gossip_item{received}; }, item);
+    if (!m_rumors.insert_if_newer(gossip, now - age, now, m_members.size()))
         return;
     const auto* ticket = std::get_if<ticket_digest>(&item);
     const bool urgent =
         std::holds_alternative<leaving>(item) || (ticket != nullptr && !ticket->complete);
-    m_urgent = m_urgent || urgent;
-    out.emplace_back(rumor_heard{std::move(item)});
+    m_urgent_pending = m_urgent_pending || urgent;
+    out.emplace_back(rumor_received{std::move(item)});
 }
 
-void membership_core::take_config(const wire::frame& frame, membership_commands& out)
+void membership_core::handle_config(const wire::frame& frame, membership_commands& out)
 {
     const node_id sender{frame.sender};
     if (frame.__isset.config) {
-        const config_digest heard{config_revision{frame.config.revision},
-                                  frame.config.platform_lost};
-        config_digest& known = m_links[sender].config;
-        const bool news = heard.revision != known.revision ||
-                          heard.platform_lost != known.platform_lost ||
-                          heard.revision > m_config.revision;
-        known = heard;
-        if (news)
-            out.emplace_back(config_message{sender, heard});
+        const config_digest received{config_revision{frame.config.revision},
+                                     frame.config.platform_lost};
+        config_digest& known = m_peer_info[sender].config;
+        const bool is_new = received.revision != known.revision ||
+                            received.platform_lost != known.platform_lost ||
+                            received.revision > m_config.revision;
+        known = received;
+        if (is_new)
+            out.emplace_back(config_message{sender, received});
     }
     if (frame.__isset.request) {
         out.emplace_back(config_message{
@@ -308,7 +311,7 @@
 
 // A node whose table lags differs from everyone's and may be asked by all of them at once; and a
 // fleet that starts together asks the few seeds. Whoever gets no reply asks another in a while.
-void membership_core::answer_sync(time_point now, const member& to, membership_commands& out)
+void membership_core::reply_to_sync(time_point now, const member& to, membership_commands& out)
 {
     const double seconds = std::chrono::duration<double>(now - m_sync_refilled).count();
     m_sync_tokens =
@@ -317,7 +320,7 @@
     if (m_sync_tokens < 0.0)
         return;
     wire::frame reply = make_frame(now, wire::frame_kind::sync_reply);
-    for (const member& known : m_members.worth_telling(now, newcomer_memory))
+    for (const member& known : m_members.live_or_recent(now, sync_history))
         reply.members.push_back(to_wire(known));
     reply.members.push_back(to_wire(m_self));
     reply.__isset.members = true;
@@ -325,7 +328,7 @@
     m_sync_tokens -= static_cast<double>(std::get<send_frame>(out.back()).bytes.size());
 }
 
-void membership_core::answer(time_point now, const wire::frame& frame, membership_commands& out)
+void membership_core::respond(time_point now, const wire::frame& frame, membership_commands& out)
 {
     const member* sender = m_members.find(node_id{frame.sender});
     if (sender == nullptr)
@@ -339,13 +342,13 @@
         break;
     }
     case wire::frame_kind::ack:
-        take_ack(now, frame, out);
+        handle_ack(now, frame, out);
         break;
     case wire::frame_kind::ping_request:
         relay_ping(now, frame, out);
         break;
     case wire::frame_kind::sync_request:
-        answer_sync(now, to, out);
+        reply_to_sync(now, to, out);
         break;
     default:
         break; // answered elsewhere, or a kind of a later version
@@ -366,10 +369,10 @@
     rumor mine = item;
     if (auto* wanted = std::get_if<demand>(&mine))
         wanted->node = wire_key(m_self.node.value());
-    take_rumor(now, duration{0}, std::move(mine), out);
+    apply_rumor(now, duration{0}, std::move(mine), out);
     // What this node says itself it need not hear.
-    std::erase_if(out,
-                  [](const auto& command) { return std::holds_alternative<rumor_heard>(command); });
+    std::erase_if(
+        out, [](const auto& command) { return std::holds_alternative<rumor_received>(command); });
     push_urgent(now, out);
     return out;
 }
@@ -383,10 +386,10 @@
     m_config = {std::max(installed, m_config.revision), platform_lost};
     if (!changed)
         return out;
-    m_rumors.offer(
+    m_rumors.insert_if_newer(
         confirmation{wire_key(m_self.node.value()), m_config.revision, platform_lost, duration{0}},
         now, now, m_members.size());
-    m_urgent = m_urgent || higher;
+    m_urgent_pending = m_urgent_pending || higher;
     push_urgent(now, out);
     return out;
 }
@@ -429,13 +432,13 @@
     return out;
 }
 
-membership_commands membership_core::ask(time_point now, const std::vector<node_id>& nodes)
+membership_commands membership_core::ping_nodes(time_point now, const std::vector<node_id>& nodes)
 {
     membership_commands out;
     for (const node_id& node : nodes) {
         const member* known = m_members.find(node);
         if (known != nullptr)
-            send_plain(now, member{*known}, wire::frame_kind::ping, out);
+            send_simple_frame(now, member{*known}, wire::frame_kind::ping, out);
     }
     return out;
 }
@@ -461,13 +464,13 @@
 {
     if (m_leaving)
         return;
-    if (m_urgent) {
-        m_urgent = false;
-        m_push_again = now + push_interval;
+    if (m_urgent_pending) {
+        m_urgent_pending = false;
+        m_second_push_at = now + push_interval;
         push_once(now, out);
     }
-    else if (m_push_again && now >= *m_push_again) {
-        m_push_again.reset();
+    else if (m_second_push_at && now >= *m_second_push_at) {
+        m_second_push_at.reset();
         push_once(now, out);
     }
 }
@@ -476,9 +479,9 @@
 {
     refresh_views(now);
     for (const node_id& target : urgent_targets()) {
-        if (!m_rumors.take_urgent(urgent_frame_bytes, now))
+        if (!m_rumors.consume_urgent_budget(urgent_frame_bytes, now))
             break;
-        send_plain(now, member{*m_members.find(target)}, wire::frame_kind::rumor, out);
+        send_simple_frame(now, member{*m_members.find(target)}, wire::frame_kind::rumor, out);
     }
 }
 
--- a/peers/membership.h
+++ b/peers/membership.h
@@ -2,7 +2,7 @@
 //
 //   membership_core core{settings, random_source{seed}};
 //   run(core.tick(now));                              // about ten times a second
-//   run(core.frame_received(now, proved_name, bytes));
+//   run(core.frame_received(now, name_in_certificate, bytes));
 //   // run() carries out send_frame and hands the other commands to whoever asked for them
 //
 // Bytes a second, worked out for 410 nodes in 5 failure domains with 200 groups before the frame
@@ -46,8 +46,8 @@
     member self;
     duration probe_interval = std::chrono::seconds{1};
     duration probe_timeout = std::chrono::milliseconds{300}; ///< then others are asked to probe
-    duration suspicion = std::chrono::seconds{4};            ///< before a suspect is called dead
-    duration forget_after = std::chrono::hours{6};           ///< of members dead or left
+    duration suspicion_timeout = std::chrono::seconds{4};    ///< before a suspect is called dead
+    duration dead_member_retention = std::chrono::hours{6};  ///< of members dead or left
     duration sync_interval = std::chrono::seconds{60};       ///< least time between table syncs
     double sync_bytes_s = 400.0;  ///< bytes a second for nodes that ask for the table
     double sync_burst = 64'000.0; ///< bytes, three tables of 410 nodes
@@ -68,14 +68,14 @@
 struct member_changed {
     member now;
 };
-struct rumor_heard {
+struct rumor_received {
     rumor item;
 };
 /// A newer process holds this node's name; this one is to stop serving.
 struct superseded {
     std::uint64_t boot = 0;
 };
-using membership_command = std::variant<send_frame, member_changed, rumor_heard, config_message,
+using membership_command = std::variant<send_frame, member_changed, rumor_received, config_message,
                                         key_message, server_message, superseded>;
 using membership_commands = std::vector<membership_command>;
 
@@ -85,7 +85,7 @@
 
     membership_commands tick(time_point now);
     /// `proved` is the name that the transport verified; empty if it verifies none.
-    membership_commands frame_received(time_point now, const node_id& proved,
+    membership_commands frame_received(time_point now, const node_id& verified_name,
                                        std::string_view bytes);
     membership_commands publish(time_point now, const rumor& item);
     /// This node has installed `installed`; a higher one than before is told at once.
@@ -93,9 +93,10 @@
                                          bool platform_lost);
     membership_commands send_config(time_point now, const node_id& to, const config_body& body);
     membership_commands send_keys(time_point now, const node_id& to, const key_body& body);
-    membership_commands send_server(time_point now, const node_id& to, const server_body& body);
+    membership_commands send_server_message(time_point now, const node_id& to,
+                                            const server_body& body);
     /// Asks `nodes` for a sign of life, and so for the revision that they have installed.
-    membership_commands ask(time_point now, const std::vector<node_id>& nodes);
+    membership_commands ping_nodes(time_point now, const std::vector<node_id>& nodes);
     /// Says goodbye.
     membership_commands leave(time_point now);
     void add_seeds(const std::vector<std::string>& addresses);
@@ -110,22 +111,22 @@
         node_id target;
         time_point sent;
         std::int32_t sequence = 0;
-        bool asked_others = false;
-        bool judged = true; ///< silence counts against the target
+        bool indirect_probes_requested = false;
+        bool monitored = true; ///< silence counts against the target
     };
     /// A ping that was sent for another node.
-    struct relay {
-        node_id asker;
+    struct relayed_ping {
+        node_id requester;
         node_id subject;
-        std::int32_t sequence = 0;       ///< of our ping
-        std::int32_t asker_sequence = 0; ///< of the asker's request
+        std::int32_t sequence = 0;           ///< of our ping
+        std::int32_t requester_sequence = 0; ///< of the asker's request
         time_point sent;
     };
     /// What is known of one peer from its own frames.
-    struct link {
+    struct peer_info {
         std::uint64_t boot = 0;
-        duration least_delay{0}; ///< smallest (our time - its time) seen
-        time_point measured;
+        duration min_clock_offset{0}; ///< smallest (our time - its time) seen
+        time_point measured_at;
         config_digest config;
     };
 
@@ -133,22 +134,22 @@
     [[nodiscard]] std::int64_t table_digest() const;
     wire::frame make_frame(time_point now, wire::frame_kind::type kind);
     void send(time_point now, const member& to, wire::frame& frame, membership_commands& out);
-    void send_plain(time_point now, const member& to, wire::frame_kind::type kind,
-                    membership_commands& out);
-    bool accept(const wire::frame& frame, const node_id& proved) const;
-    duration stuck_for(time_point now, const wire::frame& frame);
-    void take_members(time_point now, const wire::frame& frame, membership_commands& out);
-    void take_member(time_point now, const member& heard, membership_commands& out);
-    void take_report_on_self(time_point now, const member& heard, membership_commands& out);
-    void take_rumors(time_point now, duration stuck, const wire::frame& frame,
-                     membership_commands& out);
-    void take_rumor(time_point now, duration stuck, rumor item, membership_commands& out);
-    void take_config(const wire::frame& frame, membership_commands& out);
-    void answer_sync(time_point now, const member& to, membership_commands& out);
-    static void take_keys(const wire::frame& frame, membership_commands& out);
-    static void take_servers(const wire::frame& frame, membership_commands& out);
-    void answer(time_point now, const wire::frame& frame, membership_commands& out);
-    void update_self(time_point now);
+    void send_simple_frame(time_point now, const member& to, wire::frame_kind::type kind,
+                           membership_commands& out);
+    bool should_accept(const wire::frame& frame, const node_id& verified_name) const;
+    duration estimate_delay(time_point now, const wire::frame& frame);
+    void apply_members(time_point now, const wire::frame& frame, membership_commands& out);
+    void apply_member_report(time_point now, const member& heard, membership_commands& out);
+    void apply_report_on_self(time_point now, const member& heard, membership_commands& out);
+    void apply_rumors(time_point now, duration delay, const wire::frame& frame,
+                      membership_commands& out);
+    void apply_rumor(time_point now, duration delay, rumor item, membership_commands& out);
+    void handle_config(const wire::frame& frame, membership_commands& out);
+    void reply_to_sync(time_point now, const member& to, membership_commands& out);
+    static void handle_keys(const wire::frame& frame, membership_commands& out);
+    static void handle_server_messages(const wire::frame& frame, membership_commands& out);
+    void respond(time_point now, const wire::frame& frame, membership_commands& out);
+    void publish_self(time_point now);
     void push_urgent(time_point now, membership_commands& out);
     void push_once(time_point now, membership_commands& out);
     std::vector<node_id> urgent_targets();
@@ -156,18 +157,19 @@
     // membership_probe.cc
     void probe_own_domain(time_point now, membership_commands& out);
     void probe_other_domains(time_point now, membership_commands& out);
-    void start_probe(time_point now, const node_id& target, bool judged, membership_commands& out);
+    void start_probe(time_point now, const node_id& target, bool monitored,
+                     membership_commands& out);
     void check_probes(time_point now, membership_commands& out);
-    void ask_others(time_point now, const probe& unanswered, membership_commands& out);
+    void request_indirect_probes(time_point now, const probe& unanswered, membership_commands& out);
     void suspect(time_point now, const node_id& target, membership_commands& out);
-    void take_ack(time_point now, const wire::frame& frame, membership_commands& out);
+    void handle_ack(time_point now, const wire::frame& frame, membership_commands& out);
     void relay_ping(time_point now, const wire::frame& frame, membership_commands& out);
     void contact_seeds(time_point now, membership_commands& out);
     node_id next_probe_target();
     std::vector<failure_domain_id> bridged_domains();
     std::vector<node_id> pick(std::vector<node_id> from, std::size_t count);
     void refresh_views(time_point now);
-    [[nodiscard]] bool judges(const member& other) const;
+    [[nodiscard]] bool monitors(const member& other) const;
 
     membership_settings m_settings;
     random_source m_random;
@@ -178,8 +180,8 @@
     std::uint32_t m_deployment_key = 0;
     std::uint64_t m_refused = 0;
     config_digest m_config;
-    bool m_urgent = false;
-    std::optional<time_point> m_push_again;
+    bool m_urgent_pending = false;
+    std::optional<time_point> m_second_push_at;
     bool m_leaving = false;
     time_point m_started{};
     time_point m_next_probe{};
@@ -190,20 +192,20 @@
     time_point m_sync_refilled{};
     std::vector<std::string> m_seeds;
     std::vector<probe> m_probes;
-    std::deque<relay> m_relays;
-    std::map<node_id, link> m_links;
+    std::deque<relayed_ping> m_relayed_pings;
+    std::map<node_id, peer_info> m_peer_info;
 
     // Views of m_members, made anew when it changes.
     bool m_views_stale = true;
-    time_point m_next_views{};
-    std::vector<node_id> m_own_live; ///< live members of our domain but us
-    std::vector<node_id> m_own_gone; ///< dead ones
-    std::vector<node_id> m_round;    ///< probe order
-    std::size_t m_round_at = 0;
+    time_point m_next_view_refresh{};
+    std::vector<node_id> m_own_live;    ///< live members of our domain but us
+    std::vector<node_id> m_own_dead;    ///< dead ones
+    std::vector<node_id> m_probe_order; ///< probe order
+    std::size_t m_probe_index = 0;
     struct domain_view {
         failure_domain_id domain;
         std::vector<node_id> live;
-        std::vector<node_id> gone;
+        std::vector<node_id> dead_nodes;
         bool bridged = false; ///< we are one of its bridges
     };
     std::vector<domain_view> m_domains;
--- a/peers/membership_keys.cc
+++ b/peers/membership_keys.cc
@@ -22,12 +22,12 @@
     return out;
 }
 
-key_request from_wire(const wire::key_request& heard)
+key_request from_wire(const wire::key_request& received)
 {
     key_request asked;
-    for (const wire::known_key& known : heard.known)
+    for (const wire::known_key& known : received.known)
         asked.known.push_back({static_cast<std::uint32_t>(known.key), known.revision});
-    for (const std::int32_t key : heard.wanted)
+    for (const std::int32_t key : received.wanted)
         asked.wanted.push_back(static_cast<std::uint32_t>(key));
     return asked;
 }
@@ -54,22 +54,22 @@
     return out;
 }
 
-key_reply from_wire(const wire::key_reply& heard)
+key_reply from_wire(const wire::key_reply& received)
 {
     key_reply reply;
-    for (const wire::key_value& item : heard.entries)
+    for (const wire::key_value& item : received.entries)
         reply.entries.push_back({item.key, item.revision, item.value});
-    if (heard.__isset.store_age_ms && heard.store_age_ms >= 0)
-        reply.store_age = std::chrono::milliseconds{heard.store_age_ms};
-    if (heard.__isset.push_number)
-        reply.push_number = heard.push_number;
-    reply.complete = heard.__isset.complete && heard.complete;
+    if (received.__isset.store_age_ms && received.store_age_ms >= 0)
+        reply.store_age = std::chrono::milliseconds{received.store_age_ms};
+    if (received.__isset.push_number)
+        reply.push_number = received.push_number;
+    reply.complete = received.__isset.complete && received.complete;
     return reply;
 }
 
 } // namespace
 
-void membership_core::take_keys(const wire::frame& frame, membership_commands& out)
+void membership_core::handle_keys(const wire::frame& frame, membership_commands& out)
 {
     if (frame.__isset.keys_wanted)
         out.emplace_back(key_message{node_id{frame.sender}, from_wire(frame.keys_wanted)});
--- a/peers/membership_probe.cc
+++ b/peers/membership_probe.cc
@@ -24,12 +24,12 @@
 namespace {
 
 constexpr duration housekeeping_interval = std::chrono::seconds{10};
-constexpr duration views_interval = std::chrono::seconds{1};
-constexpr std::size_t seeds_at_once = 3;
+constexpr duration view_refresh_interval = std::chrono::seconds{1};
+constexpr std::size_t seeds_per_attempt = 3;
 constexpr duration seed_interval = std::chrono::seconds{2};
-constexpr duration relay_life = std::chrono::seconds{2};
-constexpr std::size_t most_relays = 256;
-constexpr std::size_t dead_probe_share = 10; ///< one probe in so many goes to a dead member
+constexpr duration relayed_ping_timeout = std::chrono::seconds{2};
+constexpr std::size_t max_relayed_pings = 256;
+constexpr std::size_t probes_per_dead_probe = 10; ///< one probe in so many goes to a dead member
 
 } // namespace
 
@@ -40,16 +40,16 @@
         m_started = now;
         // Fleets start together; their probes should not beat together.
         m_next_probe = now + duration{m_random.between(0, m_settings.probe_interval.count())};
-        update_self(now);
+        publish_self(now);
     }
     if (m_leaving)
         return out;
     check_probes(now, out);
-    for (member gone : m_members.overdue_suspects(now, m_settings.suspicion)) {
-        if (!judges(gone))
+    for (member dead_nodes : m_members.expired_suspects(now, m_settings.suspicion_timeout)) {
+        if (!monitors(dead_nodes))
             continue;
-        gone.state = member_state::dead;
-        take_member(now, gone, out);
+        dead_nodes.state = member_state::dead;
+        apply_member_report(now, dead_nodes, out);
     }
     refresh_views(now);
     contact_seeds(now, out);
@@ -62,8 +62,8 @@
     if (now >= m_next_housekeeping) {
         m_next_housekeeping = now + housekeeping_interval;
         m_rumors.expire(now);
-        m_members.forget(now, m_settings.forget_after);
-        std::erase_if(m_links,
+        m_members.remove_expired(now, m_settings.dead_member_retention);
+        std::erase_if(m_peer_info,
                       [&](const auto& entry) { return m_members.find(entry.first) == nullptr; });
         m_views_stale = true;
     }
@@ -74,16 +74,16 @@
 void membership_core::refresh_views(time_point now)
 {
     // At most once a second: while a fleet starts, the table changes with each frame.
-    const bool wait = !m_own_live.empty() && now < m_next_views;
+    const bool wait = !m_own_live.empty() && now < m_next_view_refresh;
     if (!m_views_stale || wait)
         return;
     m_views_stale = false;
-    m_next_views = now + views_interval;
+    m_next_view_refresh = now + view_refresh_interval;
     const auto own = [&](const member& other) {
         return other.failure_domain == m_self.failure_domain;
     };
     m_own_live = m_members.select([&](const member& m) { return own(m) && m.live(); });
-    m_own_gone =
+    m_own_dead =
         m_members.select([&](const member& m) { return own(m) && m.state == member_state::dead; });
 
     std::vector<std::string> names{m_self.node.value()};
@@ -96,7 +96,7 @@
             continue;
         domain_view& view = views[other.failure_domain];
         view.domain = other.failure_domain;
-        (other.live() ? view.live : view.gone).push_back(other.node);
+        (other.live() ? view.live : view.dead_nodes).push_back(other.node);
     }
     for (auto& [domain, view] : views) {
         const std::string key = "bridge/" + m_self.failure_domain.value() + '/' + domain.value();
@@ -106,30 +106,31 @@
     }
 }
 
-bool membership_core::judges(const member& other) const
+bool membership_core::monitors(const member& other) const
 {
     if (other.failure_domain == m_self.failure_domain)
         return true;
     for (const domain_view& view : m_domains) {
         if (view.domain == other.failure_domain)
-            return view.bridged && view.live.size() + view.gone.size() < m_settings.small_domain;
+            return view.bridged &&
+                   view.live.size() + view.dead_nodes.size() < m_settings.small_domain;
     }
     return false;
 }
 
 node_id membership_core::next_probe_target()
 {
-    const bool try_dead = m_own_live.empty() || m_random.index(dead_probe_share) == 0;
-    if (try_dead && !m_own_gone.empty())
-        return m_own_gone[m_random.index(m_own_gone.size())];
+    const bool try_dead = m_own_live.empty() || m_random.index(probes_per_dead_probe) == 0;
+    if (try_dead && !m_own_dead.empty())
+        return m_own_dead[m_random.index(m_own_dead.size())];
     for (std::size_t tries = 0; tries <= m_own_live.size(); ++tries) {
-        if (m_round_at >= m_round.size()) {
-            m_round = pick(m_own_live, m_own_live.size());
-            m_round_at = 0;
-            if (m_round.empty())
+        if (m_probe_index >= m_probe_order.size()) {
+            m_probe_order = pick(m_own_live, m_own_live.size());
+            m_probe_index = 0;
+            if (m_probe_order.empty())
                 return {};
         }
-        const node_id& next = m_round[m_round_at++];
+        const node_id& next = m_probe_order[m_probe_index++];
         const member* known = m_members.find(next);
         if (known != nullptr && known->live())
             return next;
@@ -149,18 +150,18 @@
     for (const domain_view& other : m_domains) {
         if (!other.bridged)
             continue;
-        const bool try_dead =
-            other.live.empty() || (!other.gone.empty() && m_random.index(dead_probe_share) == 0);
-        const std::vector<node_id>& from = try_dead ? other.gone : other.live;
+        const bool try_dead = other.live.empty() || (!other.dead_nodes.empty() &&
+                                                     m_random.index(probes_per_dead_probe) == 0);
+        const std::vector<node_id>& from = try_dead ? other.dead_nodes : other.live;
         if (from.empty())
             continue;
         const node_id target = from[m_random.index(from.size())];
         const member* known = m_members.find(target);
-        start_probe(now, target, known != nullptr && judges(*known), out);
+        start_probe(now, target, known != nullptr && monitors(*known), out);
     }
 }
 
-void membership_core::start_probe(time_point now, const node_id& target, bool judged,
+void membership_core::start_probe(time_point now, const node_id& target, bool monitored,
                                   membership_commands& out)
 {
     const member* known = m_members.find(target);
@@ -169,36 +170,37 @@
     const member to = *known;
     wire::frame ping = make_frame(now, wire::frame_kind::ping);
     ping.__set_member_digest(table_digest());
-    m_probes.push_back({target, now, ping.sequence, false, judged});
+    m_probes.push_back({target, now, ping.sequence, false, monitored});
     send(now, to, ping, out);
 }
 
 void membership_core::check_probes(time_point now, membership_commands& out)
 {
-    for (probe& waiting : m_probes) {
-        if (!waiting.asked_others && now - waiting.sent >= m_settings.probe_timeout) {
-            waiting.asked_others = true;
-            if (waiting.judged)
-                ask_others(now, waiting, out);
+    for (probe& pending : m_probes) {
+        if (!pending.indirect_probes_requested && now - pending.sent >= m_settings.probe_timeout) {
+            pending.indirect_probes_requested = true;
+            if (pending.monitored)
+                request_indirect_probes(now, pending, out);
         }
     }
     // This node itself may have been paused: then every probe is overdue at once, and silence says
     // nothing about the others. It shows as a tick that comes very late.
     const duration overdue = 2 * m_settings.probe_interval;
     std::vector<probe> silent;
-    std::erase_if(m_probes, [&](const probe& waiting) {
-        const duration waited = now - waiting.sent;
+    std::erase_if(m_probes, [&](const probe& pending) {
+        const duration waited = now - pending.sent;
         if (waited < m_settings.probe_interval)
             return false;
-        if (waiting.judged && waited < overdue)
-            silent.push_back(waiting);
+        if (pending.monitored && waited < overdue)
+            silent.push_back(pending);
         return true;
     });
     for (const probe& unanswered : silent)
         suspect(now, unanswered.target, out);
 }
 
-void membership_core::ask_others(time_point now, const probe& unanswered, membership_commands& out)
+void membership_core::request_indirect_probes(time_point now, const probe& unanswered,
+                                              membership_commands& out)
 {
     refresh_views(now);
     std::vector<node_id> helpers = m_own_live;
@@ -214,34 +216,34 @@
 void membership_core::suspect(time_point now, const node_id& target, membership_commands& out)
 {
     const member* known = m_members.find(target);
-    if (known == nullptr || known->state != member_state::alive || !judges(*known))
+    if (known == nullptr || known->state != member_state::alive || !monitors(*known))
         return;
-    member doubted = *known;
-    doubted.state = member_state::suspect;
-    take_member(now, doubted, out);
+    member suspected = *known;
+    suspected.state = member_state::suspect;
+    apply_member_report(now, suspected, out);
 }
 
-void membership_core::take_ack(time_point now, const wire::frame& frame, membership_commands& out)
+void membership_core::handle_ack(time_point now, const wire::frame& frame, membership_commands& out)
 {
     const node_id answered{frame.subject.empty() ? frame.sender : frame.subject};
-    std::erase_if(m_probes, [&](const probe& waiting) {
-        return waiting.sequence == frame.sequence && waiting.target == answered;
+    std::erase_if(m_probes, [&](const probe& pending) {
+        return pending.sequence == frame.sequence && pending.target == answered;
     });
     // Acks of pings that were sent for others are handed on.
-    for (const relay& asked : m_relays) {
+    for (const relayed_ping& asked : m_relayed_pings) {
         if (asked.sequence != frame.sequence || asked.subject != answered)
             continue;
-        const member* asker = m_members.find(asked.asker);
-        if (asker == nullptr)
+        const member* requester = m_members.find(asked.requester);
+        if (requester == nullptr)
             continue;
         wire::frame ack = make_frame(now, wire::frame_kind::ack);
-        ack.sequence = asked.asker_sequence;
+        ack.sequence = asked.requester_sequence;
         ack.__set_subject(answered.value());
-        send(now, member{*asker}, ack, out);
+        send(now, member{*requester}, ack, out);
     }
-    std::erase_if(m_relays, [&](const relay& asked) {
+    std::erase_if(m_relayed_pings, [&](const relayed_ping& asked) {
         return (asked.sequence == frame.sequence && asked.subject == answered) ||
-               now - asked.sent > relay_life;
+               now - asked.sent > relayed_ping_timeout;
     });
 }
 
@@ -252,9 +254,9 @@
         return;
     const member to = *subject;
     wire::frame ping = make_frame(now, wire::frame_kind::ping);
-    if (m_relays.size() >= most_relays)
-        m_relays.pop_front();
-    m_relays.push_back({node_id{frame.sender}, to.node, ping.sequence, frame.sequence, now});
+    if (m_relayed_pings.size() >= max_relayed_pings)
+        m_relayed_pings.pop_front();
+    m_relayed_pings.push_back({node_id{frame.sender}, to.node, ping.sequence, frame.sequence, now});
     send(now, to, ping, out);
 }
 
@@ -268,7 +270,7 @@
         return;
     m_next_seed =
         now + m_random.between(seed_interval.count() / 2, seed_interval.count()) * duration{1};
-    for (std::size_t i = 0; i < std::min(seeds_at_once, m_seeds.size()); ++i) {
+    for (std::size_t i = 0; i < std::min(seeds_per_attempt, m_seeds.size()); ++i) {
         std::swap(m_seeds[i], m_seeds[i + m_random.index(m_seeds.size() - i)]);
         wire::frame request = make_frame(now, wire::frame_kind::sync_request);
         request.members.push_back(to_wire(m_self));
--- a/peers/membership_servers.cc
+++ b/peers/membership_servers.cc
@@ -64,7 +64,7 @@
 };
 
 /// Nothing if its phase is none that this version knows.
-std::optional<runner_word> read_word(const wire::runner_word& told)
+std::optional<runner_word> parse_runner_word(const wire::runner_word& told)
 {
     runner_word word{vm_id{told.vm}, told.born_ms, {}, told.model};
     if (!told.grouped)
@@ -79,7 +79,7 @@
 
 } // namespace
 
-void membership_core::take_servers(const wire::frame& frame, membership_commands& out)
+void membership_core::handle_server_messages(const wire::frame& frame, membership_commands& out)
 {
     const node_id from{frame.sender};
     if (frame.__isset.question)
@@ -89,7 +89,7 @@
         out.emplace_back(
             server_message{from, server_answer{vm_id{frame.opinion.vm}, frame.opinion.answers}});
     if (frame.__isset.runner) {
-        if (const auto word = read_word(frame.runner))
+        if (const auto word = parse_runner_word(frame.runner))
             out.emplace_back(server_message{from, *word});
     }
     if (frame.__isset.store_asked)
@@ -102,8 +102,8 @@
                                               frame.store_told.round, frame.store_told.reached}});
 }
 
-membership_commands membership_core::send_server(time_point now, const node_id& to,
-                                                 const server_body& body)
+membership_commands membership_core::send_server_message(time_point now, const node_id& to,
+                                                         const server_body& body)
 {
     membership_commands out;
     const member* known = m_members.find(to);
--- a/peers/membership_test.cc
+++ b/peers/membership_test.cc
@@ -10,7 +10,7 @@
 
 namespace {
 
-bool all_hold(const test_network& net, const test_node& other, member_state state)
+bool all_report(const test_network& net, const test_node& other, member_state state)
 {
     return std::all_of(net.nodes.begin(), net.nodes.end(), [&](const auto& viewer) {
         return viewer.get() == &other || viewer->crashed ||
@@ -22,18 +22,18 @@
 
 // A member crashes: its domain calls it dead within seconds, on a network that loses, doubles and
 // reorders frames, and nobody who is alive is called dead.
-Test(membership, a_crash_is_noticed_and_nobody_else_is_blamed)
+Test(membership, a_crash_is_detected_without_false_positives)
 {
     for (std::uint64_t seed = 1; seed <= 5; ++seed) {
         test_network net{seed};
         net.loss = 0.05;
-        net.doubled = 0.1;
-        net.most_delay = milliseconds{40};
+        net.duplication = 0.1;
+        net.max_delay = milliseconds{40};
         for (std::size_t i = 0; i < 24; ++i)
             net.add(i, 3);
-        cr_assert(net.until([&] { return net.all_see_all(); }, seconds{60}), "no full view");
+        cr_assert(net.until([&] { return net.views_converged(); }, seconds{60}), "no full view");
         net.nodes[5]->crashed = true;
-        cr_assert(net.until([&] { return all_hold(net, *net.nodes[5], member_state::dead); },
+        cr_assert(net.until([&] { return all_report(net, *net.nodes[5], member_state::dead); },
                             seconds{60}),
                   "seed %lu: not all know of the death", seed);
         for (const auto& viewer : net.nodes) {
@@ -47,61 +47,62 @@
 
 // A VM is paused for minutes and returns as if nothing had happened. Its socket is full of old
 // frames and it holds dead members for alive. It refutes its own death and blames nobody.
-Test(membership, a_paused_node_returns)
+Test(membership, a_paused_node_rejoins)
 {
     test_network net{7};
     for (std::size_t i = 0; i < 12; ++i)
         net.add(i, 2);
-    cr_assert(net.until([&] { return net.all_see_all(); }, seconds{30}));
-    test_node& sleeper = *net.nodes[4];
-    sleeper.paused = true;
-    cr_assert(net.until([&] { return all_hold(net, sleeper, member_state::dead); }, seconds{60}));
+    cr_assert(net.until([&] { return net.views_converged(); }, seconds{30}));
+    test_node& paused_node = *net.nodes[4];
+    paused_node.paused = true;
+    cr_assert(
+        net.until([&] { return all_report(net, paused_node, member_state::dead); }, seconds{60}));
     net.run_for(minutes{3});
-    net.resume(sleeper);
-    cr_assert(net.until([&] { return net.all_see_all(); }, seconds{30}));
-    cr_assert_gt(sleeper.core.self().incarnation, 0U);
+    net.resume(paused_node);
+    cr_assert(net.until([&] { return net.views_converged(); }, seconds{30}));
+    cr_assert_gt(paused_node.core.self().incarnation, 0U);
 }
 
 // Two halves of a failure domain lose each other until each holds the other for dead. When the
 // network heals they must find each other again without an operator.
-Test(membership, halves_that_hold_each_other_for_dead_meet_again)
+Test(membership, partitioned_halves_rejoin)
 {
     test_network net{8};
     for (std::size_t i = 0; i < 8; ++i)
         net.add(i, 1);
-    cr_assert(net.until([&] { return net.all_see_all(); }, seconds{30}));
+    cr_assert(net.until([&] { return net.views_converged(); }, seconds{30}));
     const auto half = [](const test_node& node) { return node.core.self().address < "10.0.0.4"; };
     net.cut = [&](const test_node& a, const test_node& b) { return half(a) != half(b); };
     net.run_for(minutes{2});
     cr_assert_eq(test_network::state_of(*net.nodes[0], *net.nodes[7]), member_state::dead);
     net.cut = nullptr;
-    cr_assert(net.until([&] { return net.all_see_all(); }, seconds{60}));
+    cr_assert(net.until([&] { return net.views_converged(); }, seconds{60}));
 }
 
 // A failure domain is cut off for ten minutes. Its members are not dead, and nothing has to be
 // refuted when it comes back.
-Test(membership, a_cut_off_domain_is_not_dead)
+Test(membership, a_partitioned_domain_is_not_declared_dead)
 {
     test_network net{9};
     for (std::size_t i = 0; i < 15; ++i)
         net.add(i, 3);
-    cr_assert(net.until([&] { return net.all_see_all(); }, seconds{30}));
+    cr_assert(net.until([&] { return net.views_converged(); }, seconds{30}));
     const failure_domain_id lost{"domain-2"};
     net.cut = [&](const test_node& a, const test_node& b) {
         return (a.core.self().failure_domain == lost) != (b.core.self().failure_domain == lost);
     };
     net.run_for(minutes{10});
-    cr_assert(net.all_see_all());
+    cr_assert(net.views_converged());
 }
 
 // A VM is replaced: a new process with the old name and address starts with a later boot. It wins
 // at once, and frames of the old process that still arrive change nothing.
-Test(membership, a_replaced_node_wins_over_its_past)
+Test(membership, a_restarted_node_supersedes_its_old_process)
 {
     test_network net{10};
     for (std::size_t i = 0; i < 6; ++i)
         net.add(i, 1);
-    cr_assert(net.until([&] { return net.all_see_all(); }, seconds{30}));
+    cr_assert(net.until([&] { return net.views_converged(); }, seconds{30}));
     test_node& old = *net.nodes[3];
     old.crashed = true;
     const std::string address = old.core.self().address;
@@ -121,7 +122,7 @@
     membership_settings settings;
     settings.deployment = "test";
     settings.self = old.core.self();
-    for (const auto& command : old.core.ask(net.now, {net.nodes[0]->core.self().node})) {
+    for (const auto& command : old.core.ping_nodes(net.now, {net.nodes[0]->core.self().node})) {
         const auto& frame = std::get<send_frame>(command);
         net.run(*net.nodes[0],
                 net.nodes[0]->core.frame_received(net.now, old.core.self().node, frame.bytes));
@@ -132,31 +133,32 @@
 
 // Another node gets the address of one that was replaced. Frames meant for the first are not
 // answered in its name, so the first is found to be gone.
-Test(membership, an_address_that_changed_hands_does_not_answer_for_the_old_node)
+Test(membership, a_reused_address_does_not_answer_for_the_old_node)
 {
     test_network net{11};
     for (std::size_t i = 0; i < 6; ++i)
         net.add(i, 1);
-    cr_assert(net.until([&] { return net.all_see_all(); }, seconds{30}));
+    cr_assert(net.until([&] { return net.views_converged(); }, seconds{30}));
     test_node& old = *net.nodes[2];
     old.crashed = true;
-    test_node& heir = net.add(77, 1, 5, old.core.self().address);
-    cr_assert(net.until([&] { return all_hold(net, old, member_state::dead); }, seconds{60}));
-    cr_assert(net.until([&] { return all_hold(net, heir, member_state::alive); }, seconds{60}));
+    test_node& new_owner = net.add(77, 1, 5, old.core.self().address);
+    cr_assert(net.until([&] { return all_report(net, old, member_state::dead); }, seconds{60}));
+    cr_assert(
+        net.until([&] { return all_report(net, new_owner, member_state::alive); }, seconds{60}));
 }
 
 // A node says goodbye: its domain knows at once, without waiting for a suspicion.
-Test(membership, leaving_is_heard_at_once)
+Test(membership, leaving_is_known_within_100_ms)
 {
     test_network net{12};
     for (std::size_t i = 0; i < 6; ++i)
         net.add(i, 1);
-    cr_assert(net.until([&] { return net.all_see_all(); }, seconds{30}));
+    cr_assert(net.until([&] { return net.views_converged(); }, seconds{30}));
     test_node& leaver = *net.nodes[1];
     net.run(leaver, leaver.core.leave(net.now));
     leaver.crashed = true;
     net.run_for(milliseconds{100});
-    cr_assert(all_hold(net, leaver, member_state::left));
+    cr_assert(all_report(net, leaver, member_state::left));
 }
 
 // An operator drains a server. Every node of 90 in three domains must stop picking it within two
@@ -167,11 +169,11 @@
     net.loss = 0.02;
     for (std::size_t i = 0; i < 90; ++i)
         net.add(i, 3);
-    cr_assert(net.until([&] { return net.all_see_all(); }, minutes{3}));
+    cr_assert(net.until([&] { return net.views_converged(); }, minutes{3}));
     std::size_t heard = 0;
     for (const auto& node : net.nodes) {
         node->on_command = [&](const membership_command& command) {
-            const auto* news = std::get_if<rumor_heard>(&command);
+            const auto* news = std::get_if<rumor_received>(&command);
             if (news != nullptr && std::holds_alternative<leaving>(news->item))
                 ++heard;
         };
@@ -181,18 +183,18 @@
 }
 
 // Guards against nodes that keep a server's limit after another node heard that it is lifted.
-Test(membership, a_servers_limit_and_its_end_are_known_everywhere)
+Test(membership, a_server_limit_and_its_removal_reach_all_nodes)
 {
     test_network net{15};
     net.loss = 0.02;
     constexpr std::size_t nodes = 30;
     for (std::size_t i = 0; i < nodes; ++i)
         net.add(i, 3);
-    cr_assert(net.until([&] { return net.all_see_all(); }, minutes{3}));
+    cr_assert(net.until([&] { return net.views_converged(); }, minutes{3}));
     std::vector<std::optional<double>> known(nodes);
     for (std::size_t i = 0; i < nodes; ++i) {
         net.nodes[i]->on_command = [&known, i](const membership_command& command) {
-            const auto* news = std::get_if<rumor_heard>(&command);
+            const auto* news = std::get_if<rumor_received>(&command);
             if (news == nullptr)
                 return;
             if (const auto* limit = std::get_if<server_limit>(&news->item))
@@ -216,15 +218,15 @@
 
 // A frame sat in a paused node's socket for a minute. The ticket that it brings must look a minute
 // old, or a group that has lost a VM since would be served from.
-Test(membership, a_stuck_frame_does_not_make_a_ticket_fresh)
+Test(membership, a_delayed_frame_does_not_make_a_ticket_look_recent)
 {
     test_network net{14};
     net.add(0, 1);
     net.add(1, 1);
-    cr_assert(net.until([&] { return net.all_see_all(); }, seconds{10}));
+    cr_assert(net.until([&] { return net.views_converged(); }, seconds{10}));
     duration seen{0};
     net.nodes[1]->on_command = [&](const membership_command& command) {
-        const auto* news = std::get_if<rumor_heard>(&command);
+        const auto* news = std::get_if<rumor_received>(&command);
         if (news != nullptr)
             seen = std::get<ticket_digest>(news->item).age;
     };
@@ -239,18 +241,18 @@
 
 // Of two reports about one group in the same instant, the one that says it is not whole wins, and
 // an older "whole" that arrives later does not bring it back.
-Test(membership, a_ticket_that_is_gone_stays_gone)
+Test(membership, an_incomplete_ticket_overrides_older_complete_ones)
 {
     rumor_table table{{}};
     const time_point now{std::chrono::hours{1}};
     const ticket_digest whole{1, fencing_number{5}, 100, true, {}};
     ticket_digest gone = whole;
     gone.complete = false;
-    cr_assert(table.offer(whole, now, now, 10));
-    cr_assert(table.offer(gone, now - milliseconds{50}, now, 10));
-    cr_assert_not(table.offer(whole, now, now, 10));
-    cr_assert_not(table.offer(whole, now - seconds{5}, now, 10));
-    cr_assert(table.offer(whole, now + seconds{2}, now + seconds{2}, 10));
+    cr_assert(table.insert_if_newer(whole, now, now, 10));
+    cr_assert(table.insert_if_newer(gone, now - milliseconds{50}, now, 10));
+    cr_assert_not(table.insert_if_newer(whole, now, now, 10));
+    cr_assert_not(table.insert_if_newer(whole, now - seconds{5}, now, 10));
+    cr_assert(table.insert_if_newer(whole, now + seconds{2}, now + seconds{2}, 10));
 }
 
 // A process of another deployment, or one that forges a name over TLS, changes nothing.
@@ -259,7 +261,7 @@
     test_network net{15};
     net.add(0, 1);
     net.add(1, 1);
-    cr_assert(net.until([&] { return net.all_see_all(); }, seconds{10}));
+    cr_assert(net.until([&] { return net.views_converged(); }, seconds{10}));
     test_network other{16};
     test_node& foreign = other.add(5, 1, 9, "10.0.0.5:7100", "prod");
     foreign.core.add_seeds({net.nodes[0]->core.self().address});
@@ -270,7 +272,7 @@
     cr_assert_eq(core.members().size(), known);
 
     std::string genuine;
-    for (const auto& command : net.nodes[1]->core.ask(net.now, {core.self().node}))
+    for (const auto& command : net.nodes[1]->core.ping_nodes(net.now, {core.self().node}))
         genuine = std::get<send_frame>(command).bytes;
     const std::uint64_t refused = core.refused();
     cr_assert(core.frame_received(net.now, node_id{"entry-9"}, genuine).empty());
@@ -287,7 +289,7 @@
     test_network net{17};
     net.add(0, 1);
     net.add(1, 1);
-    cr_assert(net.until([&] { return net.all_see_all(); }, seconds{10}));
+    cr_assert(net.until([&] { return net.views_converged(); }, seconds{10}));
     wire::frame frame;
     frame.version = 9;
     frame.deployment = static_cast<std::int32_t>(wire_key("test"));
--- a/peers/peer_service.cc
+++ b/peers/peer_service.cc
@@ -13,7 +13,7 @@
 namespace {
 
 constexpr duration tick_interval = std::chrono::milliseconds{100};
-constexpr duration farewell = std::chrono::milliseconds{200}; ///< for the goodbye to get out
+constexpr duration leave_grace = std::chrono::milliseconds{200}; ///< for the goodbye to get out
 
 random_source random_for(const peer_settings& settings)
 {
@@ -40,38 +40,38 @@
 public:
     state(asio::io_context& io, const peer_settings& settings,
           std::unique_ptr<peer_transport> transport)
-        : m_transport{std::move(transport)}, m_pause{io}, m_farewell{io},
+        : m_transport{std::move(transport)}, m_tick_timer{io}, m_leave_timer{io},
           m_core{core_settings(settings, m_transport->address()), random_for(settings)}
     {
         m_core.add_seeds(settings.seeds);
-        m_transport->on_frame([this](const node_id& proved, const std::string& bytes) {
-            run(m_core.frame_received(runtime_clock::now(), proved, bytes));
+        m_transport->on_frame([this](const node_id& verified_name, const std::string& bytes) {
+            run(m_core.frame_received(runtime_clock::now(), verified_name, bytes));
         });
     }
 
     // The coroutines keep the state: a service may be destroyed while they wait for a timer, whose
     // cancellation then resumes them.
-    asio::awaitable<void> tick_loop([[maybe_unused]] std::shared_ptr<state> keep)
+    asio::awaitable<void> tick_loop([[maybe_unused]] std::shared_ptr<state> keep_alive)
     {
         while (!m_stopped) {
             run(m_core.tick(runtime_clock::now()));
-            m_pause.expires_after(tick_interval);
-            co_await m_pause.async_wait(asio::as_tuple(asio::use_awaitable));
+            m_tick_timer.expires_after(tick_interval);
+            co_await m_tick_timer.async_wait(asio::as_tuple(asio::use_awaitable));
         }
     }
 
-    asio::awaitable<void> leave([[maybe_unused]] std::shared_ptr<state> keep)
+    asio::awaitable<void> leave([[maybe_unused]] std::shared_ptr<state> keep_alive)
     {
         run(m_core.leave(runtime_clock::now()));
-        m_farewell.expires_after(farewell);
-        co_await m_farewell.async_wait(asio::as_tuple(asio::use_awaitable));
+        m_leave_timer.expires_after(leave_grace);
+        co_await m_leave_timer.async_wait(asio::as_tuple(asio::use_awaitable));
         stop();
     }
 
     void stop()
     {
         m_stopped = true;
-        m_pause.cancel();
+        m_tick_timer.cancel();
         m_transport->stop();
         m_rumor_handler = nullptr;
         m_member_handler = nullptr;
@@ -83,12 +83,12 @@
     void run(const membership_commands& commands)
     {
         for (const membership_command& command : commands)
-            std::visit([this](const auto& order) { carry_out(order); }, command);
+            std::visit([this](const auto& order) { execute(order); }, command);
     }
 
     std::unique_ptr<peer_transport> m_transport;
-    timer m_pause;
-    timer m_farewell;
+    timer m_tick_timer;
+    timer m_leave_timer;
     membership_core m_core;
     std::uint64_t m_members_version = 1;
     std::function<void(const rumor&)> m_rumor_handler;
@@ -100,11 +100,11 @@
     std::function<void(const server_message&)> m_server_handler;
 
 private:
-    void carry_out(const send_frame& order)
+    void execute(const send_frame& order)
     {
         m_transport->send(order.to, order.address, order.bytes);
     }
-    void carry_out(const member_changed& order)
+    void execute(const member_changed& order)
     {
         ++m_members_version;
         log_event(log_level::info, "member_changed",
@@ -115,7 +115,7 @@
         if (m_member_handler)
             m_member_handler(order.now);
     }
-    void carry_out(const rumor_heard& order)
+    void execute(const rumor_received& order)
     {
         const auto* confirmed = std::get_if<confirmation>(&order.item);
         if (confirmed != nullptr && m_confirmation_handler)
@@ -123,22 +123,22 @@
         if (m_rumor_handler)
             m_rumor_handler(order.item);
     }
-    void carry_out(const config_message& order)
+    void execute(const config_message& order)
     {
         if (m_config_handler)
             m_config_handler(order);
     }
-    void carry_out(const key_message& order)
+    void execute(const key_message& order)
     {
         if (m_key_handler)
             m_key_handler(order);
     }
-    void carry_out(const server_message& order)
+    void execute(const server_message& order)
     {
         if (m_server_handler)
             m_server_handler(order);
     }
-    void carry_out(const superseded& order)
+    void execute(const superseded& order)
     {
         if (m_superseded)
             return;
@@ -167,11 +167,12 @@
     if (settings.boot == 0)
         settings.boot = static_cast<std::uint64_t>(wall_time_ms());
     BOOST_OUTCOME_TRY(auto transport, peer_transport::create(io, {settings.listen, settings.tls}));
-    auto hidden = std::make_shared<state>(io, settings, std::move(transport));
-    return std::unique_ptr<peer_service>{new peer_service{std::move(hidden)}};
+    auto shared_state = std::make_shared<state>(io, settings, std::move(transport));
+    return std::unique_ptr<peer_service>{new peer_service{std::move(shared_state)}};
 }
 
-peer_service::peer_service(std::shared_ptr<state> hidden) : m_state{std::move(hidden)} {}
+peer_service::peer_service(std::shared_ptr<state> shared_state) : m_state{std::move(shared_state)}
+{}
 peer_service::~peer_service()
 {
     m_state->stop();
@@ -276,19 +277,19 @@
     m_state->run(m_state->m_core.send_keys(runtime_clock::now(), to, body));
 }
 
-void peer_service::on_servers(std::function<void(const server_message&)> handler)
+void peer_service::on_server_message(std::function<void(const server_message&)> handler)
 {
     m_state->m_server_handler = std::move(handler);
 }
 
-void peer_service::send_server(const node_id& to, const server_body& body)
+void peer_service::send_server_message(const node_id& to, const server_body& body)
 {
-    m_state->run(m_state->m_core.send_server(runtime_clock::now(), to, body));
+    m_state->run(m_state->m_core.send_server_message(runtime_clock::now(), to, body));
 }
 
-void peer_service::ask(const std::vector<node_id>& nodes)
+void peer_service::ping_nodes(const std::vector<node_id>& nodes)
 {
-    m_state->run(m_state->m_core.ask(runtime_clock::now(), nodes));
+    m_state->run(m_state->m_core.ping_nodes(runtime_clock::now(), nodes));
 }
 
 } // namespace jaynotch
--- a/peers/peer_tls.cc
+++ b/peers/peer_tls.cc
@@ -14,7 +14,7 @@
 
 namespace {
 
-error unusable(const std::string& path, const std::string& why)
+error unusable_file(const std::string& path, const std::string& why)
 {
     return {error_kind::invalid_argument, "peer key file " + path + ": " + why,
             "give a certificate, its key and the authority's certificate, all PEM"};
@@ -22,16 +22,16 @@
 
 } // namespace
 
-result<peer_keys> peer_keys::load(peer_tls_files files)
+result<tls_credentials> tls_credentials::load(peer_tls_files files)
 {
-    peer_keys keys;
+    tls_credentials keys;
     keys.m_stamps = stamps_of(files);
     BOOST_OUTCOME_TRY(keys.m_context, make_context(files));
     keys.m_files = std::move(files);
     return keys;
 }
 
-bool peer_keys::refresh()
+bool tls_credentials::refresh()
 {
     const stamps now = stamps_of(m_files);
     if (now == m_stamps)
@@ -47,7 +47,7 @@
     return true;
 }
 
-peer_keys::stamp peer_keys::stamp_of(const std::string& path)
+tls_credentials::stamp tls_credentials::stamp_of(const std::string& path)
 {
     std::error_code missing;
     const auto written = std::filesystem::last_write_time(path, missing);
@@ -55,12 +55,12 @@
     return missing ? stamp{} : stamp{written, size};
 }
 
-peer_keys::stamps peer_keys::stamps_of(const peer_tls_files& files)
+tls_credentials::stamps tls_credentials::stamps_of(const peer_tls_files& files)
 {
     return {stamp_of(files.certificate), stamp_of(files.key), stamp_of(files.authority)};
 }
 
-result<std::shared_ptr<ssl::context>> peer_keys::make_context(const peer_tls_files& files)
+result<std::shared_ptr<ssl::context>> tls_credentials::make_context(const peer_tls_files& files)
 {
     auto context = std::make_shared<ssl::context>(ssl::context::tls);
     context->set_options(ssl::context::default_workarounds | ssl::context::no_sslv2 |
@@ -73,38 +73,38 @@
     boost::system::error_code failed;
     context->use_certificate_chain_file(files.certificate, failed);
     if (failed)
-        return unusable(files.certificate, failed.message());
+        return unusable_file(files.certificate, failed.message());
     context->use_private_key_file(files.key, ssl::context::pem, failed);
     if (failed)
-        return unusable(files.key, failed.message());
+        return unusable_file(files.key, failed.message());
     context->load_verify_file(files.authority, failed);
     if (failed)
-        return unusable(files.authority, failed.message());
+        return unusable_file(files.authority, failed.message());
     context->set_verify_mode(ssl::verify_peer | ssl::verify_fail_if_no_peer_cert, failed);
     if (failed)
-        return unusable(files.authority, failed.message());
+        return unusable_file(files.authority, failed.message());
     return context;
 }
 
-node_id proved_name(SSL* connection)
+node_id name_in_certificate(SSL* connection)
 {
     X509* certificate = SSL_get0_peer_certificate(connection);
     if (certificate == nullptr)
         return {};
     auto* names = static_cast<GENERAL_NAMES*>(
         X509_get_ext_d2i(certificate, NID_subject_alt_name, nullptr, nullptr));
-    node_id proved;
+    node_id verified_name;
     for (int i = 0; names != nullptr && i < sk_GENERAL_NAME_num(names); ++i) {
         const GENERAL_NAME* name = sk_GENERAL_NAME_value(names, i);
         if (name->type != GEN_DNS)
             continue;
         const auto* text = reinterpret_cast<const char*>(ASN1_STRING_get0_data(name->d.dNSName));
         const int length = ASN1_STRING_length(name->d.dNSName);
-        proved = node_id{std::string(text, static_cast<std::size_t>(length))};
+        verified_name = node_id{std::string(text, static_cast<std::size_t>(length))};
         break;
     }
     GENERAL_NAMES_free(names);
-    return proved;
+    return verified_name;
 }
 
 } // namespace jaynotch
--- a/peers/peer_tls.h
+++ b/peers/peer_tls.h
@@ -23,10 +23,10 @@
 };
 
 /// A TLS context made from the files, and when they were read.
-class peer_keys {
+class tls_credentials {
 public:
     /// Errors: invalid_argument if a file can't be read or key and certificate don't match.
-    static result<peer_keys> load(peer_tls_files files);
+    static result<tls_credentials> load(peer_tls_files files);
 
     /// Reads the files again if one has changed; true if the context is a new one. Files that are
     /// half written or don't match leave the old context in place, with a warning in the log.
@@ -60,6 +60,6 @@
 
 /// The node that the other side's certificate names: the first DNS name of its subjectAltName.
 /// Empty if it has none.
-node_id proved_name(SSL* connection);
+node_id name_in_certificate(SSL* connection);
 
 } // namespace jaynotch
--- a/peers/peers.h
+++ b/peers/peers.h
@@ -86,15 +86,15 @@
     void send_keys(const node_id& to, const key_body& body);
 
     // Second opinions on backend servers.
-    void on_servers(std::function<void(const server_message&)> handler);
-    void send_server(const node_id& to, const server_body& body);
+    void on_server_message(std::function<void(const server_message&)> handler);
+    void send_server_message(const node_id& to, const server_body& body);
 
     /// Asks nodes for a sign of life, and so for the revision that they have installed.
-    void ask(const std::vector<node_id>& nodes);
+    void ping_nodes(const std::vector<node_id>& nodes);
 
 private:
     class state;
-    explicit peer_service(std::shared_ptr<state> hidden);
+    explicit peer_service(std::shared_ptr<state> shared_state);
     std::shared_ptr<state> m_state;
 };
 
--- a/peers/rumor_table.cc
+++ b/peers/rumor_table.cc
@@ -22,15 +22,15 @@
 constexpr double milli = 1'000.0;
 constexpr duration age_unit = std::chrono::milliseconds{100};
 constexpr duration age_slack = std::chrono::milliseconds{250};
-constexpr duration status_life = std::chrono::seconds{120}; ///< of tickets and demand
-constexpr duration notice_life = std::chrono::hours{1};     ///< of the rest
-constexpr std::size_t status_sends = 3;
-constexpr std::size_t confirmation_sends = 2;
+constexpr duration status_ttl = std::chrono::seconds{120}; ///< of tickets and demand
+constexpr duration default_ttl = std::chrono::hours{1};    ///< of the rest
+constexpr std::size_t status_transmissions = 3;
+constexpr std::size_t confirmation_transmissions = 2;
 
-constexpr double urgent_room = 120.0;
-constexpr std::size_t first_class = 0;
-constexpr std::size_t second_class = 1;
-constexpr std::size_t third_class = 2;
+constexpr double min_urgent_bytes = 120.0;
+constexpr std::size_t highest_priority = 0;
+constexpr std::size_t middle_priority = 1;
+constexpr std::size_t lowest_priority = 2;
 
 template <class... Visitors>
 struct overloaded : Visitors... {
@@ -39,44 +39,46 @@
 template <class... Visitors>
 overloaded(Visitors...) -> overloaded<Visitors...>;
 
-std::uint64_t combine(std::uint32_t a, std::uint32_t b, std::uint32_t c)
+std::uint64_t hash_parts(std::uint32_t a, std::uint32_t b, std::uint32_t c)
 {
     const std::array<std::uint32_t, 3> parts{a, b, c};
     return hash64({reinterpret_cast<const char*>(parts.data()), sizeof parts});
 }
 
-std::size_t rank_of(const spread_item& item)
+std::size_t priority_of(const gossip_item& item)
 {
-    return std::visit(
-        overloaded{
-            [](const member&) { return second_class; },
-            [](const leaving&) { return first_class; },
-            [](const ticket_digest& ticket) { return ticket.complete ? third_class : first_class; },
-            [](const demand&) { return third_class; },
-            [](const confirmation&) { return third_class; },
-            [](const key_notice&) { return second_class; },
-            [](const server_limit&) { return second_class; },
-        },
-        item);
+    return std::visit(overloaded{
+                          [](const member&) { return middle_priority; },
+                          [](const leaving&) { return highest_priority; },
+                          [](const ticket_digest& ticket) {
+                              return ticket.complete ? lowest_priority : highest_priority;
+                          },
+                          [](const demand&) { return lowest_priority; },
+                          [](const confirmation&) { return lowest_priority; },
+                          [](const key_notice&) { return middle_priority; },
+                          [](const server_limit&) { return middle_priority; },
+                      },
+                      item);
 }
 
-std::size_t sends_of(const spread_item& item, std::size_t fleet)
+std::size_t transmissions_for(const gossip_item& item, std::size_t fleet)
 {
-    if (rank_of(item) != third_class)
+    if (priority_of(item) != lowest_priority)
         return 3 * static_cast<std::size_t>(std::ceil(std::log2(static_cast<double>(fleet) + 2.0)));
-    return std::holds_alternative<confirmation>(item) ? confirmation_sends : status_sends;
+    return std::holds_alternative<confirmation>(item) ? confirmation_transmissions
+                                                      : status_transmissions;
 }
 
-duration life_of(const spread_item& item)
+duration ttl_of(const gossip_item& item)
 {
     const bool status = std::holds_alternative<ticket_digest>(item) ||
                         std::holds_alternative<demand>(item) ||
                         std::holds_alternative<server_limit>(item);
-    return status ? status_life : notice_life;
+    return status ? status_ttl : default_ttl;
 }
 
 // About what the item takes in a frame; the exact sizes are checked by the byte-count test.
-std::size_t bytes_of(const spread_item& item)
+std::size_t estimated_bytes(const gossip_item& item)
 {
     constexpr std::size_t ticket_bytes = 17;
     constexpr std::size_t demand_bytes = 28;
@@ -100,29 +102,31 @@
         item);
 }
 
-bool ticket_is_news(const ticket_digest& heard, const ticket_digest& known, duration later)
+bool is_newer_ticket(const ticket_digest& received, const ticket_digest& known,
+                     duration time_difference)
 {
-    if (heard.fencing != known.fencing)
-        return heard.fencing > known.fencing;
+    if (received.fencing != known.fencing)
+        return received.fencing > known.fencing;
     // Within the slack nobody can say which came last: then the ticket counts as gone, since a
     // whole group left out for a moment is harmless and a partial one that serves is not.
-    if (!heard.complete && known.complete)
-        return later > -age_slack;
-    if (heard.complete && !known.complete)
-        return later > 2 * age_slack;
-    return later > age_slack;
+    if (!received.complete && known.complete)
+        return time_difference > -age_slack;
+    if (received.complete && !known.complete)
+        return time_difference > 2 * age_slack;
+    return time_difference > age_slack;
 }
 
-bool confirmation_is_news(const confirmation& heard, const confirmation& known, duration later)
+bool is_newer_confirmation(const confirmation& received, const confirmation& known,
+                           duration time_difference)
 {
-    if (heard.revision > known.revision)
+    if (received.revision > known.revision)
         return true;
     const bool same =
-        heard.revision == known.revision && heard.platform_lost == known.platform_lost;
-    return !same && later > age_slack;
+        received.revision == known.revision && received.platform_lost == known.platform_lost;
+    return !same && time_difference > age_slack;
 }
 
-void append(wire::frame& frame, const spread_item& item, duration age)
+void append(wire::frame& frame, const gossip_item& item, duration age)
 {
     std::visit(overloaded{
                    [&](const member& known) {
@@ -226,27 +230,27 @@
     return out;
 }
 
-member from_wire(const wire::member_update& heard)
+member from_wire(const wire::member_update& received)
 {
     // A state that a newer version invented is read as alive: the safe guess is not to drop it.
-    const int state = static_cast<int>(heard.state) - 1;
+    const int state = static_cast<int>(received.state) - 1;
     const bool known = state >= 0 && state <= static_cast<int>(member_state::left);
-    return {node_id{heard.node},
-            failure_domain_id{heard.failure_domain},
-            heard.address,
-            static_cast<std::uint64_t>(heard.boot),
-            static_cast<std::uint32_t>(heard.incarnation),
+    return {node_id{received.node},
+            failure_domain_id{received.failure_domain},
+            received.address,
+            static_cast<std::uint64_t>(received.boot),
+            static_cast<std::uint32_t>(received.incarnation),
             known ? static_cast<member_state>(state) : member_state::alive};
 }
 
-rumor_table::item_key rumor_table::key_of(const spread_item& item)
+rumor_table::item_key rumor_table::key_of(const gossip_item& item)
 {
     const std::uint64_t name =
         std::visit(overloaded{
                        [](const member& known) { return hash64(known.node.value()); },
                        [](const ticket_digest& ticket) { return std::uint64_t{ticket.group}; },
                        [](const demand& wanted) {
-                           return combine(wanted.node, wanted.pool, wanted.workspace);
+                           return hash_parts(wanted.node, wanted.pool, wanted.workspace);
                        },
                        [](const leaving& gone) { return hash64(gone.server); },
                        [](const confirmation& told) { return std::uint64_t{told.node}; },
@@ -257,34 +261,37 @@
     return {item.index(), name};
 }
 
-bool rumor_table::newer(const spread_item& heard, time_point observed, const entry& known)
+bool rumor_table::newer(const gossip_item& received, time_point observed, const entry& known)
 {
-    const duration later = observed - known.observed;
+    const duration time_difference = observed - known.observed;
     return std::visit(
         overloaded{
-            [&](const member& news) { return supersedes(news, std::get<member>(known.item)); },
-            [&](const ticket_digest& news) {
-                return ticket_is_news(news, std::get<ticket_digest>(known.item), later);
+            [&](const member& update) { return supersedes(update, std::get<member>(known.item)); },
+            [&](const ticket_digest& update) {
+                return is_newer_ticket(update, std::get<ticket_digest>(known.item),
+                                       time_difference);
             },
-            [&](const confirmation& news) {
-                return confirmation_is_news(news, std::get<confirmation>(known.item), later);
+            [&](const confirmation& update) {
+                return is_newer_confirmation(update, std::get<confirmation>(known.item),
+                                             time_difference);
             },
-            [&](const key_notice& news) {
-                return news.revision > std::get<key_notice>(known.item).revision;
+            [&](const key_notice& update) {
+                return update.revision > std::get<key_notice>(known.item).revision;
             },
-            [&](const server_limit& news) {
-                const bool same = news.per_second == std::get<server_limit>(known.item).per_second;
-                return later > (same ? age_slack : duration{0});
+            [&](const server_limit& update) {
+                const bool same =
+                    update.per_second == std::get<server_limit>(known.item).per_second;
+                return time_difference > (same ? age_slack : duration{0});
             },
-            [&](const auto&) { return later > age_slack; },
+            [&](const auto&) { return time_difference > age_slack; },
         },
-        heard);
+        received);
 }
 
-bool rumor_table::offer(const spread_item& item, time_point observed, time_point now,
-                        std::size_t fleet)
+bool rumor_table::insert_if_newer(const gossip_item& item, time_point observed, time_point now,
+                                  std::size_t fleet)
 {
-    if (now - observed >= life_of(item))
+    if (now - observed >= ttl_of(item))
         return false;
     const item_key key = key_of(item);
     auto found = m_entries.find(key);
@@ -295,38 +302,41 @@
             return false;
         found = m_entries.emplace(key, entry{}).first;
     }
-    entry& held = found->second;
-    const std::size_t rank = rank_of(item);
-    if (!held.queued || held.rank != rank)
-        m_queues.at(rank).push_back(key);
-    held = {item, observed, sends_of(item, fleet), rank, true};
+    entry& stored = found->second;
+    const std::size_t priority = priority_of(item);
+    if (!stored.queued || stored.priority != priority)
+        m_queues.at(priority).push_back(key);
+    stored = {item, observed, transmissions_for(item, fleet), priority, true};
     return true;
 }
 
 void rumor_table::fill(wire::frame& frame, time_point now)
 {
     refill(now);
-    double used = 0.0;
-    const double spare = std::min(m_tokens, static_cast<double>(m_budget.frame_bytes));
-    for (std::size_t rank = 0; rank < classes; ++rank) {
+    double used_bytes = 0.0;
+    const double available_bytes = std::min(m_tokens, static_cast<double>(m_budget.frame_bytes));
+    for (std::size_t priority = 0; priority < priority_levels; ++priority) {
         // Urgent news goes out even on an overdrawn budget, a little of it in each frame.
-        double room = rank == first_class ? std::max(spare, urgent_room) : spare - used;
-        auto& queue = m_queues.at(rank);
-        for (std::size_t left = queue.size(); left > 0 && room > 0.0; --left) {
+        double remaining_bytes = priority == highest_priority
+                                     ? std::max(available_bytes, min_urgent_bytes)
+                                     : available_bytes - used_bytes;
+        auto& queue = m_queues.at(priority);
+        for (std::size_t left = queue.size(); left > 0 && remaining_bytes > 0.0; --left) {
             const item_key key = queue.front();
             queue.pop_front();
             const auto found = m_entries.find(key);
             // The item has gone, or waits in another queue since its rank changed.
-            if (found == m_entries.end() || found->second.rank != rank || !found->second.queued)
+            if (found == m_entries.end() || found->second.priority != priority ||
+                !found->second.queued)
                 continue;
-            entry& held = found->second;
-            append(frame, held.item, now - held.observed);
-            const auto bytes = static_cast<double>(bytes_of(held.item));
-            room -= bytes;
-            used += bytes;
+            entry& stored = found->second;
+            append(frame, stored.item, now - stored.observed);
+            const auto bytes = static_cast<double>(estimated_bytes(stored.item));
+            remaining_bytes -= bytes;
+            used_bytes += bytes;
             m_tokens -= bytes;
-            held.queued = --held.sends_left > 0;
-            if (held.queued)
+            stored.queued = --stored.transmissions_left > 0;
+            if (stored.queued)
                 queue.push_back(key);
         }
     }
@@ -335,11 +345,11 @@
 void rumor_table::expire(time_point now)
 {
     std::erase_if(m_entries, [&](const auto& item) {
-        return now - item.second.observed >= life_of(item.second.item);
+        return now - item.second.observed >= ttl_of(item.second.item);
     });
 }
 
-bool rumor_table::take_urgent(std::size_t bytes, time_point now)
+bool rumor_table::consume_urgent_budget(std::size_t bytes, time_point now)
 {
     refill(now);
     // A budget of its own, since loads always use theirs up; a flood of urgent news waits for
--- a/peers/rumor_table.h
+++ b/peers/rumor_table.h
@@ -20,7 +20,7 @@
 namespace jaynotch {
 
 /// Everything that is passed from node to node.
-using spread_item =
+using gossip_item =
     std::variant<member, ticket_digest, demand, leaving, confirmation, key_notice, server_limit>;
 
 /// Most things kept; the newest of each kind at 410 nodes and 200 groups is 3,000 or so.
@@ -41,31 +41,32 @@
 
     /// Takes in what was observed at `observed`; true if it is news. `fleet` is the number of
     /// members, which sets how often important items are told.
-    bool offer(const spread_item& item, time_point observed, time_point now, std::size_t fleet);
+    bool insert_if_newer(const gossip_item& item, time_point observed, time_point now,
+                         std::size_t fleet);
     /// Adds items to the frame, most important and least told first.
     void fill(wire::frame& frame, time_point now);
     /// Drops what is too old to be of use.
     void expire(time_point now);
     /// Whether something urgent may be sent now; takes `bytes` from the budget if so.
-    bool take_urgent(std::size_t bytes, time_point now);
+    bool consume_urgent_budget(std::size_t bytes, time_point now);
     [[nodiscard]] std::size_t size() const { return m_entries.size(); }
 
 private:
-    static constexpr std::size_t classes = 3;
+    static constexpr std::size_t priority_levels = 3;
     struct item_key {
         std::size_t kind = 0;
         std::uint64_t name = 0;
         friend auto operator<=>(const item_key&, const item_key&) = default;
     };
     struct entry {
-        spread_item item;
+        gossip_item item;
         time_point observed;
-        std::size_t sends_left = 0;
-        std::size_t rank = 0; ///< 0 is told first
+        std::size_t transmissions_left = 0;
+        std::size_t priority = 0; ///< 0 is told first
         bool queued = false;
     };
-    static item_key key_of(const spread_item& item);
-    static bool newer(const spread_item& heard, time_point observed, const entry& known);
+    static item_key key_of(const gossip_item& item);
+    static bool newer(const gossip_item& received, time_point observed, const entry& known);
     [[nodiscard]] double burst() const { return 2.0 * m_budget.bytes_s; }
     void refill(time_point now);
 
@@ -74,7 +75,7 @@
     double m_urgent_tokens = 0.0;
     time_point m_refilled{};
     std::map<item_key, entry> m_entries;
-    std::array<std::deque<item_key>, classes> m_queues;
+    std::array<std::deque<item_key>, priority_levels> m_queues;
 };
 
 /// Ages in frames count tenths of a second, rounded up so that a rumor never looks newer than it
@@ -88,6 +89,6 @@
 
 /// Conversions of members between the frame and the core.
 wire::member_update to_wire(const member& known);
-member from_wire(const wire::member_update& heard);
+member from_wire(const wire::member_update& received);
 
 } // namespace jaynotch
--- a/peers/store_followers.cc
+++ b/peers/store_followers.cc
@@ -30,51 +30,52 @@
     m_rank = m_ranks.try_emplace(m_settings.self, m_ranks.size()).first->second;
 }
 
-void store_followers::told(const node_id& from, duration store_age, time_point now)
+void store_followers::push_received(const node_id& from, duration store_age, time_point now)
 {
     const auto found = m_ranks.find(from);
     if (found == m_ranks.end())
         return;
-    m_fresh = std::max(m_fresh, now - store_age);
+    m_last_fresh = std::max(m_last_fresh, now - store_age);
     if (found->second < m_rank)
-        m_lower_fresh = std::max(m_lower_fresh, now - store_age);
+        m_lower_rank_fresh = std::max(m_lower_rank_fresh, now - store_age);
 }
 
-void store_followers::answered(time_point now)
+void store_followers::store_answered(time_point now)
 {
-    m_answered = now;
-    m_fresh = std::max(m_fresh, now);
+    m_last_answer = now;
+    m_last_fresh = std::max(m_last_fresh, now);
 }
 
-void store_followers::lost(time_point now)
+void store_followers::store_failed(time_point now)
 {
-    m_answered.reset();
+    m_last_answer.reset();
     m_standing_in = false;
-    m_not_before = now + m_settings.stand_in_again;
+    m_stand_in_after = now + m_settings.stand_in_retry_delay;
 }
 
-bool store_followers::due(time_point now)
+bool store_followers::should_follow(time_point now)
 {
-    if (m_rank < m_settings.chosen) {
+    if (m_rank < m_settings.followers) {
         m_standing_in = false;
         return true;
     }
-    const auto behind = static_cast<duration::rep>(m_rank - m_settings.chosen);
+    const auto stand_in_position = static_cast<duration::rep>(m_rank - m_settings.followers);
     if (m_standing_in)
-        m_standing_in = now - m_lower_fresh > m_settings.fresh_for;
+        m_standing_in = now - m_lower_rank_fresh > m_settings.freshness_period;
     else
-        m_standing_in =
-            now >= m_not_before && now - m_fresh > m_settings.fresh_for + behind * m_settings.turn;
+        m_standing_in = now >= m_stand_in_after &&
+                        now - m_last_fresh > m_settings.freshness_period +
+                                                 stand_in_position * m_settings.stand_in_stagger;
     if (!m_standing_in)
-        m_answered.reset();
+        m_last_answer.reset();
     return m_standing_in;
 }
 
 std::optional<duration> store_followers::store_age(time_point now) const
 {
-    if (!m_answered)
+    if (!m_last_answer)
         return std::nullopt;
-    return now - *m_answered;
+    return now - *m_last_answer;
 }
 
 } // namespace jaynotch
--- a/peers/store_followers_test.cc
+++ b/peers/store_followers_test.cc
@@ -14,7 +14,7 @@
 namespace {
 
 /// What the store is to a node.
-enum class reach {
+enum class store_access {
     answers,
     refuses, ///< resets or turns away: the call fails at once
     hangs,   ///< nothing comes; the call fails when it times out
@@ -29,7 +29,7 @@
             names.emplace_back("node-" + std::to_string(index));
         for (const node_id& name : names) {
             m_nodes.push_back({name, store_followers{{.self = name}}});
-            m_nodes.back().turns.members_changed(names);
+            m_nodes.back().followers.members_changed(names);
         }
     }
 
@@ -38,22 +38,22 @@
     {
         std::vector<std::size_t> order(m_nodes.size());
         for (std::size_t index = 0; index < m_nodes.size(); ++index)
-            order[m_nodes[index].turns.rank()] = index;
+            order[m_nodes[index].followers.rank()] = index;
         return order;
     }
 
-    void set_reach(std::size_t node, reach now) { m_nodes[node].store = now; }
+    void set_store_access(std::size_t node, store_access now) { m_nodes[node].store = now; }
     void kill(std::size_t node) { m_nodes[node].alive = false; }
 
     /// The store takes a change; returns how long it takes until all that live, but for those that
     /// are told to be left out, have heard of it.
-    duration time_to_all(const std::set<std::size_t>& but)
+    duration propagation_time(const std::set<std::size_t>& excluded)
     {
         ++m_change;
         const time_point begun = m_now;
         const auto have = [&] {
             for (std::size_t index = 0; index < m_nodes.size(); ++index) {
-                const bool counts = m_nodes[index].alive && !but.contains(index);
+                const bool counts = m_nodes[index].alive && !excluded.contains(index);
                 if (counts && m_nodes[index].known < m_change)
                     return false;
             }
@@ -85,8 +85,8 @@
 
     struct node {
         node_id name;
-        store_followers turns;
-        reach store = reach::answers;
+        store_followers followers;
+        store_access store = store_access::answers;
         bool alive = true;
         int known = 0;                          ///< last change heard of
         std::optional<time_point> called_until; ///< call under way
@@ -95,7 +95,7 @@
         time_point pushed{};
     };
     struct push {
-        time_point due;
+        time_point should_follow;
         node_id from;
         duration age;
         int known = 0;
@@ -106,12 +106,12 @@
         m_now += step_time;
         for (node& one : m_nodes) {
             if (one.alive)
-                act(one);
+                step_node(one);
         }
-        while (!m_pushes.empty() && m_pushes.front().due <= m_now) {
+        while (!m_pushes.empty() && m_pushes.front().should_follow <= m_now) {
             for (node& one : m_nodes) {
                 if (one.alive && one.name != m_pushes.front().from) {
-                    one.turns.told(m_pushes.front().from, m_pushes.front().age, m_now);
+                    one.followers.push_received(m_pushes.front().from, m_pushes.front().age, m_now);
                     one.known = std::max(one.known, m_pushes.front().known);
                 }
             }
@@ -119,39 +119,39 @@
         }
     }
 
-    void act(node& one)
+    void step_node(node& one)
     {
-        const bool due = one.turns.due(m_now);
-        if (!one.called_until && due && m_now >= one.next_call) {
+        const bool should_follow = one.followers.should_follow(m_now);
+        if (!one.called_until && should_follow && m_now >= one.next_call) {
             ++m_calls;
             one.called = m_now;
-            one.called_until = m_now + (one.store == reach::answers ? wait : timeout);
+            one.called_until = m_now + (one.store == store_access::answers ? wait : timeout);
         }
         if (one.called_until)
-            progress(one);
-        const std::optional<duration> age = one.turns.store_age(m_now);
+            update_call(one);
+        const std::optional<duration> age = one.followers.store_age(m_now);
         if (age && m_now - one.pushed >= push_interval)
-            tell(one, *age);
+            push_to_domain(one, *age);
     }
 
-    void progress(node& one)
+    void update_call(node& one)
     {
         const bool news = one.known < m_change;
         const bool over = m_now >= *one.called_until;
-        if (one.store == reach::answers && (news || over)) {
+        if (one.store == store_access::answers && (news || over)) {
             one.called_until.reset();
             one.known = m_change;
-            one.turns.answered(m_now);
-            tell(one, duration{0});
+            one.followers.store_answered(m_now);
+            push_to_domain(one, duration{0});
         }
-        else if (one.store == reach::refuses || (one.store == reach::hangs && over)) {
+        else if (one.store == store_access::refuses || (one.store == store_access::hangs && over)) {
             one.called_until.reset();
             one.next_call = m_now + 800ms;
-            one.turns.lost(m_now);
+            one.followers.store_failed(m_now);
         }
     }
 
-    void tell(node& one, duration age)
+    void push_to_domain(node& one, duration age)
     {
         one.pushed = m_now;
         m_pushes.push_back({m_now + step_time, one.name, age, one.known});
@@ -166,42 +166,44 @@
 
 /// Within this a change must be in force; the least that operators ask for, less the time for a
 /// reading of everything.
-constexpr duration in_force = 2s + 700ms;
+constexpr duration max_propagation_time = 2s + 700ms;
 
 constexpr std::array sizes{4U, 24U, 82U};
 
 } // namespace
 
-Test(store_followers, two_follow_however_large_the_domain_is)
+Test(store_followers, two_nodes_follow_at_any_domain_size)
 {
     for (const std::size_t size : sizes) {
         domain here{size};
         here.run(10s);
         cr_assert_eq(here.following(), 2U);
         cr_assert_leq(here.calls(), 2 * 10 + 2 * size, "two calls a second, and the start");
-        cr_assert_lt(here.time_to_all({}), 100ms);
+        cr_assert_lt(here.propagation_time({}), 100ms);
     }
 }
 
 // Both followers are cut off from the store and live on: their neighbours kept old tables for as
 // long as they heard of them.
-Test(store_followers, a_change_reaches_all_though_no_follower_reaches_the_store)
+Test(store_followers, a_change_reaches_all_nodes_when_no_follower_reaches_the_store)
 {
     for (const std::size_t size : sizes) {
-        for (const reach lost : {reach::refuses, reach::hangs}) {
+        for (const store_access store_failed : {store_access::refuses, store_access::hangs}) {
             domain here{size};
             here.run(10s);
             const std::vector<std::size_t> order = here.ranked();
-            here.set_reach(order[0], lost);
-            here.set_reach(order[1], lost);
-            cr_assert_lt(here.time_to_all({order[0], order[1]}), in_force, "%zu nodes", size);
+            here.set_store_access(order[0], store_failed);
+            here.set_store_access(order[1], store_failed);
+            cr_assert_lt(here.propagation_time({order[0], order[1]}), max_propagation_time,
+                         "%zu nodes", size);
             here.run(3s);
-            cr_assert_lt(here.time_to_all({}), in_force, "their neighbours tell those cut off");
+            cr_assert_lt(here.propagation_time({}), max_propagation_time,
+                         "their neighbours tell those cut off");
         }
     }
 }
 
-Test(store_followers, a_change_reaches_all_though_every_follower_has_died)
+Test(store_followers, a_change_reaches_all_nodes_when_all_followers_are_dead)
 {
     for (const std::size_t size : sizes) {
         domain here{size};
@@ -209,20 +211,20 @@
         const std::vector<std::size_t> order = here.ranked();
         here.kill(order[0]);
         here.kill(order[1]);
-        cr_assert_lt(here.time_to_all({}), in_force, "%zu nodes", size);
+        cr_assert_lt(here.propagation_time({}), max_propagation_time, "%zu nodes", size);
     }
 }
 
 // A third of the nodes are turned away, the first in rank among them.
-Test(store_followers, a_change_reaches_all_though_the_first_third_is_turned_away)
+Test(store_followers, a_change_reaches_all_nodes_when_the_first_third_is_refused)
 {
     for (const std::size_t size : sizes) {
         domain here{size};
         here.run(10s);
         const std::vector<std::size_t> order = here.ranked();
         for (std::size_t rank = 0; rank < (size + 2) / 3; ++rank)
-            here.set_reach(order[rank], reach::refuses);
-        cr_assert_lt(here.time_to_all({}), in_force, "%zu nodes", size);
+            here.set_store_access(order[rank], store_access::refuses);
+        cr_assert_lt(here.propagation_time({}), max_propagation_time, "%zu nodes", size);
         const std::size_t before = here.calls();
         here.run(10s);
         // Two chosen ones that are turned away call each 0.8 s, one or a few stand in, and whoever
@@ -232,16 +234,16 @@
 }
 
 // Stand-ins hand back as soon as a chosen follower is answered again.
-Test(store_followers, stand_ins_stop_when_a_follower_is_back)
+Test(store_followers, stand_ins_stop_when_a_follower_recovers)
 {
     for (const std::size_t size : sizes) {
         domain here{size};
         const std::vector<std::size_t> order = here.ranked();
-        here.set_reach(order[0], reach::refuses);
-        here.set_reach(order[1], reach::refuses);
+        here.set_store_access(order[0], store_access::refuses);
+        here.set_store_access(order[1], store_access::refuses);
         here.run(10s);
-        here.set_reach(order[0], reach::answers);
-        here.set_reach(order[1], reach::answers);
+        here.set_store_access(order[0], store_access::answers);
+        here.set_store_access(order[1], store_access::answers);
         here.run(5s);
         cr_assert_eq(here.following(), 2U, "%zu nodes", size);
     }
@@ -255,12 +257,12 @@
         here.run(10s);
         const std::vector<std::size_t> order = here.ranked();
         for (const std::size_t node : order)
-            here.set_reach(node, reach::refuses);
+            here.set_store_access(node, store_access::refuses);
         const std::size_t before = here.calls();
         here.run(8s);
         cr_assert_leq(here.calls() - before, 2 * 10 + 4 * size);
         for (const std::size_t node : order)
-            here.set_reach(node, reach::answers);
-        cr_assert_lt(here.time_to_all({}), 1s);
+            here.set_store_access(node, store_access::answers);
+        cr_assert_lt(here.propagation_time({}), 1s);
     }
 }
--- a/peers/test_network.h
+++ b/peers/test_network.h
@@ -33,9 +33,9 @@
 
     random_source random;
     double loss = 0.0;
-    double doubled = 0.0;
-    duration least_delay = std::chrono::microseconds{500};
-    duration most_delay = std::chrono::microseconds{1500};
+    double duplication = 0.0;
+    duration min_delay = std::chrono::microseconds{500};
+    duration max_delay = std::chrono::microseconds{1500};
     std::function<bool(const test_node&, const test_node&)> cut; ///< true: nothing passes
     std::vector<std::unique_ptr<test_node>> nodes;
     time_point now{std::chrono::hours{1}};
@@ -125,7 +125,7 @@
     }
 
     /// Whether every running node holds every other running one for alive.
-    [[nodiscard]] bool all_see_all() const
+    [[nodiscard]] bool views_converged() const
     {
         for (const auto& viewer : nodes) {
             for (const auto& other : nodes) {
@@ -155,14 +155,14 @@
         const auto found = by_address.find(frame.address);
         if (from.crashed || found == by_address.end() || random.chance(loss))
             return;
-        const int copies = random.chance(doubled) ? 2 : 1;
+        const int copies = random.chance(duplication) ? 2 : 1;
         for (int i = 0; i < copies; ++i)
             deliver(from, *found->second, frame.bytes);
     }
 
     void deliver(test_node& from, test_node& to, const std::string& bytes)
     {
-        const duration delay{random.between(least_delay.count(), most_delay.count())};
+        const duration delay{random.between(min_delay.count(), max_delay.count())};
         const node_id sender = from.core.self().node;
         after(delay, [this, &from, &to, sender, bytes] {
             if (to.crashed || (cut && cut(from, to)))
--- a/peers/ticket_age_main.cc
+++ b/peers/ticket_age_main.cc
@@ -51,7 +51,7 @@
 {
     for (std::size_t i = 0; i < net.nodes.size(); ++i) {
         net.nodes[i]->on_command = [&net, &row = seen[i]](const membership_command& command) {
-            const auto* heard = std::get_if<rumor_heard>(&command);
+            const auto* heard = std::get_if<rumor_received>(&command);
             const auto* ticket =
                 heard == nullptr ? nullptr : std::get_if<ticket_digest>(&heard->item);
             if (ticket != nullptr && ticket->group < row.size())
--- a/peers/transport.cc
+++ b/peers/transport.cc
@@ -2,8 +2,8 @@
 // connection has two owners, and a peer that stops reading holds up only its own queue.
 //
 // What a stuck or hostile peer can't do: make a queue grow (bounded in frames and bytes), hold a
-// handshake open (timed), keep idle connections for ever (closed after `idle_limit`), have more
-// than `most_inbound` of them, announce a frame larger than max_frame_bytes (closed before anything
+// handshake open (timed), keep idle connections for ever (closed after `idle_timeout`), have more
+// than `max_inbound` of them, announce a frame larger than max_frame_bytes (closed before anything
 // is allocated), or speak in another's name (its certificate's name goes with each frame).
 #include "peers/transport.h"
 
@@ -36,13 +36,13 @@
 namespace {
 
 constexpr auto use_result = asio::as_tuple(asio::use_awaitable);
-constexpr duration handshake_limit = std::chrono::seconds{2};
-constexpr duration idle_limit = std::chrono::minutes{4};
-constexpr duration refresh_interval = std::chrono::seconds{1};
-constexpr duration retire_grace = std::chrono::seconds{5};
-constexpr std::size_t most_queued_frames = 64;
-constexpr std::size_t most_queued_bytes = 4U << 20U;
-constexpr std::size_t length_bytes = 4;
+constexpr duration handshake_timeout = std::chrono::seconds{2};
+constexpr duration idle_timeout = std::chrono::minutes{4};
+constexpr duration key_check_interval = std::chrono::seconds{1};
+constexpr duration old_connection_grace = std::chrono::seconds{5};
+constexpr std::size_t max_queued_frames = 64;
+constexpr std::size_t max_queued_bytes = 4U << 20U;
+constexpr std::size_t length_prefix_bytes = 4;
 
 /// A TCP connection, with TLS on it if there are keys.
 class channel {
@@ -67,8 +67,8 @@
         const auto [failed] = co_await m_secure->async_handshake(side, use_result);
         if (failed)
             co_return false;
-        m_proved = proved_name(m_secure->native_handle());
-        co_return !m_proved.value().empty();
+        m_verified_name = name_in_certificate(m_secure->native_handle());
+        co_return !m_verified_name.value().empty();
     }
 
     awaitable<bool> read(asio::mutable_buffer into)
@@ -97,13 +97,13 @@
         socket().close(ignored);
     }
 
-    [[nodiscard]] const node_id& proved() const { return m_proved; }
+    [[nodiscard]] const node_id& verified_name() const { return m_verified_name; }
 
 private:
     std::shared_ptr<asio::ssl::context> m_keys;
     std::optional<tcp::socket> m_plain;
     std::optional<asio::ssl::stream<tcp::socket>> m_secure;
-    node_id m_proved;
+    node_id m_verified_name;
 };
 
 /// Where frames to one peer wait.
@@ -125,10 +125,10 @@
 
 class peer_transport::state : public std::enable_shared_from_this<state> {
 public:
-    state(asio::io_context& io, tcp::acceptor acceptor, std::optional<peer_keys> keys,
-          std::size_t most_inbound)
+    state(asio::io_context& io, tcp::acceptor acceptor, std::optional<tls_credentials> keys,
+          std::size_t max_inbound)
         : m_io{io}, m_acceptor{std::move(acceptor)}, m_keys{std::move(keys)}, m_refresh{io},
-          m_address{to_text(m_acceptor.local_endpoint())}, m_most_inbound{most_inbound}
+          m_address{to_text(m_acceptor.local_endpoint())}, m_max_inbound{max_inbound}
     {}
 
     void start()
@@ -148,8 +148,8 @@
             peer = std::make_shared<outbound>(m_io);
             asio::co_spawn(m_io, send_loop(shared_from_this(), key, peer), asio::detached);
         }
-        const bool full = peer->queue.size() >= most_queued_frames ||
-                          peer->queued_bytes + bytes.size() > most_queued_bytes;
+        const bool full = peer->queue.size() >= max_queued_frames ||
+                          peer->queued_bytes + bytes.size() > max_queued_bytes;
         if (full) {
             ++m_counters.frames_dropped;
             return;
@@ -181,7 +181,7 @@
 private:
     std::shared_ptr<asio::ssl::context> context() { return m_keys ? m_keys->context() : nullptr; }
 
-    awaitable<void> accept_loop(std::shared_ptr<state> keep)
+    awaitable<void> accept_loop(std::shared_ptr<state> keep_alive)
     {
         while (!m_stopped) {
             auto [failed, socket] = co_await m_acceptor.async_accept(use_result);
@@ -193,27 +193,29 @@
                 co_await pause.async_wait(use_result);
                 continue;
             }
-            if (m_inbound.size() >= m_most_inbound) {
+            if (m_inbound.size() >= m_max_inbound) {
                 ++m_counters.peers_refused;
                 continue;
             }
-            asio::co_spawn(m_io, receive_loop(keep, std::move(socket)), asio::detached);
+            asio::co_spawn(m_io, receive_loop(keep_alive, std::move(socket)), asio::detached);
         }
     }
 
-    awaitable<bool> within(awaitable<bool> step, duration limit)
+    awaitable<bool> with_timeout(awaitable<bool> step, duration limit)
     {
-        timer late{m_io, limit};
-        const auto done = co_await (std::move(step) || late.async_wait(use_result));
+        timer deadline{m_io, limit};
+        const auto done = co_await (std::move(step) || deadline.async_wait(use_result));
         co_return done.index() == 0 && std::get<0>(done);
     }
 
-    awaitable<void> receive_loop([[maybe_unused]] std::shared_ptr<state> keep, tcp::socket socket)
+    awaitable<void> receive_loop([[maybe_unused]] std::shared_ptr<state> keep_alive,
+                                 tcp::socket socket)
     {
         const auto open = std::make_shared<channel>(std::move(socket), context());
         m_inbound.insert(open);
         ++m_counters.connections;
-        if (co_await within(open->handshake(asio::ssl::stream_base::server), handshake_limit)) {
+        if (co_await with_timeout(open->handshake(asio::ssl::stream_base::server),
+                                  handshake_timeout)) {
             while (!m_stopped && co_await receive_one(*open)) {
             }
         }
@@ -227,8 +229,8 @@
 
     awaitable<bool> receive_one(channel& from)
     {
-        std::array<unsigned char, length_bytes> head{};
-        if (!co_await within(from.read(asio::buffer(head)), idle_limit))
+        std::array<unsigned char, length_prefix_bytes> head{};
+        if (!co_await with_timeout(from.read(asio::buffer(head)), idle_timeout))
             co_return false;
         std::size_t length = 0;
         for (const unsigned char byte : head)
@@ -238,12 +240,12 @@
             co_return false;
         }
         std::string bytes(length, '\0');
-        if (!co_await within(from.read(asio::buffer(bytes)), idle_limit))
+        if (!co_await with_timeout(from.read(asio::buffer(bytes)), idle_timeout))
             co_return false;
         ++m_counters.frames_received;
-        m_counters.bytes_received += length + length_bytes;
+        m_counters.bytes_received += length + length_prefix_bytes;
         if (m_handler)
-            m_handler(from.proved(), std::move(bytes));
+            m_handler(from.verified_name(), std::move(bytes));
         co_return true;
     }
 
@@ -259,28 +261,29 @@
         if (!endpoint)
             co_return nullptr;
         tcp::socket socket{m_io};
-        if (!co_await within(connect(socket, endpoint.value()), handshake_limit))
+        if (!co_await with_timeout(connect(socket, endpoint.value()), handshake_timeout))
             co_return nullptr;
         auto opened = std::make_shared<channel>(std::move(socket), context());
-        if (!co_await within(opened->handshake(asio::ssl::stream_base::client), handshake_limit)) {
+        if (!co_await with_timeout(opened->handshake(asio::ssl::stream_base::client),
+                                   handshake_timeout)) {
             ++m_counters.peers_refused;
             co_return nullptr;
         }
         // Another node answers at this address: it is not told what was meant for the first.
-        if (m_keys && !key.node.value().empty() && opened->proved() != key.node) {
+        if (m_keys && !key.node.value().empty() && opened->verified_name() != key.node) {
             ++m_counters.peers_refused;
             co_return nullptr;
         }
         co_return opened;
     }
 
-    awaitable<void> send_loop([[maybe_unused]] std::shared_ptr<state> keep, peer_key key,
+    awaitable<void> send_loop([[maybe_unused]] std::shared_ptr<state> keep_alive, peer_key key,
                               std::shared_ptr<outbound> peer)
     {
         const std::shared_ptr<channel> opened = co_await open(key);
         if (opened != nullptr) {
             ++m_counters.connections;
-            co_await (drain(*opened, *peer) || watch_close(*opened));
+            co_await (send_queued(*opened, *peer) || wait_for_close(*opened));
             opened->close();
             --m_counters.connections;
         }
@@ -291,19 +294,19 @@
     }
 
     /// The peer sends nothing on a connection that we opened: bytes or an end both close it.
-    awaitable<void> watch_close(channel& opened)
+    awaitable<void> wait_for_close(channel& opened)
     {
         std::array<char, 1> nothing{};
         co_await opened.read(asio::buffer(nothing));
     }
 
-    awaitable<void> drain(channel& opened, outbound& peer)
+    awaitable<void> send_queued(channel& opened, outbound& peer)
     {
         while (!m_stopped) {
             if (peer.queue.empty()) {
                 if (peer.retired)
                     co_return;
-                peer.wake.expires_after(idle_limit / 2);
+                peer.wake.expires_after(idle_timeout / 2);
                 const auto [woken] = co_await peer.wake.async_wait(use_result);
                 if (!woken && peer.queue.empty())
                     co_return; // idle
@@ -312,11 +315,11 @@
             std::string bytes = std::move(peer.queue.front());
             peer.queue.pop_front();
             peer.queued_bytes -= bytes.size();
-            std::string framed(length_bytes, '\0');
-            for (std::size_t i = 0; i < length_bytes; ++i)
-                framed[i] = static_cast<char>(bytes.size() >> (8U * (length_bytes - 1 - i)));
+            std::string framed(length_prefix_bytes, '\0');
+            for (std::size_t i = 0; i < length_prefix_bytes; ++i)
+                framed[i] = static_cast<char>(bytes.size() >> (8U * (length_prefix_bytes - 1 - i)));
             framed += bytes;
-            if (!co_await within(opened.write(asio::buffer(framed)), idle_limit))
+            if (!co_await with_timeout(opened.write(asio::buffer(framed)), idle_timeout))
                 co_return;
             ++m_counters.frames_sent;
             m_counters.bytes_sent += framed.size();
@@ -325,10 +328,10 @@
 
     /// New keys: connections made with the old ones are given a moment to finish, then closed, so
     /// that no peer stays on credentials that were taken away.
-    awaitable<void> refresh_loop([[maybe_unused]] std::shared_ptr<state> keep)
+    awaitable<void> refresh_loop([[maybe_unused]] std::shared_ptr<state> keep_alive)
     {
         while (!m_stopped) {
-            m_refresh.expires_after(refresh_interval);
+            m_refresh.expires_after(key_check_interval);
             co_await m_refresh.async_wait(use_result);
             if (m_stopped || !m_keys->refresh())
                 continue;
@@ -338,7 +341,7 @@
             }
             m_outbound.clear();
             const auto old = m_inbound;
-            m_refresh.expires_after(retire_grace);
+            m_refresh.expires_after(old_connection_grace);
             co_await m_refresh.async_wait(use_result);
             for (const auto& connection : old)
                 connection->close();
@@ -347,10 +350,10 @@
 
     asio::io_context& m_io;
     tcp::acceptor m_acceptor;
-    std::optional<peer_keys> m_keys;
+    std::optional<tls_credentials> m_keys;
     timer m_refresh;
     std::string m_address;
-    std::size_t m_most_inbound;
+    std::size_t m_max_inbound;
     std::map<peer_key, std::shared_ptr<outbound>> m_outbound;
     std::set<std::shared_ptr<channel>> m_inbound;
     peer_counters m_counters;
@@ -361,14 +364,14 @@
                                                                transport_settings settings)
 {
     BOOST_OUTCOME_TRY(const auto endpoint, parse_endpoint(settings.listen));
-    std::optional<peer_keys> keys;
+    std::optional<tls_credentials> keys;
     if (settings.tls.empty()) {
         log_event(log_level::warning, "peer_plain_tcp",
                   {{"remedy", "set the peer key files; without them anyone who reaches the port "
                               "is taken for a peer"}});
     }
     else {
-        BOOST_OUTCOME_TRY(keys, peer_keys::load(settings.tls));
+        BOOST_OUTCOME_TRY(keys, tls_credentials::load(settings.tls));
     }
     tcp::acceptor acceptor{io};
     error_code failed;
@@ -384,13 +387,15 @@
                      "can't listen for peers on " + settings.listen + ": " + failed.message(),
                      "choose a free port with --peer-listen"};
     }
-    auto hidden =
-        std::make_shared<state>(io, std::move(acceptor), std::move(keys), settings.most_inbound);
-    hidden->start();
-    return std::unique_ptr<peer_transport>{new peer_transport{std::move(hidden)}};
+    auto shared_state =
+        std::make_shared<state>(io, std::move(acceptor), std::move(keys), settings.max_inbound);
+    shared_state->start();
+    return std::unique_ptr<peer_transport>{new peer_transport{std::move(shared_state)}};
 }
 
-peer_transport::peer_transport(std::shared_ptr<state> hidden) : m_state{std::move(hidden)} {}
+peer_transport::peer_transport(std::shared_ptr<state> shared_state)
+    : m_state{std::move(shared_state)}
+{}
 
 peer_transport::~peer_transport()
 {
--- a/peers/transport.h
+++ b/peers/transport.h
@@ -21,7 +21,7 @@
 struct transport_settings {
     std::string listen = "127.0.0.1:0"; ///< "IP:port"; port 0 takes a free one
     peer_tls_files tls;
-    std::size_t most_inbound = 2048; ///< connections accepted at once
+    std::size_t max_inbound = 2048; ///< connections accepted at once
 };
 
 /// What the transport and the core have done so far.
@@ -47,7 +47,7 @@
     ~peer_transport();
 
     /// Called with the name that the peer's certificate proved; empty over plain TCP.
-    void on_frame(std::function<void(const node_id& proved, std::string bytes)> handler);
+    void on_frame(std::function<void(const node_id& verified_name, std::string bytes)> handler);
     /// Sends to `node` at "IP:port". An empty node name takes whoever answers there (a seed).
     void send(const node_id& node, const std::string& address, std::string bytes);
     void stop();
@@ -57,7 +57,7 @@
 
 private:
     class state;
-    explicit peer_transport(std::shared_ptr<state> hidden);
+    explicit peer_transport(std::shared_ptr<state> shared_state);
     std::shared_ptr<state> m_state;
 };
 
--- a/peers/transport_test.cc
+++ b/peers/transport_test.cc
@@ -121,7 +121,7 @@
 
 // A process that reaches the peer port without a key of ours, with a key of another authority, or
 // with another node's name in its frames: it learns nothing and changes nothing.
-Test(transport, a_peer_without_the_key_learns_and_changes_nothing)
+Test(transport, a_peer_without_a_valid_certificate_learns_and_changes_nothing)
 {
     boost::asio::io_context io;
     key_folder folder;
@@ -186,7 +186,7 @@
 }
 
 // A peer stops reading. Frames to it are dropped and counted, and the queue stays bounded.
-Test(transport, a_peer_that_does_not_read_holds_nothing_up)
+Test(transport, a_peer_that_does_not_read_blocks_nothing)
 {
     boost::asio::io_context io;
     boost::asio::ip::tcp::acceptor deaf{io, {boost::asio::ip::address_v4::loopback(), 0}};
