--- a/peers/key_relay.cc
+++ b/peers/key_relay.cc
@@ -142,8 +142,8 @@
 key_relay_commands key_relay_core::notice_received(time_point now, const key_notice& notice)
 {
     key_relay_commands out;
-    const relayed_key* held = find(notice.key);
-    if (held != nullptr && held->revision >= notice.revision)
+    const relayed_key* current = find(notice.key);
+    if (current != nullptr && current->revision >= notice.revision)
         return out;
     if (m_missing.size() >= m_settings.max_keys)
         return out;
@@ -195,15 +195,15 @@
 void key_relay_core::handle_push(time_point now, const node_id& from, const key_reply& push,
                                  key_relay_commands& out)
 {
-    push_source& known = m_push_sources[from];
-    const bool next = known.number != 0 && *push.push_number == known.number + 1;
-    known.number = *push.push_number;
-    known.complete = known.complete && next;
-    if (!known.complete && now - known.asked >= m_settings.request_timeout) {
-        known.asked = now;
+    push_source& source = m_push_sources[from];
+    const bool consecutive = source.number != 0 && *push.push_number == source.number + 1;
+    source.number = *push.push_number;
+    source.complete = source.complete && consecutive;
+    if (!source.complete && now - source.asked >= m_settings.request_timeout) {
+        source.asked = now;
         out.emplace_back(send_key_message{from, key_request{this->known(), {}}});
     }
-    if (known.complete && push.store_age)
+    if (source.complete && push.store_age)
         out.emplace_back(neighbour_fresh{from, *push.store_age});
 }
 
@@ -227,17 +227,17 @@
 void key_relay_core::handle_request(time_point now, const node_id& to, const key_request& asked,
                                     key_relay_commands& out)
 {
-    std::map<std::uint32_t, std::int64_t> theirs;
+    std::map<std::uint32_t, std::int64_t> known_revisions;
     for (const known_key& item : asked.known)
-        theirs[item.key] = item.revision;
+        known_revisions[item.key] = item.revision;
     const std::set<std::uint32_t> wanted{asked.wanted.begin(), asked.wanted.end()};
     key_reply reply;
     reply.complete = asked.wanted.empty();
     std::size_t bytes = 0;
     for (const auto& [name, entry] : m_keys) {
         const std::uint32_t wire = wire_key(name);
-        const auto has = theirs.find(wire);
-        const bool newer = has == theirs.end() || has->second < entry.revision;
+        const auto at_peer = known_revisions.find(wire);
+        const bool newer = at_peer == known_revisions.end() || at_peer->second < entry.revision;
         if (!newer || (!wanted.empty() && !wanted.contains(wire)))
             continue;
         const std::size_t size = name.size() + entry.value.size() + entry_overhead;
--- a/peers/membership.cc
+++ b/peers/membership.cc
@@ -86,9 +86,9 @@
         frame.__isset.members = true;
     }
     // A peer that has never answered may not know our address yet, and could not.
-    const auto spoken = m_peer_info.find(to.node);
+    const auto info = m_peer_info.find(to.node);
     const bool introduce_self =
-        known != nullptr && (spoken == m_peer_info.end() || spoken->second.boot != known->boot);
+        known != nullptr && (info == m_peer_info.end() || info->second.boot != known->boot);
     if (introduce_self) {
         frame.members.push_back(to_wire(m_self));
         frame.__isset.members = true;
@@ -149,16 +149,16 @@
     const duration clock_offset =
         now.time_since_epoch() - duration{std::chrono::milliseconds{frame.sent_ms}};
     const auto boot = static_cast<std::uint64_t>(frame.boot);
-    peer_info& seen = m_peer_info[node_id{frame.sender}];
-    if (seen.boot != boot) {
-        seen = {boot, clock_offset, now, {}};
+    peer_info& info = m_peer_info[node_id{frame.sender}];
+    if (info.boot != boot) {
+        info = {boot, clock_offset, now, {}};
         return duration{0};
     }
     const auto drift_allowance =
-        std::chrono::duration_cast<duration>((now - seen.measured_at) * max_clock_drift);
-    seen.min_clock_offset = std::min(seen.min_clock_offset + drift_allowance, clock_offset);
-    seen.measured_at = now;
-    return clock_offset - seen.min_clock_offset;
+        std::chrono::duration_cast<duration>((now - info.measured_at) * max_clock_drift);
+    info.min_clock_offset = std::min(info.min_clock_offset + drift_allowance, clock_offset);
+    info.measured_at = now;
+    return clock_offset - info.min_clock_offset;
 }
 
 void membership_core::apply_members(time_point now, const wire::frame& frame,
@@ -171,10 +171,10 @@
     const member* known = m_members.find(node_id{frame.sender});
     if (known == nullptr || static_cast<std::uint64_t>(frame.boot) != known->boot)
         return;
-    member shown = *known;
-    shown.incarnation = static_cast<std::uint32_t>(frame.incarnation);
-    shown.state = member_state::alive;
-    apply_member_report(now, shown, out);
+    member sender = *known;
+    sender.incarnation = static_cast<std::uint32_t>(frame.incarnation);
+    sender.state = member_state::alive;
+    apply_member_report(now, sender, out);
 }
 
 void membership_core::apply_member_report(time_point now, const member& received,
@@ -253,10 +253,10 @@
                     out);
     }
     for (const wire::server_limit& received : frame.limits) {
-        server_limit told{received.server, std::nullopt, from_wire_age(received.age)};
+        server_limit limit{received.server, std::nullopt, from_wire_age(received.age)};
         if (received.__isset.per_second_milli)
-            told.per_second = limit_from_wire(received.per_second_milli);
-        apply_rumor(now, delay, std::move(told), out);
+            limit.per_second = limit_from_wire(received.per_second_milli);
+        apply_rumor(now, delay, std::move(limit), out);
     }
     for (const wire::confirmation& received : frame.confirmations) {
         apply_rumor(now, delay,
@@ -366,10 +366,10 @@
 membership_commands membership_core::publish(time_point now, const rumor& item)
 {
     membership_commands out;
-    rumor mine = item;
-    if (auto* wanted = std::get_if<demand>(&mine))
-        wanted->node = wire_key(m_self.node.value());
-    apply_rumor(now, duration{0}, std::move(mine), out);
+    rumor own = item;
+    if (auto* reported = std::get_if<demand>(&own))
+        reported->node = wire_key(m_self.node.value());
+    apply_rumor(now, duration{0}, std::move(own), out);
     // What this node says itself it need not hear.
     std::erase_if(
         out, [](const auto& command) { return std::holds_alternative<rumor_received>(command); });
@@ -404,29 +404,29 @@
     const member peer = *known;
     if (const auto* request = std::get_if<config_request>(&body)) {
         wire::frame frame = make_frame(now, wire::frame_kind::config_request);
-        wire::config_request wanted;
-        wanted.base = request->base.value();
-        wanted.__set_digests(request->digests);
-        frame.__set_request(wanted);
+        wire::config_request wire_request;
+        wire_request.base = request->base.value();
+        wire_request.__set_digests(request->digests);
+        frame.__set_request(wire_request);
         send(now, peer, frame, out);
     }
     if (const auto* reply = std::get_if<config_reply>(&body)) {
         wire::frame frame = make_frame(now, wire::frame_kind::config_reply);
-        wire::config_reply answer_out;
-        answer_out.revision = reply->revision.value();
+        wire::config_reply wire_reply;
+        wire_reply.revision = reply->revision.value();
         if (!reply->head.empty())
-            answer_out.__set_head(reply->head);
+            wire_reply.__set_head(reply->head);
         if (!reply->delta.empty())
-            answer_out.__set_delta(reply->delta);
+            wire_reply.__set_delta(reply->delta);
         std::vector<wire::config_page> pages;
         for (const config_page& page : reply->pages) {
-            wire::config_page wired;
-            wired.digest = page.digest;
-            wired.bytes = page.bytes;
-            pages.push_back(std::move(wired));
+            wire::config_page wire_page;
+            wire_page.digest = page.digest;
+            wire_page.bytes = page.bytes;
+            pages.push_back(std::move(wire_page));
         }
-        answer_out.__set_pages(pages);
-        frame.__set_reply(answer_out);
+        wire_reply.__set_pages(pages);
+        frame.__set_reply(wire_reply);
         send(now, peer, frame, out);
     }
     return out;
--- a/peers/membership_keys.cc
+++ b/peers/membership_keys.cc
@@ -5,17 +5,17 @@
 
 namespace {
 
-wire::key_request to_wire(const key_request& asked)
+wire::key_request to_wire(const key_request& request)
 {
     wire::key_request out;
-    for (const known_key& known : asked.known) {
+    for (const known_key& known : request.known) {
         wire::known_key item;
         item.key = static_cast<std::int32_t>(known.key);
         item.revision = known.revision;
         out.known.push_back(item);
     }
     std::vector<std::int32_t> wanted;
-    for (const std::uint32_t key : asked.wanted)
+    for (const std::uint32_t key : request.wanted)
         wanted.push_back(static_cast<std::int32_t>(key));
     if (!wanted.empty())
         out.__set_wanted(wanted);
@@ -24,12 +24,12 @@
 
 key_request from_wire(const wire::key_request& received)
 {
-    key_request asked;
+    key_request request;
     for (const wire::known_key& known : received.known)
-        asked.known.push_back({static_cast<std::uint32_t>(known.key), known.revision});
+        request.known.push_back({static_cast<std::uint32_t>(known.key), known.revision});
     for (const std::int32_t key : received.wanted)
-        asked.wanted.push_back(static_cast<std::uint32_t>(key));
-    return asked;
+        request.wanted.push_back(static_cast<std::uint32_t>(key));
+    return request;
 }
 
 wire::key_reply to_wire(const key_reply& reply)
--- a/peers/membership_probe.cc
+++ b/peers/membership_probe.cc
@@ -45,11 +45,11 @@
     if (m_leaving)
         return out;
     check_probes(now, out);
-    for (member dead_nodes : m_members.expired_suspects(now, m_settings.suspicion_timeout)) {
-        if (!monitors(dead_nodes))
+    for (member expired : m_members.expired_suspects(now, m_settings.suspicion_timeout)) {
+        if (!monitors(expired))
             continue;
-        dead_nodes.state = member_state::dead;
-        apply_member_report(now, dead_nodes, out);
+        expired.state = member_state::dead;
+        apply_member_report(now, expired, out);
     }
     refresh_views(now);
     contact_seeds(now, out);
@@ -186,16 +186,16 @@
     // This node itself may have been paused: then every probe is overdue at once, and silence says
     // nothing about the others. It shows as a tick that comes very late.
     const duration overdue = 2 * m_settings.probe_interval;
-    std::vector<probe> silent;
+    std::vector<probe> timed_out;
     std::erase_if(m_probes, [&](const probe& pending) {
         const duration waited = now - pending.sent;
         if (waited < m_settings.probe_interval)
             return false;
         if (pending.monitored && waited < overdue)
-            silent.push_back(pending);
+            timed_out.push_back(pending);
         return true;
     });
-    for (const probe& unanswered : silent)
+    for (const probe& unanswered : timed_out)
         suspect(now, unanswered.target, out);
 }
 
@@ -225,25 +225,25 @@
 
 void membership_core::handle_ack(time_point now, const wire::frame& frame, membership_commands& out)
 {
-    const node_id answered{frame.subject.empty() ? frame.sender : frame.subject};
+    const node_id answering_node{frame.subject.empty() ? frame.sender : frame.subject};
     std::erase_if(m_probes, [&](const probe& pending) {
-        return pending.sequence == frame.sequence && pending.target == answered;
+        return pending.sequence == frame.sequence && pending.target == answering_node;
     });
     // Acks of pings that were sent for others are handed on.
-    for (const relayed_ping& asked : m_relayed_pings) {
-        if (asked.sequence != frame.sequence || asked.subject != answered)
+    for (const relayed_ping& relayed : m_relayed_pings) {
+        if (relayed.sequence != frame.sequence || relayed.subject != answering_node)
             continue;
-        const member* requester = m_members.find(asked.requester);
+        const member* requester = m_members.find(relayed.requester);
         if (requester == nullptr)
             continue;
         wire::frame ack = make_frame(now, wire::frame_kind::ack);
-        ack.sequence = asked.requester_sequence;
-        ack.__set_subject(answered.value());
+        ack.sequence = relayed.requester_sequence;
+        ack.__set_subject(answering_node.value());
         send(now, member{*requester}, ack, out);
     }
-    std::erase_if(m_relayed_pings, [&](const relayed_ping& asked) {
-        return (asked.sequence == frame.sequence && asked.subject == answered) ||
-               now - asked.sent > relayed_ping_timeout;
+    std::erase_if(m_relayed_pings, [&](const relayed_ping& relayed) {
+        return (relayed.sequence == frame.sequence && relayed.subject == answering_node) ||
+               now - relayed.sent > relayed_ping_timeout;
     });
 }
 
--- a/peers/membership_servers.cc
+++ b/peers/membership_servers.cc
@@ -14,67 +14,67 @@
 
     wire::frame_kind::type operator()(const server_question& body) const
     {
-        wire::server_question asked;
-        asked.__set_vm(body.vm.value());
-        asked.__set_address(body.address);
-        frame.__set_question(asked);
+        wire::server_question message;
+        message.__set_vm(body.vm.value());
+        message.__set_address(body.address);
+        frame.__set_question(message);
         return wire::frame_kind::server_question;
     }
     wire::frame_kind::type operator()(const server_answer& body) const
     {
-        wire::server_answer told;
-        told.__set_vm(body.vm.value());
-        told.__set_answers(body.answers);
-        frame.__set_opinion(told);
+        wire::server_answer message;
+        message.__set_vm(body.vm.value());
+        message.__set_answers(body.answers);
+        frame.__set_opinion(message);
         return wire::frame_kind::server_answer;
     }
     wire::frame_kind::type operator()(const runner_word& body) const
     {
-        wire::runner_word told;
-        told.__set_vm(body.vm.value());
-        told.__set_born_ms(body.born_ms);
-        told.__set_grouped(body.group.has_value());
-        told.__set_model(body.model);
+        wire::runner_word message;
+        message.__set_vm(body.vm.value());
+        message.__set_born_ms(body.born_ms);
+        message.__set_grouped(body.group.has_value());
+        message.__set_model(body.model);
         if (body.group) {
-            told.__set_group(body.group->group.value());
-            told.__set_epoch(body.group->epoch);
-            told.__set_rank(static_cast<std::int32_t>(body.group->rank));
-            told.__set_phase(std::string{to_name(body.group->phase)});
+            message.__set_group(body.group->group.value());
+            message.__set_epoch(body.group->epoch);
+            message.__set_rank(static_cast<std::int32_t>(body.group->rank));
+            message.__set_phase(std::string{to_name(body.group->phase)});
         }
-        frame.__set_runner(told);
+        frame.__set_runner(message);
         return wire::frame_kind::runner_word;
     }
     wire::frame_kind::type operator()(const store_question& body) const
     {
-        wire::store_question asked;
-        asked.__set_failure_domain(body.domain.value());
-        asked.__set_round(body.round);
-        frame.__set_store_asked(asked);
+        wire::store_question message;
+        message.__set_failure_domain(body.domain.value());
+        message.__set_round(body.round);
+        frame.__set_store_asked(message);
         return wire::frame_kind::store_question;
     }
     wire::frame_kind::type operator()(const store_answer& body) const
     {
-        wire::store_answer told;
-        told.__set_failure_domain(body.domain.value());
-        told.__set_round(body.round);
-        told.__set_reached(body.reached);
-        frame.__set_store_told(told);
+        wire::store_answer message;
+        message.__set_failure_domain(body.domain.value());
+        message.__set_round(body.round);
+        message.__set_reached(body.reached);
+        frame.__set_store_told(message);
         return wire::frame_kind::store_answer;
     }
 };
 
 /// Nothing if its phase is none that this version knows.
-std::optional<runner_word> parse_runner_word(const wire::runner_word& told)
+std::optional<runner_word> parse_runner_report(const wire::runner_word& message)
 {
-    runner_word word{vm_id{told.vm}, told.born_ms, {}, told.model};
-    if (!told.grouped)
-        return word;
-    const auto phase = from_name<member_phase>(told.phase);
-    if (!phase || told.rank < 0)
+    runner_word report{vm_id{message.vm}, message.born_ms, {}, message.model};
+    if (!message.grouped)
+        return report;
+    const auto phase = from_name<member_phase>(message.phase);
+    if (!phase || message.rank < 0)
         return std::nullopt;
-    word.group =
-        membership{group_id{told.group}, told.epoch, static_cast<std::uint32_t>(told.rank), *phase};
-    return word;
+    report.group = membership{group_id{message.group}, message.epoch,
+                              static_cast<std::uint32_t>(message.rank), *phase};
+    return report;
 }
 
 } // namespace
@@ -89,8 +89,8 @@
         out.emplace_back(
             server_message{from, server_answer{vm_id{frame.opinion.vm}, frame.opinion.answers}});
     if (frame.__isset.runner) {
-        if (const auto word = parse_runner_word(frame.runner))
-            out.emplace_back(server_message{from, *word});
+        if (const auto report = parse_runner_report(frame.runner))
+            out.emplace_back(server_message{from, *report});
     }
     if (frame.__isset.store_asked)
         out.emplace_back(
--- a/peers/rumor_table.cc
+++ b/peers/rumor_table.cc
@@ -94,10 +94,10 @@
             },
             [](const ticket_digest&) { return ticket_bytes; },
             [](const demand&) { return demand_bytes; },
-            [](const leaving& gone) { return name_overhead + gone.server.size(); },
+            [](const leaving& notice) { return name_overhead + notice.server.size(); },
             [](const confirmation&) { return confirmation_bytes; },
             [](const key_notice&) { return notice_bytes; },
-            [](const server_limit& told) { return name_overhead + told.server.size(); },
+            [](const server_limit& limit) { return name_overhead + limit.server.size(); },
         },
         item);
 }
@@ -143,48 +143,48 @@
                        frame.tickets.push_back(out);
                        frame.__isset.tickets = true;
                    },
-                   [&](const demand& wanted) {
+                   [&](const demand& reported) {
                        wire::demand out;
-                       out.node = static_cast<std::int32_t>(wanted.node);
-                       out.pool = static_cast<std::int32_t>(wanted.pool);
-                       out.workspace = static_cast<std::int32_t>(wanted.workspace);
-                       out.in_flight = static_cast<std::int32_t>(wanted.in_flight);
+                       out.node = static_cast<std::int32_t>(reported.node);
+                       out.pool = static_cast<std::int32_t>(reported.pool);
+                       out.workspace = static_cast<std::int32_t>(reported.workspace);
+                       out.in_flight = static_cast<std::int32_t>(reported.in_flight);
                        out.arrivals = static_cast<std::int32_t>(
-                           std::lround(std::clamp(wanted.arrivals, 0.0, 1e8) * 10.0));
+                           std::lround(std::clamp(reported.arrivals, 0.0, 1e8) * 10.0));
                        out.age = wire_age(age);
                        frame.demands.push_back(out);
                        frame.__isset.demands = true;
                    },
-                   [&](const leaving& item_out) {
+                   [&](const leaving& notice) {
                        wire::leaving out;
-                       out.server = item_out.server;
+                       out.server = notice.server;
                        out.age = wire_age(age);
                        frame.leavings.push_back(out);
                        frame.__isset.leavings = true;
                    },
-                   [&](const server_limit& told) {
+                   [&](const server_limit& limit) {
                        wire::server_limit out;
-                       out.server = told.server;
-                       if (told.per_second)
-                           out.__set_per_second_milli(limit_to_wire(*told.per_second));
+                       out.server = limit.server;
+                       if (limit.per_second)
+                           out.__set_per_second_milli(limit_to_wire(*limit.per_second));
                        out.age = wire_age(age);
                        frame.limits.push_back(out);
                        frame.__isset.limits = true;
                    },
-                   [&](const key_notice& told) {
+                   [&](const key_notice& notice) {
                        wire::key_notice out;
-                       out.key = static_cast<std::int32_t>(told.key);
-                       out.revision = told.revision;
+                       out.key = static_cast<std::int32_t>(notice.key);
+                       out.revision = notice.revision;
                        out.age = wire_age(age);
                        frame.notices.push_back(out);
                        frame.__isset.notices = true;
                    },
-                   [&](const confirmation& told) {
+                   [&](const confirmation& confirmed) {
                        wire::confirmation out;
-                       out.node = static_cast<std::int32_t>(told.node);
-                       out.revision = told.revision.value();
-                       out.__set_platform_lost(told.platform_lost);
-                       out.__isset.platform_lost = told.platform_lost;
+                       out.node = static_cast<std::int32_t>(confirmed.node);
+                       out.revision = confirmed.revision.value();
+                       out.__set_platform_lost(confirmed.platform_lost);
+                       out.__isset.platform_lost = confirmed.platform_lost;
                        out.age = wire_age(age);
                        frame.confirmations.push_back(out);
                        frame.__isset.confirmations = true;
@@ -197,9 +197,9 @@
 
 std::int16_t wire_age(duration age) noexcept
 {
-    constexpr std::int64_t most = std::numeric_limits<std::int16_t>::max();
+    constexpr std::int64_t max_units = std::numeric_limits<std::int16_t>::max();
     const std::int64_t units = (std::max(age, duration{0}) + age_unit - duration{1}) / age_unit;
-    return static_cast<std::int16_t>(std::min(units, most));
+    return static_cast<std::int16_t>(std::min(units, max_units));
 }
 
 duration from_wire_age(std::int16_t age) noexcept
@@ -209,8 +209,8 @@
 
 std::int32_t limit_to_wire(double per_second) noexcept
 {
-    constexpr double most = 2e9;
-    return static_cast<std::int32_t>(std::lround(std::clamp(per_second * milli, 0.0, most)));
+    constexpr double max_value = 2e9;
+    return static_cast<std::int32_t>(std::lround(std::clamp(per_second * milli, 0.0, max_value)));
 }
 
 double limit_from_wire(std::int32_t milli_per_second) noexcept
@@ -245,20 +245,20 @@
 
 rumor_table::item_key rumor_table::key_of(const gossip_item& item)
 {
-    const std::uint64_t name =
+    const std::uint64_t id =
         std::visit(overloaded{
                        [](const member& known) { return hash64(known.node.value()); },
                        [](const ticket_digest& ticket) { return std::uint64_t{ticket.group}; },
-                       [](const demand& wanted) {
-                           return hash_parts(wanted.node, wanted.pool, wanted.workspace);
+                       [](const demand& reported) {
+                           return hash_parts(reported.node, reported.pool, reported.workspace);
                        },
-                       [](const leaving& gone) { return hash64(gone.server); },
-                       [](const confirmation& told) { return std::uint64_t{told.node}; },
-                       [](const key_notice& told) { return std::uint64_t{told.key}; },
-                       [](const server_limit& told) { return hash64(told.server); },
+                       [](const leaving& notice) { return hash64(notice.server); },
+                       [](const confirmation& confirmed) { return std::uint64_t{confirmed.node}; },
+                       [](const key_notice& notice) { return std::uint64_t{notice.key}; },
+                       [](const server_limit& limit) { return hash64(limit.server); },
                    },
                    item);
-    return {item.index(), name};
+    return {item.index(), id};
 }
 
 bool rumor_table::newer(const gossip_item& received, time_point observed, const entry& known)
--- a/peers/store_followers_test.cc
+++ b/peers/store_followers_test.cc
@@ -95,7 +95,7 @@
         time_point pushed{};
     };
     struct push {
-        time_point should_follow;
+        time_point arrival;
         node_id from;
         duration age;
         int known = 0;
@@ -108,7 +108,7 @@
             if (one.alive)
                 step_node(one);
         }
-        while (!m_pushes.empty() && m_pushes.front().should_follow <= m_now) {
+        while (!m_pushes.empty() && m_pushes.front().arrival <= m_now) {
             for (node& one : m_nodes) {
                 if (one.alive && one.name != m_pushes.front().from) {
                     one.followers.push_received(m_pushes.front().from, m_pushes.front().age, m_now);
@@ -188,12 +188,12 @@
 Test(store_followers, a_change_reaches_all_nodes_when_no_follower_reaches_the_store)
 {
     for (const std::size_t size : sizes) {
-        for (const store_access store_failed : {store_access::refuses, store_access::hangs}) {
+        for (const store_access failure : {store_access::refuses, store_access::hangs}) {
             domain here{size};
             here.run(10s);
             const std::vector<std::size_t> order = here.ranked();
-            here.set_store_access(order[0], store_failed);
-            here.set_store_access(order[1], store_failed);
+            here.set_store_access(order[0], failure);
+            here.set_store_access(order[1], failure);
             cr_assert_lt(here.propagation_time({order[0], order[1]}), max_propagation_time,
                          "%zu nodes", size);
             here.run(3s);
--- a/peers/ticket_age_main.cc
+++ b/peers/ticket_age_main.cc
@@ -31,29 +31,29 @@
 constexpr int sampled_s = 30;
 constexpr std::int64_t fencing = 100'000;
 
-/// When the newest ticket that a node has of each group was seen by its watcher.
-using seen_times = std::vector<std::vector<time_point>>;
+/// When the newest ticket that a node has of each group was observed by its watcher.
+using observation_times = std::vector<std::vector<time_point>>;
 
-void publish_all(test_network& net, std::uint32_t groups, seen_times& seen)
+void publish_all(test_network& net, std::uint32_t groups, observation_times& observed)
 {
     for (std::uint32_t group = 0; group < groups; ++group) {
         for (std::size_t watcher = 0; watcher < watchers; ++watcher) {
             const std::size_t index = (group * watchers + watcher) % net.nodes.size();
             auto& node = *net.nodes[index];
-            seen[index][group] = net.now;
+            observed[index][group] = net.now;
             const ticket_digest ticket{group, fencing_number{fencing}, 500, true, duration{0}};
             net.run(node, node.core.publish(net.now, ticket));
         }
     }
 }
 
-void watch_tickets(test_network& net, seen_times& seen)
+void watch_tickets(test_network& net, observation_times& observed)
 {
     for (std::size_t i = 0; i < net.nodes.size(); ++i) {
-        net.nodes[i]->on_command = [&net, &row = seen[i]](const membership_command& command) {
-            const auto* heard = std::get_if<rumor_received>(&command);
+        net.nodes[i]->on_command = [&net, &row = observed[i]](const membership_command& command) {
+            const auto* received = std::get_if<rumor_received>(&command);
             const auto* ticket =
-                heard == nullptr ? nullptr : std::get_if<ticket_digest>(&heard->item);
+                received == nullptr ? nullptr : std::get_if<ticket_digest>(&received->item);
             if (ticket != nullptr && ticket->group < row.size())
                 row[ticket->group] = std::max(row[ticket->group], net.now - ticket->age);
         };
@@ -65,14 +65,14 @@
     test_network net{7};
     for (std::size_t i = 0; i < size.nodes; ++i)
         net.add(i, failure_domains);
-    seen_times seen(size.nodes, std::vector<time_point>(size.groups, time_point{}));
-    watch_tickets(net, seen);
+    observation_times observed(size.nodes, std::vector<time_point>(size.groups, time_point{}));
+    watch_tickets(net, observed);
     net.run_for(seconds{joined_s});
     std::vector<double> ages;
     for (int second = 0; second < warm_up_s + sampled_s; ++second) {
-        publish_all(net, size.groups, seen);
+        publish_all(net, size.groups, observed);
         net.run_for(seconds{1});
-        for (const auto& row : seen) {
+        for (const auto& row : observed) {
             for (const time_point at : row) {
                 if (second >= warm_up_s)
                     ages.push_back(std::chrono::duration<double>(net.now - at).count());
@@ -83,9 +83,9 @@
     const auto at = [&](double share) {
         return ages[static_cast<std::size_t>(share * static_cast<double>(ages.size() - 1))];
     };
-    const auto lapsed = std::distance(std::upper_bound(ages.begin(), ages.end(), 5.0), ages.end());
+    const auto expired = std::distance(std::upper_bound(ages.begin(), ages.end(), 5.0), ages.end());
     std::printf("| %zu | %u | %.1f | %.1f | %.1f | %.2f |\n", size.nodes, size.groups, at(0.5),
-                at(0.99), at(0.999), 100.0 * static_cast<double>(lapsed) / ages.size());
+                at(0.99), at(0.999), 100.0 * static_cast<double>(expired) / ages.size());
     std::fflush(stdout);
 }
 
--- a/peers/transport_test.cc
+++ b/peers/transport_test.cc
@@ -189,9 +189,9 @@
 Test(transport, a_peer_that_does_not_read_blocks_nothing)
 {
     boost::asio::io_context io;
-    boost::asio::ip::tcp::acceptor deaf{io, {boost::asio::ip::address_v4::loopback(), 0}};
+    boost::asio::ip::tcp::acceptor unread{io, {boost::asio::ip::address_v4::loopback(), 0}};
     auto transport = peer_transport::create(io, {"127.0.0.1:0", {}, 16}).value();
-    const std::string address = "127.0.0.1:" + std::to_string(deaf.local_endpoint().port());
+    const std::string address = "127.0.0.1:" + std::to_string(unread.local_endpoint().port());
     for (int i = 0; i < 400; ++i) {
         transport->send(node_id{"deaf"}, address, std::string(200'000, 'x'));
         io.poll();
