--- a/peers/frame.cc
+++ b/peers/frame.cc
@@ -1,6 +1,6 @@
-// Frames through Thrift's compact protocol over a memory buffer. The bytes come from the network:
-// every length is bounded before anything is allocated for it (Thrift's own limits on strings and
-// containers, and the buffer's size), and what Thrift lets through is checked against our bounds.
+// Encodes frames in Thrift's compact protocol in a memory buffer. Decoding is safe for arbitrary
+// input: Thrift's limits on strings, containers and the message size bound every allocation, and
+// names are then checked against max_frame_name.
 #include "peers/frame.h"
 
 #include <thrift/protocol/TCompactProtocol.h>
@@ -19,8 +19,8 @@
 
 error invalid_frame(std::string what)
 {
-    return {error_kind::protocol, "peer frame refused: " + std::move(what),
-            "see that every node runs a version that can talk to the others"};
+    return {error_kind::protocol, "invalid peer frame: " + std::move(what),
+            "make sure that all nodes run compatible versions"};
 }
 
 bool name_fits(const std::string& name)
@@ -68,7 +68,7 @@
         return invalid_frame("longer than " + std::to_string(max_frame_bytes) + " bytes");
     try {
         const auto limits = std::make_shared<TConfiguration>(static_cast<int>(max_frame_bytes));
-        // Thrift reads from a buffer that it takes to be writable, though OBSERVE never writes.
+        // TMemoryBuffer takes a non-const pointer, but doesn't write to the buffer with OBSERVE.
         auto* data = reinterpret_cast<std::uint8_t*>(const_cast<char*>(bytes.data()));
         const auto buffer = std::make_shared<TMemoryBuffer>(
             data, static_cast<std::uint32_t>(bytes.size()), TMemoryBuffer::OBSERVE, limits);
@@ -77,7 +77,7 @@
         wire::frame frame;
         frame.read(&protocol);
         if (buffer->available_read() != 0)
-            return invalid_frame("bytes after its end");
+            return invalid_frame("trailing bytes");
         if (frame.sender.empty() || !names_fit(frame))
             return invalid_frame("a name is empty or too long");
         return frame;
--- a/peers/frame.h
+++ b/peers/frame.h
@@ -1,4 +1,5 @@
-// Frames as bytes: encode, and decode with every bound checked.
+// Encoding and decoding of the frames between daemons, and the messages to single nodes that frames
+// carry, as typed values. Decoding checks the size of every name and list.
 //
 //   std::string bytes = encode_frame(frame);
 //   result<wire::frame> frame = decode_frame(bytes);   // protocol error if truncated or oversized
@@ -16,21 +17,22 @@
 
 namespace jaynotch {
 
-/// Version of the frame that this build writes.
+/// Frame version written by this build.
 inline constexpr std::int8_t frame_version = 1;
-/// Largest frame, bytes; a configuration reply is cut to fit.
+/// Maximum size of a frame in bytes; configuration replies are split to fit.
 inline constexpr std::size_t max_frame_bytes = 1U << 20U;
-/// Largest list in a frame; more is refused.
+/// Maximum number of elements in a list; frames with longer lists are rejected.
 inline constexpr std::size_t max_frame_items = 4096;
-/// Largest name in a frame, bytes.
+/// Maximum size of a name in bytes.
 inline constexpr std::size_t max_frame_name = 256;
 
 std::string encode_frame(const wire::frame& frame);
 
-/// Errors: protocol (truncated, oversized, not Thrift, names or lists over their bounds).
+/// Errors: protocol (truncated, oversized, not Thrift, a name or list above its maximum size, no
+/// sender).
 result<wire::frame> decode_frame(std::string_view bytes);
 
-/// Asks a peer for its head, if newer than `base`, or for pages by digest.
+/// Requests a peer's head if it is newer than `base`, or pages by digest.
 struct config_request {
     config_revision base;
     std::vector<std::string> digests;
@@ -41,15 +43,15 @@
     std::string bytes;
 };
 
-/// Head record of `revision` as it stands in the key-value service, and pages.
+/// The head record of `revision` as stored in the key-value service, and pages.
 struct config_reply {
     config_revision revision;
-    std::string head; ///< empty if only pages were asked for, or if there is a delta
+    std::string head; ///< empty if only pages were requested or `delta` is set
     std::vector<config_page> pages;
-    std::string delta; ///< what turns the asker's base into the head, if the base is known
+    std::string delta; ///< from the requester's base to the head, if known
 };
 
-/// A peer's installed revision, from any frame of its.
+/// The revision that a peer has installed; part of each of its frames.
 struct config_digest {
     config_revision revision;
     bool platform_lost = false;
@@ -57,13 +59,13 @@
 
 using config_body = std::variant<config_digest, config_request, config_reply>;
 
-/// What the configuration's spread hears from a peer.
+/// A message about the configuration from a peer.
 struct config_message {
     node_id from;
     config_body body;
 };
 
-/// A key of the platform and its value as of `revision`.
+/// A key of the platform with its value at `revision`.
 struct relayed_key {
     std::string key;
     std::int64_t revision = 0;
@@ -77,7 +79,8 @@
     std::int64_t revision = 0;
 };
 
-/// Asks a peer for what is newer than `known`: the wanted keys, or all if none are named.
+/// Requests entries newer than `known`: of the keys `wanted` (as wire_key), or of all keys if it is
+/// empty.
 struct key_request {
     std::vector<known_key> known;
     std::vector<std::uint32_t> wanted;
@@ -85,23 +88,23 @@
 
 struct key_reply {
     std::vector<relayed_key> entries;
-    /// How long ago the platform answered the sender; in the last part of a push.
+    /// Time since the platform answered the sender; set in the last part of a push.
     std::optional<duration> store_age;
-    /// Counts the parts of the sender's pushes; nullopt in an answer.
+    /// Sequence number among the parts of the sender's pushes; nullopt in replies to requests.
     std::optional<std::int64_t> push_number;
-    /// Answers a comparison of all keys, and nothing that the sender has newer was left out.
+    /// The reply to a request for all keys that contains every newer entry of the sender.
     bool complete = false;
 };
 
 using key_body = std::variant<key_request, key_reply>;
 
-/// What the relay of keys hears from a peer.
+/// A message of the key relay from a peer.
 struct key_message {
     node_id from;
     key_body body;
 };
 
-/// "Does this backend server answer you?"
+/// Asks whether a backend server responds to the receiver.
 struct server_question {
     vm_id vm;
     std::string address; ///< "IP:port"
@@ -112,10 +115,10 @@
     bool answers = false;
 };
 
-/// "Does the platform's store answer you? I manage this failure domain."
+/// Asks whether the platform's store responds to the receiver. Sent by the manager of `domain`.
 struct store_question {
     failure_domain_id domain;
-    std::int64_t round = 0; ///< of the asker's questions; comes back with the answer
+    std::int64_t round = 0; ///< number of the sender's inquiry; copied into the answer
 };
 
 struct store_answer {
@@ -127,7 +130,7 @@
 using server_body =
     std::variant<server_question, server_answer, runner_word, store_question, store_answer>;
 
-/// What a peer asks or says of a backend server, or of the store that they register in.
+/// A message from a peer about a backend server, a runner or the platform's store.
 struct server_message {
     node_id from;
     server_body body;
--- a/peers/frame_fuzz.cc
+++ b/peers/frame_fuzz.cc
@@ -1,5 +1,5 @@
-// Fuzz target: whatever arrives, decoding ends, stays within its bounds, and a core that is fed it
-// keeps its invariants.
+// Fuzz target: decoding arbitrary bytes terminates and stays within its limits, a decoded frame can
+// be encoded and decoded again, and a membership core that receives it keeps its table bounded.
 #include "peers/membership.h"
 
 #include <cstdint>
@@ -21,7 +21,7 @@
     (void)core.tick(now);
     (void)core.frame_received(now, {}, bytes);
     if (decoded) {
-        // Past the check of the deployment, so that the rest is exercised too.
+        // Sets the fields that the core checks first, so that the rest of the frame is processed.
         wire::frame ours = decoded.value();
         ours.deployment = static_cast<std::int32_t>(wire_key(settings.deployment));
         ours.__isset.target = false;
--- a/peers/key_relay.cc
+++ b/peers/key_relay.cc
@@ -1,15 +1,15 @@
-// Push and pull (Demers et al. 1987): a new value is announced as a rumor of 14 bytes; whoever
-// lacks it asks a random peer of its failure domain, which most likely has it by then, and each
-// third time in vain one of the domain's watchers, which certainly hears of it. Besides, each node
-// compares all its revisions with one peer's now and then, so a rumor that was lost costs time, not
-// the value.
+// Rumor mongering with anti-entropy (Demers et al. 1987): a new value is announced with a rumor of
+// 14 bytes. Nodes without it request it from a random peer of their failure domain, which usually
+// has it by then; every third request in a row goes to a watcher of the domain, which gets all
+// values. In addition, each node periodically compares all revisions with a random peer, so a lost
+// rumor delays a value but does not lose it.
 //
-// Why nothing goes backwards: a value is taken only at a revision above the one held, and the
-// platform's revisions only rise.
+// Why values are never replaced by older ones: an entry is only replaced by one with a higher
+// revision, and the platform's revisions only increase.
 //
-// Who may watch is worked out by every node alone, by rendezvous over the live members of the
-// domain. While members disagree on who is alive a domain has a watcher more or less for a moment;
-// comparing with peers covers that.
+// Each node calculates the watchers of its domain independently, by rendezvous hashing over the
+// live members. While nodes disagree about the live members, a domain can have a watcher too many
+// or too few for a short time. Comparisons with peers make up for that.
 #include "peers/key_relay.h"
 
 #include <algorithm>
@@ -18,11 +18,12 @@
 
 namespace {
 
+/// One of so many requests goes to a watcher.
 constexpr std::size_t requests_per_watcher_request = 3;
-/// After so many the comparisons alone go on: what nobody has (a notice whose origin died before it
-/// told the value, or a forged one) must not be asked for for ever.
+/// After so many requests only the comparisons continue. A value that no node has (its origin
+/// failed after sending the notice, or the notice was forged) must not be requested for ever.
 constexpr std::size_t max_failed_requests = 12;
-constexpr std::size_t entry_overhead = 16; ///< of an entry in a frame, bytes, about
+constexpr std::size_t entry_overhead = 16; ///< approximate, bytes per entry
 
 std::vector<node_id> all_except(const std::vector<node_id>& nodes, const node_id& self)
 {
@@ -73,7 +74,7 @@
     if (now >= m_next_sync) {
         const duration wait =
             m_synced ? m_settings.sync_interval : m_settings.initial_sync_interval;
-        // Spread over half to one and a half, so that nodes started together don't ask together.
+        // Random factor of 0.5 to 1.5, so that nodes started together don't send requests together.
         const duration jitter{m_random.between(-wait.count() / 2, wait.count() / 2)};
         m_next_sync = now + wait + jitter;
         send_request(now, true, out);
@@ -109,7 +110,7 @@
 {
     key_relay_commands out;
     m_pushing = true;
-    // Split by size, so that the first reading of everything fits into frames.
+    // Split by size, so that any number of entries fits into frames.
     std::vector<key_reply> parts(1);
     std::size_t bytes = 0;
     for (const std::string& key : std::exchange(m_unpushed, {})) {
@@ -136,7 +137,7 @@
 {
     m_pushing = false;
     m_unpushed.clear();
-    ++m_push_number; // what was learned meanwhile is missing
+    ++m_push_number; // marks the entries missing from pushes as a gap
 }
 
 key_relay_commands key_relay_core::notice_received(time_point now, const key_notice& notice)
@@ -151,7 +152,8 @@
     std::int64_t& wanted = m_missing[notice.key];
     wanted = std::max(wanted, notice.revision);
     if (first) {
-        // A moment's wait gathers notices that come together, and lets the peer asked get them too.
+        // The delay collects notices that arrive together, and gives the peer time to get the
+        // values.
         m_failed_requests = 0;
         m_next_request = now + m_settings.request_timeout / 4;
     }
@@ -171,8 +173,8 @@
     for (const relayed_key& entry : reply.entries) {
         bytes += entry.key.size() + entry.value.size() + entry_overhead;
         const bool changed = update_if_newer(entry, out);
-        // The neighbours may not have heard of it, not even of a push: its sender may not know all
-        // of them. Told by the platform afterwards it would be no news here.
+        // Neighbours may lack the entry, even if it came with a push, since its sender may not know
+        // all of them. It must be pushed now, because it won't be new when the platform reports it.
         if (changed && m_pushing)
             m_unpushed.insert(entry.key);
     }
@@ -180,18 +182,18 @@
         handle_push(now, message.from, reply, out);
     else if (reply.complete && m_push_sources.contains(message.from))
         m_push_sources[message.from].complete = true;
-    // A reply that is nearly as large as it may be had no room for the rest.
+    // A large reply may have been truncated to the maximum size: request the rest soon.
     if (bytes > m_settings.max_reply_bytes / 2)
         m_next_sync = std::min(m_next_sync, now + m_settings.request_timeout);
     if (!reply.entries.empty()) {
         m_failed_requests = 0;
-        m_next_request = now; // what the reply had no room for is asked for at the next tick
+        m_next_request = now; // requests what is still missing at the next tick
     }
     return out;
 }
 
-/// A push that was lost took its entries with it, and those after it say nothing of them. So unless
-/// the numbers follow one another, the neighbour counts as fresh only after a comparison with it.
+// The entries of a lost push are not repeated in later ones. So if the push numbers have a gap, the
+// neighbour counts as fresh again only after a comparison with it.
 void key_relay_core::handle_push(time_point now, const node_id& from, const key_reply& push,
                                  key_relay_commands& out)
 {
@@ -242,13 +244,13 @@
             continue;
         const std::size_t size = name.size() + entry.value.size() + entry_overhead;
         if (!reply.entries.empty() && bytes + size > m_settings.max_reply_bytes) {
-            reply.complete = false; // the rest is asked for again
+            reply.complete = false; // the requester asks for the rest
             break;
         }
         bytes += size;
         reply.entries.push_back(entry);
     }
-    // An empty reply is sent too: it tells a node that has just started that nothing is missing.
+    // An empty reply is sent too. It tells a node that has just started that it lacks nothing.
     if (consume_reply_budget(now, bytes))
         out.emplace_back(send_key_message{to, std::move(reply)});
 }
@@ -301,7 +303,8 @@
     }
     m_refilled = now;
     if (m_reply_tokens < static_cast<double>(bytes))
-        return false; // the asker tries another peer; a burst of joiners must not starve the rest
+        return false; // the requester tries another peer; many new nodes must not use up the
+                      // network
     m_reply_tokens -= static_cast<double>(bytes);
     return true;
 }
--- a/peers/key_relay.h
+++ b/peers/key_relay.h
@@ -1,17 +1,19 @@
-// Keys of the platform that a few nodes watch and all nodes need: the decision core of their relay.
+// Distribution of platform keys that a few nodes watch to all nodes: the decision core. It does no
+// I/O; its caller passes it events and executes the commands that it returns.
 //
 //   key_relay_core relay{{.self = node}, random_source{seed}};
 //   run(relay.tick(now));                          // a few times a second
 //   run(relay.members_changed(own_domain, all));
-//   run(relay.learned(now, entry));                // read, watched or written by this node
-//   run(relay.noticed(now, notice));               // rumor of a peer
-//   run(relay.heard(now, message));                // request or reply of a peer
+//   run(relay.key_changed(now, entry));            // read, watched or written by this node
+//   run(relay.notice_received(now, notice));       // rumor of a peer
+//   run(relay.message_received(now, message));     // request, reply or push of a peer
 //
-// The assignment records of the fabric domains travel this way. Were every node to watch them, the
-// calls on the platform would grow with the fleet; and a node that starts while the platform is
-// down would not know one group, though its peers know them all.
+// The assignment records of the fabric domains are distributed this way. If every node watched
+// them, the number of calls to the platform would grow with the fleet, and a node that starts
+// during an outage of the platform would know no groups although its peers know them all.
 //
-// The newest revision of each key wins. Keys are never removed, as records are not.
+// The highest revision of each key replaces the others. Keys are never removed, since records are
+// never deleted.
 #pragma once
 
 #include "base/base.h"
@@ -30,36 +32,37 @@
 
 struct key_relay_settings {
     node_id self;
-    std::string name = "records"; ///< chooses the watchers, differently for each relay
+    std::string name = "records"; ///< hash key; each relay has other watchers
     std::size_t watchers = 2;     ///< nodes of a failure domain that watch the platform
     duration request_timeout = std::chrono::milliseconds{400}; ///< for a peer's reply
     duration sync_interval = std::chrono::seconds{20};         ///< between comparisons with a peer
     duration initial_sync_interval =
-        std::chrono::milliseconds{500};        ///< the same until the first reply
+        std::chrono::milliseconds{500};        ///< the same before the first reply
     std::size_t max_reply_bytes = 256U << 10U; ///< of one reply
-    double max_reply_bytes_s = 200'000.0;      ///< of all replies
+    double max_reply_bytes_s = 200'000.0;      ///< of all replies, per second
     std::size_t max_keys = 4096;
 };
 
-// Commands.
-/// Begin or stop to watch the platform.
+// Commands, to be executed by the caller.
+
+/// Start or stop watching the platform.
 struct watch_keys {
     bool on = false;
 };
+/// Send a message to a peer.
 struct send_key_message {
     node_id to;
     key_body body;
 };
-/// To be published to all peers.
+/// Publish a notice as a rumor.
 struct announce_key {
     key_notice notice;
 };
-/// A newer value that this node did not have.
+/// This node has received a newer value of a key.
 struct key_updated {
     relayed_key entry;
 };
-/// A neighbour watches the platform, which answered it `store_age` ago, and this node has all that
-/// the neighbour had then.
+/// This node has everything that a neighbour knew when the platform answered it, `store_age` ago.
 struct neighbour_fresh {
     node_id neighbour;
     duration store_age{0};
@@ -72,33 +75,36 @@
 public:
     key_relay_core(key_relay_settings settings, random_source random);
 
+    /// Sends comparisons and repeated requests when they are due.
     key_relay_commands tick(time_point now);
-    /// Live members, this node among them: of its failure domain, and of all.
+    /// Sets the live members, including this node: those of its failure domain, and all.
     key_relay_commands members_changed(const std::vector<node_id>& own_domain,
                                        const std::vector<node_id>& all);
+    /// This node has read, watched or written a value. A newer one is announced and pushed.
     key_relay_commands key_changed(time_point now, const relayed_key& entry);
-    /// One of everything that the platform has. It is neither announced nor pushed: the others have
-    /// most of it, and what they lack they get by comparison. Call stop_pushing() after the last.
+    /// Adds an entry of a full read of the platform. It is neither announced nor pushed, since the
+    /// other nodes have most entries and get the rest by comparison. Call stop_pushing() after the
+    /// last one.
     key_relay_commands read(const relayed_key& entry);
-    /// Tells every node of the own failure domain at once what was learned since the last call, or
-    /// just that there was nothing, and that the platform answered `store_age` ago: one that is
-    /// told need not watch.
+    /// Pushes the entries that are new since the last push, if any, to all nodes of the own failure
+    /// domain, with the time since the platform answered this node. Nodes that receive pushes need
+    /// not watch the platform.
     key_relay_commands push(duration store_age);
-    /// This node stops to push; when it begins again, the others have to compare with it first.
+    /// Stops pushing. The other nodes must compare with this one after its next push.
     void stop_pushing();
     key_relay_commands notice_received(time_point now, const key_notice& notice);
     key_relay_commands message_received(time_point now, const key_message& message);
 
     [[nodiscard]] bool watching() const { return m_watching; }
-    /// Keys known, by name.
+    /// Known entries by key.
     [[nodiscard]] const std::map<std::string, relayed_key>& keys() const { return m_keys; }
 
 private:
-    /// A neighbour that pushes.
+    /// State of a neighbour that pushes to this node.
     struct push_source {
-        std::int64_t number = 0; ///< of its last push that arrived
-        bool complete = false;   ///< no push of it is missing, and what came before was compared
-        time_point asked{};      ///< to compare
+        std::int64_t number = 0; ///< of the last push received
+        bool complete = false;   ///< no push is missing since the last comparison
+        time_point asked{};      ///< when a comparison was last requested
     };
 
     bool update_if_newer(const relayed_key& entry, key_relay_commands& out);
@@ -114,17 +120,17 @@
     key_relay_settings m_settings;
     random_source m_random;
     std::map<std::string, relayed_key> m_keys;
-    std::map<std::uint32_t, std::string> m_names;    ///< of m_keys by their hash
-    std::map<std::uint32_t, std::int64_t> m_missing; ///< noticed, not had yet
-    std::vector<node_id> m_watchers;                 ///< of our failure domain, but us
-    std::vector<node_id> m_neighbours;               ///< all of our failure domain, but us
-    std::set<std::string> m_unpushed;                ///< keys to be told in the next push
+    std::map<std::uint32_t, std::string> m_names;    ///< keys of m_keys by wire_key
+    std::map<std::uint32_t, std::int64_t> m_missing; ///< revisions announced, but not received yet
+    std::vector<node_id> m_watchers;   ///< of the own failure domain, except this node
+    std::vector<node_id> m_neighbours; ///< nodes of the own failure domain, except this node
+    std::set<std::string> m_unpushed;  ///< keys to be sent with the next push
     bool m_pushing = false;
     std::int64_t m_push_number = 0;
     std::map<node_id, push_source> m_push_sources;
-    std::vector<node_id> m_peers; ///< whom to ask: our domain's, else anyone
+    std::vector<node_id> m_peers; ///< to send requests to: m_neighbours, or all nodes if empty
     bool m_watching = false;
-    bool m_synced = false; ///< a peer or the platform has answered once
+    bool m_synced = false; ///< a peer or the platform has answered at least once
     std::size_t m_failed_requests = 0;
     time_point m_next_request{};
     time_point m_next_sync{};
--- a/peers/member.h
+++ b/peers/member.h
@@ -1,4 +1,4 @@
-// One daemon as another one knows it.
+// A daemon of the fleet as recorded in another daemon's member table.
 #pragma once
 
 #include "base/base.h"
@@ -20,16 +20,16 @@
     };
 };
 
-/// One daemon as this node knows it.
+/// What this node knows about one daemon.
 struct member {
     node_id node;
     failure_domain_id failure_domain;
-    std::string address;           ///< "IP:port" of its peer port
-    std::uint64_t boot = 0;        ///< grows with each start; the higher one wins
-    std::uint32_t incarnation = 0; ///< raised by the member itself to refute a suspicion
+    std::string address;           ///< "IP:port" on which it accepts peer connections
+    std::uint64_t boot = 0;        ///< increases with each start; the higher one is current
+    std::uint32_t incarnation = 0; ///< increased by the member itself to refute a suspicion
     member_state state = member_state::alive;
 
-    /// Alive or only suspected.
+    /// True if the member is alive or suspected, but not declared dead.
     [[nodiscard]] bool live() const
     {
         return state == member_state::alive || state == member_state::suspect;
--- a/peers/member_table.cc
+++ b/peers/member_table.cc
@@ -1,7 +1,7 @@
-// The order of reports is that of SWIM (Das, Gupta and Motivala 2002) with the start put before the
-// incarnation. Each report is a point in a total order (boot, incarnation, state), and a table only
-// moves up in it. So duplicates, reordered and old reports change nothing, and two tables that
-// heard the same reports in any order agree.
+// Reports about a member are ordered as in SWIM (Das, Gupta and Motivala 2002), with the boot
+// number compared before the incarnation. (boot, incarnation, state) is a total order, and an entry
+// is only ever replaced by a greater one. Duplicate, reordered and outdated reports therefore
+// change nothing, and two tables that received the same reports in any order are equal.
 #include "peers/member_table.h"
 
 #include <algorithm>
@@ -13,8 +13,8 @@
 {
     if (!known.live())
         return 0;
-    // Suspicions come and go quickly; leaving them out keeps the digests of two tables equal more
-    // often, and a lost suspicion costs nothing.
+    // The state is left out of the hash. Suspicions are short-lived, so including them would make
+    // digests differ and trigger table syncs, and a suspicion that does not arrive does no harm.
     const std::string text = known.node.value() + '/' + std::to_string(known.boot) + '/' +
                              std::to_string(known.incarnation);
     return hash64(text);
@@ -98,7 +98,6 @@
     return out;
 }
 
-// A full table drops whoever has been gone longest; live members are never dropped.
 bool member_table::evict_oldest()
 {
     auto oldest = m_rows.end();
--- a/peers/member_table.h
+++ b/peers/member_table.h
@@ -1,6 +1,6 @@
-// Every daemon that this node has heard of, and which of two reports about one wins.
+// The table of known daemons, and the order that decides which of two reports about one is newer.
 //
-//   std::optional<member> changed = table.merge(heard, now);
+//   std::optional<member> changed = table.merge(reported, now);  // nullopt: nothing new
 #pragma once
 
 #include "base/base.h"
@@ -16,32 +16,36 @@
 
 namespace jaynotch {
 
-/// Most members known at once: five times the fleet aimed at.
+/// Maximum number of members in a table: five times the intended fleet size of 410 nodes.
 inline constexpr std::size_t max_members = 2048;
 
-/// Whether `heard` is newer than `known`: a later start first, then a later incarnation, then the
-/// graver state. A member that left stays left until it starts again.
+/// Returns whether `reported` is newer than `known`. Compares the boot numbers first, then the
+/// incarnations, then the states in the order of member_state. member_table::merge also keeps a
+/// member that has left in that state until it restarts.
 bool supersedes(const member& reported, const member& known) noexcept;
 
-/// What a live member adds to a table's digest; 0 for others.
+/// Hash of a member for member_table::digest(); 0 if the member is not live.
 std::uint64_t member_hash(const member& known);
 
 class member_table {
 public:
-    /// Takes the report in if it is newer; gives the member as it now stands if so.
+    /// Stores the report if it is newer than the known one. Returns the stored member, or nullopt
+    /// if the table did not change.
     std::optional<member> merge(const member& reported, time_point now);
     [[nodiscard]] const member* find(const node_id& node) const;
     [[nodiscard]] std::vector<member> all() const;
     [[nodiscard]] std::size_t size() const { return m_rows.size(); }
-    /// Hash of all live members' names, starts and incarnations; equal tables, equal digests.
+    /// Hash over the names, boot numbers and incarnations of all live members. Tables with the same
+    /// live members have the same digest.
     [[nodiscard]] std::uint64_t digest() const { return m_digest; }
-    /// Members that changed within `age` or are live: what a newcomer needs.
+    /// Members that are live or changed within the last `age`, as sent to a node that asks for the
+    /// table.
     [[nodiscard]] std::vector<member> live_or_recent(time_point now, duration age) const;
-    /// Drops members dead or gone for longer than `age`.
+    /// Removes members that have been dead or have left for at least `age`.
     void remove_expired(time_point now, duration age);
-    /// Suspects of `domain` whose suspicion is older than `age`.
+    /// Members that have been suspected for at least `age`.
     [[nodiscard]] std::vector<member> expired_suspects(time_point now, duration age) const;
-    /// Names of the members that `wanted` picks, sorted.
+    /// Sorted names of the members for which `wanted` returns true.
     [[nodiscard]] std::vector<node_id>
     select(const std::function<bool(const member&)>& wanted) const;
 
@@ -50,6 +54,8 @@
         member known;
         time_point changed;
     };
+    /// Removes the member that has been dead or has left for longest. Returns false if all members
+    /// are live.
     bool evict_oldest();
 
     std::map<node_id, row> m_rows;
--- a/peers/membership.cc
+++ b/peers/membership.cc
@@ -1,11 +1,13 @@
-// Frames in, frames out: what a frame may change here, and what is sent in answer.
+// Handling of received frames, and the frames sent in response.
 //
-// Why duplicates, reordered and old frames do no harm: member reports only move up in their order
-// (member_table), rumors carry ages and only newer ones count (rumor_table), revisions only rise,
-// and an ack counts only for the probe whose sequence number it carries. A frame that was stuck, in
-// a paused process's socket say, would make its rumors look fresh; so the least difference between
-// our clock and the sender's is kept for each peer, and what a frame took longer than that is added
-// to the ages of what it brings.
+// Why duplicate, reordered and outdated frames do no harm: a member report only replaces a lesser
+// one (member_table), a rumor only an older one (rumor_table), the consumers of revisions accept
+// only higher ones, and an ack counts only for the probe with its sequence number.
+//
+// A frame that was delayed, for example in the socket of a paused process, would make its rumors
+// look newer than they are. So the minimum difference between the local clock and the sender's is
+// kept for each peer. It consists of the clocks' offset and the shortest delay; any time that a
+// frame took beyond it is added to the ages of the frame's rumors.
 #include "peers/membership.h"
 
 #include <algorithm>
@@ -14,11 +16,14 @@
 
 namespace {
 
-constexpr std::size_t urgent_frame_bytes = 180;
+constexpr std::size_t urgent_frame_bytes = 180; ///< approximate size, deducted from the budget
 constexpr duration push_interval = std::chrono::milliseconds{100};
+/// For this long after its start, a node may find that its boot number is not above that of its
+/// last start.
 constexpr duration startup_period = std::chrono::seconds{30};
-/// How fast the least delay may rise again, since two clocks drift apart: 200 parts per million.
+/// Maximum drift between two clocks, 200 ppm. The minimum clock offset may increase at this rate.
 constexpr double max_clock_drift = 2e-4;
+/// Dead members and members that left are part of a sync reply for this long.
 constexpr duration sync_history = std::chrono::minutes{10};
 constexpr std::size_t max_seeds = 64;
 
@@ -79,13 +84,15 @@
     const bool carries_rumors = frame.kind != wire::frame_kind::sync_reply &&
                                 frame.kind != wire::frame_kind::config_reply &&
                                 frame.kind != wire::frame_kind::key_reply;
-    // A peer that we hold for dead or left is told so: it alone can refute it.
+    // A peer that is recorded as suspect, dead or left gets that record, since only it can refute
+    // it.
     const member* known = m_members.find(to.node);
     if (known != nullptr && known->state != member_state::alive) {
         frame.members.push_back(to_wire(*known));
         frame.__isset.members = true;
     }
-    // A peer that has never answered may not know our address yet, and could not.
+    // A peer from which no frame has arrived since its start may not know this node's address, and
+    // could not answer without it.
     const auto info = m_peer_info.find(to.node);
     const bool introduce_self =
         known != nullptr && (info == m_peer_info.end() || info->second.boot != known->boot);
@@ -113,10 +120,11 @@
         return false;
     if (frame.sender == m_self.node.value() && frame.boot == static_cast<std::int64_t>(m_self.boot))
         return false;
-    // Meant for a node that had this address before us.
+    // Sent to another node that had this address before.
     if (!frame.target.empty() && frame.target != m_self.node.value())
         return false;
-    // A process whose name a later start has taken over: it must not speak for it any more.
+    // Frames of a process that was replaced by one with the same name and a higher boot number are
+    // rejected.
     const member* known = m_members.find(node_id{frame.sender});
     return known == nullptr || static_cast<std::uint64_t>(frame.boot) >= known->boot;
 }
@@ -166,8 +174,8 @@
 {
     for (const wire::member_update& update : frame.members)
         apply_member_report(now, from_wire(update), out);
-    // A frame of its own shows that a known member has started anew; its address comes with the
-    // update that it sends until it is known.
+    // A frame from a known process shows that it is alive. A new process is added by the update
+    // about itself, with its address, that its frames contain until its peers answer.
     const member* known = m_members.find(node_id{frame.sender});
     if (known == nullptr || static_cast<std::uint64_t>(frame.boot) != known->boot)
         return;
@@ -194,14 +202,15 @@
     out.emplace_back(member_changed{*changed});
 }
 
-// Others may hold this node for dead after a pause or a partition: it says that it is alive with a
-// higher incarnation, which wins over what was said about the old one.
+// After a pause or a partition other nodes may have declared this node dead. It refutes that by
+// publishing a higher incarnation, which supersedes all reports about the lower ones.
 void membership_core::apply_report_on_self(time_point now, const member& received,
                                            membership_commands& out)
 {
     if (received.boot > m_self.boot) {
-        // Just started, and its clock runs behind that of its last start: take a later number.
-        // Otherwise a newer process has the name, and this one was paused or cut off.
+        // Shortly after the start, and with the same address, the report is about this node's last
+        // start, when the clock was ahead of the current time: take a higher boot number. Otherwise
+        // a newer process has the same name.
         if (now - m_started < startup_period && received.address == m_self.address) {
             m_self.boot = received.boot + 1;
             publish_self(now);
@@ -309,8 +318,9 @@
     }
 }
 
-// A node whose table lags differs from everyone's and may be asked by all of them at once; and a
-// fleet that starts together asks the few seeds. Whoever gets no reply asks another in a while.
+// Replies are limited by a token bucket: a node with an outdated table may get requests from all
+// others at once, and the seeds from a whole fleet that starts. Nodes without a reply ask another
+// node later.
 void membership_core::reply_to_sync(time_point now, const member& to, membership_commands& out)
 {
     const double seconds = std::chrono::duration<double>(now - m_sync_refilled).count();
@@ -332,7 +342,7 @@
 {
     const member* sender = m_members.find(node_id{frame.sender});
     if (sender == nullptr)
-        return; // without an address; it tells us in its next frame
+        return; // its address is unknown; the sender includes it until it gets an answer
     const member to = *sender;
     switch (frame.kind) {
     case wire::frame_kind::ping: {
@@ -351,7 +361,7 @@
         reply_to_sync(now, to, out);
         break;
     default:
-        break; // answered elsewhere, or a kind of a later version
+        break; // handled by the message's consumer, or a kind of a newer version
     }
     const bool differs = frame.__isset.member_digest && frame.member_digest != table_digest();
     if (differs && now >= m_next_sync) {
@@ -370,7 +380,7 @@
     if (auto* reported = std::get_if<demand>(&own))
         reported->node = wire_key(m_self.node.value());
     apply_rumor(now, duration{0}, std::move(own), out);
-    // What this node says itself it need not hear.
+    // A node's own rumors are not reported to it.
     std::erase_if(
         out, [](const auto& command) { return std::holds_alternative<rumor_received>(command); });
     push_urgent(now, out);
@@ -458,8 +468,8 @@
     return out;
 }
 
-// One push to six random members misses one in four hundred (e^-6), who then waits up to a second
-// for a ping. A second push a tick later leaves it to one in a hundred thousand.
+// If each node pushes once to six random members, about one node in 400 (e^-6) is missed and waits
+// up to one second for a ping. A second push one tick later reduces this to one in 100,000.
 void membership_core::push_urgent(time_point now, membership_commands& out)
 {
     if (m_leaving)
--- a/peers/membership_keys.cc
+++ b/peers/membership_keys.cc
@@ -1,4 +1,4 @@
-// Key requests and replies as frames; what they mean is decided in key_relay.cc.
+// Conversion of key requests and replies to and from frames. key_relay.cc processes them.
 #include "peers/membership.h"
 
 namespace jaynotch {
--- a/peers/membership_probe.cc
+++ b/peers/membership_probe.cc
@@ -1,20 +1,21 @@
-// Who is probed, and what silence means.
+// The failure detector: which members are probed, and how missing answers are handled.
 //
-// Within a failure domain: SWIM. Each second one member, in a shuffled round so that everyone's
-// turn comes within a round; no ack in 300 ms, then three others are asked to try; still none
-// by the next second, and the member is a suspect; not refuted within 4 s, it is dead. So a crash
-// is known to its domain in about (members / probes a second) at worst and a few seconds on
-// average, and no single bad path between two nodes makes a member suspect.
+// Within a failure domain this is SWIM. Each node probes one member per second, in a shuffled order
+// that includes every member once per round. Without an ack after 300 ms, three other members are
+// asked to probe it. Without an ack after one second the member becomes suspect, and if it does not
+// refute that within 4 s it is declared dead. A crash is thus probed after at most about
+// (members / probes per second) seconds and detected within a few seconds on average, and a single
+// broken path between two nodes does not make a member suspect.
 //
-// Between domains only bridges talk: two nodes of a domain for each other domain, chosen by
-// rendezvous hashing over the live members, so that every node knows the bridges without a vote
-// and a dead bridge is replaced as soon as its death is known. A bridge does not judge: a domain
-// that is cut off is not dead, its members stay as they were last heard, and the moment the
-// partition heals nothing needs to be refuted. Only a domain of one or two nodes, which can't
-// judge one another, is judged from outside.
+// Between failure domains only bridges probe: two nodes of a domain for each other domain, chosen
+// by rendezvous hashing over the live members. So all nodes choose the same bridges without
+// coordination, and a bridge that is declared dead is replaced at once. A bridge doesn't suspect
+// members of the other domain: a partitioned domain is not dead, its members keep their last known
+// state, and nothing has to be refuted when the partition ends. The exception is a domain of one or
+// two nodes, which can't monitor each other reliably; bridges monitor it.
 //
-// Members held for dead are still probed now and then, or two halves of a partition that hold
-// each other for dead would never meet again.
+// Dead members are still probed occasionally. Otherwise two halves of a partition that have
+// declared each other dead would never rejoin.
 #include "peers/membership.h"
 
 #include <algorithm>
@@ -29,7 +30,7 @@
 constexpr duration seed_interval = std::chrono::seconds{2};
 constexpr duration relayed_ping_timeout = std::chrono::seconds{2};
 constexpr std::size_t max_relayed_pings = 256;
-constexpr std::size_t probes_per_dead_probe = 10; ///< one probe in so many goes to a dead member
+constexpr std::size_t probes_per_dead_probe = 10; ///< one of so many probes is to a dead member
 
 } // namespace
 
@@ -38,7 +39,7 @@
     membership_commands out;
     if (m_started == time_point{}) {
         m_started = now;
-        // Fleets start together; their probes should not beat together.
+        // A random offset, so that nodes started together don't probe at the same moments.
         m_next_probe = now + duration{m_random.between(0, m_settings.probe_interval.count())};
         publish_self(now);
     }
@@ -54,7 +55,7 @@
     refresh_views(now);
     contact_seeds(now, out);
     if (now >= m_next_probe) {
-        // After a pause the missed probes are not made up for.
+        // Probes that were missed during a pause are skipped.
         m_next_probe = std::max(m_next_probe + m_settings.probe_interval, now);
         probe_own_domain(now, out);
         probe_other_domains(now, out);
@@ -73,7 +74,7 @@
 
 void membership_core::refresh_views(time_point now)
 {
-    // At most once a second: while a fleet starts, the table changes with each frame.
+    // At most once per second, since the table changes with every frame while a fleet starts.
     const bool wait = !m_own_live.empty() && now < m_next_view_refresh;
     if (!m_views_stale || wait)
         return;
@@ -183,8 +184,8 @@
                 request_indirect_probes(now, pending, out);
         }
     }
-    // This node itself may have been paused: then every probe is overdue at once, and silence says
-    // nothing about the others. It shows as a tick that comes very late.
+    // If this node itself was paused, all its probes time out at once, which says nothing about
+    // their targets. So a probe that is found unanswered only after two intervals is ignored.
     const duration overdue = 2 * m_settings.probe_interval;
     std::vector<probe> timed_out;
     std::erase_if(m_probes, [&](const probe& pending) {
@@ -229,7 +230,7 @@
     std::erase_if(m_probes, [&](const probe& pending) {
         return pending.sequence == frame.sequence && pending.target == answering_node;
     });
-    // Acks of pings that were sent for others are handed on.
+    // Forwards the ack if the ping was sent on behalf of another node.
     for (const relayed_ping& relayed : m_relayed_pings) {
         if (relayed.sequence != frame.sequence || relayed.subject != answering_node)
             continue;
@@ -260,7 +261,7 @@
     send(now, to, ping, out);
 }
 
-// A seed is asked for its table until some member is known, and again whenever nobody is live.
+// Requests the member table from seeds while no other member is known to be live.
 void membership_core::contact_seeds(time_point now, membership_commands& out)
 {
     bool alone = m_own_live.empty();
--- a/peers/membership_servers.cc
+++ b/peers/membership_servers.cc
@@ -1,14 +1,16 @@
-// Second opinions. A node that gets no answer from a backend server, or from the store, asks its
-// peers whether they do: what is cut off from one node only must not be taken for dead (the
-// indirect probes of SWIM, Das et al. 2002, put to servers instead of members). And words of
-// runners, for nodes that the registry can't tell.
+// Conversion of messages about backend servers, the store and runners to and from frames.
+//
+// A node that can't reach a backend server or the store asks its peers whether they can, so that a
+// server is not declared dead because the path from a single node is broken. These are the indirect
+// probes of SWIM (Das et al. 2002), applied to servers. Reports of runners are relayed to nodes
+// that can't read the registry.
 #include "peers/membership.h"
 
 namespace jaynotch {
 
 namespace {
 
-/// Writes a message into a frame; returns its kind.
+/// Writes a message into a frame and returns the kind of the frame.
 struct frame_writer {
     wire::frame& frame;
 
@@ -63,7 +65,7 @@
     }
 };
 
-/// Nothing if its phase is none that this version knows.
+/// Returns nullopt if the phase is unknown to this version or the rank is negative.
 std::optional<runner_word> parse_runner_report(const wire::runner_word& message)
 {
     runner_word report{vm_id{message.vm}, message.born_ms, {}, message.model};
--- a/peers/payload.h
+++ b/peers/payload.h
@@ -1,8 +1,8 @@
-// What rides on the frames between daemons besides membership, in the core's own terms.
+// The rumors that daemons spread besides membership, as typed values.
 //
-// Names go as 32-bit hashes where the reader knows them (wire_key). Ages count from the moment the
-// observer saw the thing and grow on each hop, so that no two clocks need to agree; the newest
-// observation of a thing wins.
+// Names are sent as 32-bit hashes (wire_key) where the receiver knows the names. `age` is the time
+// since the observation. It increases on each hop, so clocks need not be synchronized; of two
+// observations of the same subject the newer one replaces the older one.
 #pragma once
 
 #include "base/base.h"
@@ -16,33 +16,33 @@
 
 namespace jaynotch {
 
-/// The 32-bit hash that stands for a name on the wire.
+/// The 32-bit hash that identifies a name in frames.
 std::uint32_t wire_key(std::string_view name) noexcept;
 
-/// A group's completeness ticket.
+/// The completeness ticket of a group, which says whether all its members are present.
 struct ticket_digest {
     std::uint32_t group = 0; ///< wire_key of the group's id
     fencing_number fencing;
-    std::uint16_t load = 0; ///< per mille of the group's capacity, 1000 is full
+    std::uint16_t load = 0; ///< per mille of the group's capacity
     bool complete = false;
-    duration age{0}; ///< since its watcher saw it
+    duration age{0}; ///< since a watcher of the group observed it
 
     friend bool operator==(const ticket_digest&, const ticket_digest&) = default;
 };
 
-/// What one node carries for a workspace of a pool.
+/// Requests of one workspace in one pool that a node has in flight and receives.
 struct demand {
-    std::uint32_t node = 0;      ///< wire_key of the node; filled in when published
+    std::uint32_t node = 0;      ///< wire_key of the node; set by membership_core::publish
     std::uint32_t pool = 0;      ///< wire_key of the pool
     std::uint32_t workspace = 0; ///< wire_key of the workspace
     std::uint32_t in_flight = 0;
-    double arrivals = 0.0; ///< requests a second, in steps of a tenth
+    double arrivals = 0.0; ///< requests per second, with a resolution of 0.1
     duration age{0};
 
     friend bool operator==(const demand&, const demand&) = default;
 };
 
-/// A backend server ("address:port") or VM that is to get no new work. Told to every node at once.
+/// A backend server ("address:port") or VM that must get no new requests. Sent at once.
 struct leaving {
     std::string server;
     duration age{0};
@@ -50,7 +50,7 @@
     friend bool operator==(const leaving&, const leaving&) = default;
 };
 
-/// Which revision a node has installed.
+/// The configuration revision that a node has installed.
 struct confirmation {
     std::uint32_t node = 0; ///< wire_key of the node
     config_revision revision;
@@ -60,7 +60,8 @@
     friend bool operator==(const confirmation&, const confirmation&) = default;
 };
 
-/// A key of the platform has a newer value; whoever lacks it asks a peer (key_relay.h).
+/// Announces a newer value of a key of the platform. Nodes without it request it from a peer
+/// (key_relay.h).
 struct key_notice {
     std::uint32_t key = 0; ///< wire_key of the key
     std::int64_t revision = 0;
@@ -69,16 +70,16 @@
     friend bool operator==(const key_notice&, const key_notice&) = default;
 };
 
-/// What a backend server said of the requests a second that it takes of all nodes together.
+/// The rate limit that a backend server has reported for the requests of all nodes together.
 struct server_limit {
     std::string server;               ///< VM
-    std::optional<double> per_second; ///< in steps of a thousandth; empty: it names none any more
+    std::optional<double> per_second; ///< resolution 0.001; empty: no limit any more
     duration age{0};
 
     friend bool operator==(const server_limit&, const server_limit&) = default;
 };
 
-/// One thing that spreads from node to node.
+/// An item that is forwarded from node to node.
 using rumor = std::variant<ticket_digest, demand, leaving, confirmation, key_notice, server_limit>;
 
 } // namespace jaynotch
--- a/peers/peer_service.cc
+++ b/peers/peer_service.cc
@@ -1,5 +1,5 @@
-// Hands the core its events and carries out its commands. Handlers run after the core has returned,
-// so that one may publish from within.
+// Passes events to the core and executes the commands that it returns. Handlers run after the core
+// has returned, so a handler may call publish() and other functions of the service.
 #include "peers/peers.h"
 
 #include <boost/asio/as_tuple.hpp>
@@ -13,7 +13,8 @@
 namespace {
 
 constexpr duration tick_interval = std::chrono::milliseconds{100};
-constexpr duration leave_grace = std::chrono::milliseconds{200}; ///< for the goodbye to get out
+constexpr duration leave_grace =
+    std::chrono::milliseconds{200}; ///< for the leave frames to be sent
 
 random_source random_for(const peer_settings& settings)
 {
@@ -49,8 +50,8 @@
         });
     }
 
-    // The coroutines keep the state: a service may be destroyed while they wait for a timer, whose
-    // cancellation then resumes them.
+    // The coroutines own the state: the service may be destroyed while they wait for a timer, and
+    // the cancellation of the timer resumes them after that.
     asio::awaitable<void> tick_loop([[maybe_unused]] std::shared_ptr<state> keep_alive)
     {
         while (!m_stopped) {
@@ -143,9 +144,10 @@
         if (m_superseded)
             return;
         m_superseded = true;
-        log_event(log_level::error, "node_superseded",
-                  {{"boot", order.boot},
-                   {"remedy", "another process has this node's name; give each its own"}});
+        log_event(
+            log_level::error, "node_superseded",
+            {{"boot", order.boot},
+             {"remedy", "another process uses this node's name; give each process a unique name"}});
         if (m_superseded_handler)
             m_superseded_handler();
     }
--- a/peers/peer_tls.cc
+++ b/peers/peer_tls.cc
@@ -1,9 +1,9 @@
-// Mutual TLS: both sides must show a certificate that the authority signed, so a process without a
-// key is turned away in the handshake, before a byte of ours is sent or one of its is read.
+// Mutual TLS: both sides must present a certificate signed by the configured CA. A process without
+// one fails the handshake, before any frame is sent to it or read from it.
 //
-// Rotation: whoever replaces the files need not restart the daemon. The order that never cuts nodes
-// off from one another: first an authority file with the old and the new authority on every node,
-// then new certificates, then the authority file without the old one.
+// Certificates can be rotated without a restart. To keep all nodes connected, first install a CA
+// file with the old and the new CA certificate on every node, then the new node certificates, then
+// the CA file without the old one.
 #include "peers/peer_tls.h"
 
 #include <openssl/x509v3.h>
@@ -16,8 +16,8 @@
 
 error unusable_file(const std::string& path, const std::string& why)
 {
-    return {error_kind::invalid_argument, "peer key file " + path + ": " + why,
-            "give a certificate, its key and the authority's certificate, all PEM"};
+    return {error_kind::invalid_argument, "can't use peer TLS file " + path + ": " + why,
+            "provide the certificate, its private key and the CA certificate as PEM files"};
 }
 
 } // namespace
@@ -66,7 +66,7 @@
     context->set_options(ssl::context::default_workarounds | ssl::context::no_sslv2 |
                          ssl::context::no_sslv3 | ssl::context::no_tlsv1 |
                          ssl::context::no_tlsv1_1);
-    // Most connections are idle most of the time; their buffers go back meanwhile.
+    // Most connections are idle most of the time. Releases their buffers meanwhile.
     SSL_CTX_set_mode(context->native_handle(), SSL_MODE_RELEASE_BUFFERS);
     SSL_CTX_set_session_cache_mode(context->native_handle(), SSL_SESS_CACHE_OFF);
     SSL_CTX_set_num_tickets(context->native_handle(), 0);
--- a/peers/peer_tls.h
+++ b/peers/peer_tls.h
@@ -1,4 +1,4 @@
-// The keys of mutual TLS between daemons, read again when their files change.
+// Certificates and keys for mutual TLS between daemons, reloaded when their files change.
 #pragma once
 
 #include "base/base.h"
@@ -13,23 +13,23 @@
 
 namespace jaynotch {
 
-/// PEM files of mutual TLS; read again when they change. All empty for plain TCP.
+/// PEM files for mutual TLS. All empty for plain TCP.
 struct peer_tls_files {
-    std::string certificate; ///< this node's; its name stands first among the DNS names of its SAN
-    std::string key;
-    std::string authority; ///< who signs the peers' certificates; several while one is rotated
+    std::string certificate; ///< of this node, whose name must be the first DNS name in its SAN
+    std::string key;         ///< private key of the certificate
+    std::string authority;   ///< CA certificates for verifying peers; several during rotation
 
     [[nodiscard]] bool empty() const { return certificate.empty() && key.empty(); }
 };
 
-/// A TLS context made from the files, and when they were read.
+/// A TLS context created from the files, and the version of the files that it was created from.
 class tls_credentials {
 public:
-    /// Errors: invalid_argument if a file can't be read or key and certificate don't match.
+    /// Errors: invalid_argument if a file can't be read or the key doesn't match the certificate.
     static result<tls_credentials> load(peer_tls_files files);
 
-    /// Reads the files again if one has changed; true if the context is a new one. Files that are
-    /// half written or don't match leave the old context in place, with a warning in the log.
+    /// Reloads the files if one has changed. Returns true if the context was replaced. Files that
+    /// are incomplete or don't match are logged as a warning, and the old context stays in use.
     bool refresh();
     [[nodiscard]] const std::shared_ptr<boost::asio::ssl::context>& context() const
     {
@@ -37,6 +37,7 @@
     }
 
 private:
+    /// Identifies a version of a file.
     struct stamp {
         std::filesystem::file_time_type written;
         std::uintmax_t size = 0;
@@ -58,8 +59,8 @@
     std::shared_ptr<boost::asio::ssl::context> m_context;
 };
 
-/// The node that the other side's certificate names: the first DNS name of its subjectAltName.
-/// Empty if it has none.
+/// Returns the node name in the peer's certificate: the first DNS name of its subjectAltName. Empty
+/// if there is none.
 node_id name_in_certificate(SSL* connection);
 
 } // namespace jaynotch
--- a/peers/rumor_table.cc
+++ b/peers/rumor_table.cc
@@ -1,12 +1,15 @@
-// Infection-style spreading (Demers et al. 1987; SWIM's piggy-backing). Each node tells each news a
-// bounded number of times. Leaving servers, tickets that are gone and membership are told 3 log2(n)
-// times, which reaches everyone with high probability; loads and confirmations are told a few
-// times, since newer ones follow or they can be asked for.
+// Epidemic dissemination (Demers et al. 1987), piggybacked on the frames of the failure detector as
+// in SWIM. Each node sends each item a bounded number of times. Items of high and middle priority
+// (leaving servers, incomplete tickets, members, key notices and server limits) are sent 3 log2(n)
+// times, which reaches all nodes with high probability. Complete tickets, demand and confirmations
+// are sent two or three times, since newer ones follow or they can be requested.
 //
-// Why an old rumor can't come back: an item counts as news only if it was observed later than the
-// known one by more than `age_slack`. Ages are rounded up on each hop and grow by the time that a
-// node holds the item, so the same observation only ever looks older; what is not accounted for is
-// the flight time, and a frame that was stuck is aged by its estimated delay (membership.cc).
+// Why an outdated item can't return: an item replaces the known one only if it has a higher
+// revision, fencing number or incarnation, or was observed later by more than `age_slack`
+// (is_newer_ticket() and newer() list the exceptions). Ages are rounded up on each hop and include
+// the time that each node has kept the item, so an observation only ever looks older. The time on
+// the network is not included, but a frame that was delayed has its estimated delay added to the
+// ages of its items (membership.cc), and the slack covers the rest.
 #include "peers/rumor_table.h"
 
 #include "peers/member_table.h"
@@ -19,14 +22,16 @@
 
 namespace {
 
-constexpr double milli = 1'000.0;
+constexpr double milli = 1'000.0; ///< thousandths per unit
 constexpr duration age_unit = std::chrono::milliseconds{100};
+/// Error of an item's observation time that is not accounted for by its age.
 constexpr duration age_slack = std::chrono::milliseconds{250};
-constexpr duration status_ttl = std::chrono::seconds{120}; ///< of tickets and demand
-constexpr duration default_ttl = std::chrono::hours{1};    ///< of the rest
+constexpr duration status_ttl = std::chrono::seconds{120}; ///< of tickets, demand and limits
+constexpr duration default_ttl = std::chrono::hours{1};    ///< of all other items
 constexpr std::size_t status_transmissions = 3;
 constexpr std::size_t confirmation_transmissions = 2;
 
+/// Bytes of urgent items that a frame may carry even if the budget is used up.
 constexpr double min_urgent_bytes = 120.0;
 constexpr std::size_t highest_priority = 0;
 constexpr std::size_t middle_priority = 1;
@@ -77,7 +82,8 @@
     return status ? status_ttl : default_ttl;
 }
 
-// About what the item takes in a frame; the exact sizes are checked by the byte-count test.
+// Approximate size of the item in a frame. The test of bytes per second in membership_test.cc
+// measures the actual sizes.
 std::size_t estimated_bytes(const gossip_item& item)
 {
     constexpr std::size_t ticket_bytes = 17;
@@ -107,8 +113,9 @@
 {
     if (received.fencing != known.fencing)
         return received.fencing > known.fencing;
-    // Within the slack nobody can say which came last: then the ticket counts as gone, since a
-    // whole group left out for a moment is harmless and a partial one that serves is not.
+    // Within the slack the order of two observations is unknown, so the ticket counts as
+    // incomplete: not using a complete group for a moment is harmless, using an incomplete one is
+    // not.
     if (!received.complete && known.complete)
         return time_difference > -age_slack;
     if (received.complete && !known.complete)
@@ -232,7 +239,7 @@
 
 member from_wire(const wire::member_update& received)
 {
-    // A state that a newer version invented is read as alive: the safe guess is not to drop it.
+    // An unknown state, of a newer version, is read as alive, which keeps the member in use.
     const int state = static_cast<int>(received.state) - 1;
     const bool known = state >= 0 && state <= static_cast<int>(member_state::left);
     return {node_id{received.node},
@@ -316,7 +323,7 @@
     double used_bytes = 0.0;
     const double available_bytes = std::min(m_tokens, static_cast<double>(m_budget.frame_bytes));
     for (std::size_t priority = 0; priority < priority_levels; ++priority) {
-        // Urgent news goes out even on an overdrawn budget, a little of it in each frame.
+        // Urgent items may exceed the budget by a small amount in each frame.
         double remaining_bytes = priority == highest_priority
                                      ? std::max(available_bytes, min_urgent_bytes)
                                      : available_bytes - used_bytes;
@@ -325,7 +332,8 @@
             const item_key key = queue.front();
             queue.pop_front();
             const auto found = m_entries.find(key);
-            // The item has gone, or waits in another queue since its rank changed.
+            // Skips a queue entry whose item has expired, has been sent often enough, or is in
+            // another queue because its priority changed.
             if (found == m_entries.end() || found->second.priority != priority ||
                 !found->second.queued)
                 continue;
@@ -352,8 +360,8 @@
 bool rumor_table::consume_urgent_budget(std::size_t bytes, time_point now)
 {
     refill(now);
-    // A budget of its own, since loads always use theirs up; a flood of urgent news waits for
-    // pings.
+    // Urgent frames have a separate budget because load reports always use up the common one. When
+    // it is exhausted, urgent items are sent with the next pings.
     if (m_urgent_tokens < 0.0)
         return false;
     m_urgent_tokens -= static_cast<double>(bytes);
--- a/peers/rumor_table.h
+++ b/peers/rumor_table.h
@@ -1,8 +1,8 @@
-// What this node knows and passes on: the newest of each thing, each told a few times, within a
-// budget of bytes a second.
+// The gossip items that this node forwards to its peers: the newest one about each subject, sent a
+// bounded number of times, within a budget of bytes per second.
 //
-//   if (table.offer(item, observed, now)) ...      // news; it will be passed on
-//   table.fill(frame, now);                        // adds what the budget allows
+//   if (table.insert_if_newer(item, observed, now, fleet)) ...  // new; it will be forwarded
+//   table.fill(frame, now);                                     // adds what the budget allows
 #pragma once
 
 #include "base/base.h"
@@ -19,18 +19,18 @@
 
 namespace jaynotch {
 
-/// Everything that is passed from node to node.
+/// Every kind of item that is forwarded from node to node.
 using gossip_item =
     std::variant<member, ticket_digest, demand, leaving, confirmation, key_notice, server_limit>;
 
-/// Most things kept; the newest of each kind at 410 nodes and 200 groups is 3,000 or so.
+/// Maximum number of items in a table. A fleet of 410 nodes and 200 groups needs about 3,000.
 inline constexpr std::size_t max_rumors = 8192;
 
 struct rumor_budget {
-    double bytes_s = 900.0;
-    std::size_t frame_bytes = 1200;
-    double urgent_bytes_s = 500.0;  ///< of frames that are sent for urgent news alone
-    double urgent_burst = 50'000.0; ///< bytes; some 25 changes in quick succession
+    double bytes_s = 900.0;         ///< bytes per second
+    std::size_t frame_bytes = 1200; ///< maximum added to one frame by fill()
+    double urgent_bytes_s = 500.0;  ///< for frames sent only to deliver urgent items
+    double urgent_burst = 50'000.0; ///< bytes; about 25 changes in quick succession
 };
 
 class rumor_table {
@@ -39,30 +39,31 @@
         : m_budget{budget}, m_tokens{burst()}, m_urgent_tokens{budget.urgent_burst}
     {}
 
-    /// Takes in what was observed at `observed`; true if it is news. `fleet` is the number of
-    /// members, which sets how often important items are told.
+    /// Stores the item, which was observed at `observed`, if it is newer than the known one about
+    /// the same subject. Returns whether it was stored. The number of members, `fleet`, determines
+    /// how often items of high priority are sent.
     bool insert_if_newer(const gossip_item& item, time_point observed, time_point now,
                          std::size_t fleet);
-    /// Adds items to the frame, most important and least told first.
+    /// Adds items to the frame in order of priority, and within a priority in round-robin order.
     void fill(wire::frame& frame, time_point now);
-    /// Drops what is too old to be of use.
+    /// Removes items older than the time-to-live of their kind.
     void expire(time_point now);
-    /// Whether something urgent may be sent now; takes `bytes` from the budget if so.
+    /// Returns whether an urgent frame may be sent now, and if so deducts `bytes` from its budget.
     bool consume_urgent_budget(std::size_t bytes, time_point now);
     [[nodiscard]] std::size_t size() const { return m_entries.size(); }
 
 private:
     static constexpr std::size_t priority_levels = 3;
     struct item_key {
-        std::size_t kind = 0;
-        std::uint64_t name = 0;
+        std::size_t kind = 0;   ///< index in gossip_item
+        std::uint64_t name = 0; ///< hash that identifies the subject among items of the kind
         friend auto operator<=>(const item_key&, const item_key&) = default;
     };
     struct entry {
         gossip_item item;
         time_point observed;
         std::size_t transmissions_left = 0;
-        std::size_t priority = 0; ///< 0 is told first
+        std::size_t priority = 0; ///< 0 is sent first
         bool queued = false;
     };
     static item_key key_of(const gossip_item& item);
@@ -78,16 +79,16 @@
     std::array<std::deque<item_key>, priority_levels> m_queues;
 };
 
-/// Ages in frames count tenths of a second, rounded up so that a rumor never looks newer than it
-/// is; the largest one stands for anything older.
+/// Converts an age to tenths of a second as used in frames. Rounds up, so that an item never looks
+/// newer than it is; ages above the maximum become the maximum.
 std::int16_t wire_age(duration age) noexcept;
 duration from_wire_age(std::int16_t age) noexcept;
 
-/// Limits in frames count thousandths of a request a second.
+/// Converts a rate limit from and to thousandths of a request per second as used in frames.
 std::int32_t limit_to_wire(double per_second) noexcept;
 double limit_from_wire(std::int32_t milli_per_second) noexcept;
 
-/// Conversions of members between the frame and the core.
+/// Converts a member to and from its representation in frames.
 wire::member_update to_wire(const member& known);
 member from_wire(const wire::member_update& received);
 
--- a/peers/store_followers.cc
+++ b/peers/store_followers.cc
@@ -1,11 +1,13 @@
-// A neighbour that lives says nothing about the store: it may be cut off from it, its call may
-// hang, or it may only repeat what it has. So each push tells how long ago the store answered its
-// sender, and only that counts.
+// That a neighbour is alive does not show that it reaches the store: it may be partitioned from it,
+// its call may hang, or it may only repeat what it has. So each push contains the time since the
+// store answered its sender, and only that decides whether the sender is fresh.
 //
-// All nodes rank one another the same way, by rendezvous over the live members. A stand-in begins
-// at its turn after the last fresh word and goes on until a node that ranks before it is fresh
-// again: so of several stand-ins the first stays. The turns are short beside the time in which a
-// change must be in force, and long beside a call on the store, so that few call it at once.
+// All nodes calculate the same ranks, by rendezvous hashing over the live members. A stand-in
+// starts when no push has been fresh for the freshness period plus a delay proportional to its
+// rank, and stops when a node of lower rank is fresh again. So of several stand-ins the one of
+// lowest rank remains. The delay between two ranks is short compared to the time within which a
+// change must be in force, and long compared to a call to the store, so that few nodes call it at
+// the same time.
 #include "peers/store_followers.h"
 
 #include <algorithm>
--- a/peers/store_followers.h
+++ b/peers/store_followers.h
@@ -1,13 +1,15 @@
-// Which nodes of a failure domain follow the platform's store for all of it: the decision core.
+// Decides which nodes of a failure domain follow (watch) the platform's store on behalf of all of
+// its nodes. It does no I/O.
 //
-//   store_followers turns{{.self = node}};
-//   turns.members_changed(own_domain);
-//   turns.told(from, age_of_the_stores_answer, now);   // a neighbour's push
-//   turns.answered(now);  turns.lost(now);             // what the store gave this node
-//   if (turns.due(now)) ...                            // follow it
+//   store_followers followers{{.self = node}};
+//   followers.members_changed(own_domain);
+//   followers.push_received(from, store_age, now);              // from a neighbour
+//   followers.store_answered(now);  followers.store_failed(now);  // this node's own calls
+//   if (followers.should_follow(now)) ...
 //
-// Two nodes are chosen. The others trust what these tell only for as long as the store has answered
-// the teller lately; then they stand in, one after the other.
+// Two nodes always follow and push what they learn to the others. The others rely on a push only if
+// the store answered its sender recently. If no node is fresh in this sense, the others stand in,
+// one after the other.
 #pragma once
 
 #include "base/base.h"
@@ -22,14 +24,15 @@
 
 struct store_followers_settings {
     node_id self;
-    std::string name = "documents"; ///< chooses the followers, differently for each store
-    std::size_t followers = 2;      ///< nodes of a failure domain that always follow
-    /// What the store said this long ago still counts as up to date. Must be longer than a follower
-    /// waits for the store's answer, and well within the time in which a change must be in force.
+    std::string name = "documents"; ///< hash key; each store has other followers
+    std::size_t followers = 2;      ///< nodes that always follow
+    /// A node is fresh for this long after the store answered it. Must be longer than a follower
+    /// waits for the store's answer, and much shorter than the time within which a change must be
+    /// in force.
     duration freshness_period = std::chrono::milliseconds{1'500};
     duration stand_in_stagger =
-        std::chrono::milliseconds{50}; ///< between two that begin to stand in
-    /// A node that the store turned away stands in no sooner than this.
+        std::chrono::milliseconds{50}; ///< between the starts of two stand-ins
+    /// A node whose call to the store failed does not stand in again before this time.
     duration stand_in_retry_delay = std::chrono::seconds{2};
 };
 
@@ -37,26 +40,27 @@
 public:
     explicit store_followers(store_followers_settings settings);
 
-    /// Live members of the failure domain, this node among them.
+    /// Sets the live members of the failure domain, including this node.
     void members_changed(const std::vector<node_id>& own_domain);
-    /// A neighbour has told all that it knows; the store answered it `store_age` ago.
+    /// A neighbour has pushed all that it knows; the store answered it `store_age` ago.
     void push_received(const node_id& from, duration store_age, time_point now);
-    /// The store answered this node, and all that it said has been learned.
+    /// The store answered this node, which has processed the answer.
     void store_answered(time_point now);
+    /// A call of this node to the store failed.
     void store_failed(time_point now);
 
-    /// Whether this node is to follow the store now.
+    /// Whether this node must follow the store now.
     [[nodiscard]] bool should_follow(time_point now);
-    /// How long ago the store answered this node; nullopt unless it follows and was answered.
+    /// Time since the store answered this node; nullopt if it doesn't follow or has no answer yet.
     [[nodiscard]] std::optional<duration> store_age(time_point now) const;
-    /// Place among the nodes of the domain; the chosen ones come first.
+    /// Position among the nodes of the domain; the permanent followers come first.
     [[nodiscard]] std::size_t rank() const { return m_rank; }
-    /// Whether no node that ranks before this one is fresh, so that the others go by this one.
+    /// Whether no node of lower rank is fresh, so that the others depend on this one.
     [[nodiscard]] bool is_first_fresh(time_point now) const
     {
         return now - m_lower_rank_fresh > m_settings.freshness_period;
     }
-    /// Whether other nodes go by what this one tells.
+    /// Whether the domain has nodes that don't follow and thus depend on pushes.
     [[nodiscard]] bool has_dependents() const { return m_ranks.size() > m_settings.followers; }
 
 private:
@@ -64,9 +68,9 @@
     std::map<node_id, std::size_t> m_ranks;
     std::size_t m_rank = 0;
     bool m_standing_in = false;
-    time_point m_last_fresh;       ///< when the store last answered us, or somebody who told us
-    time_point m_lower_rank_fresh; ///< the same of nodes that rank before us
-    time_point m_stand_in_after;   ///< of standing in
+    time_point m_last_fresh;       ///< last answer of the store to this node or a sender of pushes
+    time_point m_lower_rank_fresh; ///< last answer of the store to a node of lower rank
+    time_point m_stand_in_after;   ///< earliest start as a stand-in
     std::optional<time_point> m_last_answer;
 };
 
--- a/peers/transport.cc
+++ b/peers/transport.cc
@@ -1,10 +1,12 @@
-// Each node sends on connections that it opened and reads from those that it accepted: no
-// connection has two owners, and a peer that stops reading holds up only its own queue.
+// Each node sends on connections that it opened and receives on those that it accepted. So a
+// connection carries frames in one direction only, and a peer that stops reading blocks only the
+// queue of frames to itself.
 //
-// What a stuck or hostile peer can't do: make a queue grow (bounded in frames and bytes), hold a
-// handshake open (timed), keep idle connections for ever (closed after `idle_timeout`), have more
-// than `max_inbound` of them, announce a frame larger than max_frame_bytes (closed before anything
-// is allocated), or speak in another's name (its certificate's name goes with each frame).
+// Protection against faulty or malicious peers: queues are bounded in frames and bytes; handshakes
+// and idle connections time out; the number of inbound connections is limited to `max_inbound`; a
+// connection that announces a frame larger than max_frame_bytes is closed before memory is
+// allocated for it; each frame is passed on with the name in its sender's certificate, so that the
+// core can reject a false sender.
 #include "peers/transport.h"
 
 #include "peers/frame.h"
@@ -38,13 +40,14 @@
 constexpr auto use_result = asio::as_tuple(asio::use_awaitable);
 constexpr duration handshake_timeout = std::chrono::seconds{2};
 constexpr duration idle_timeout = std::chrono::minutes{4};
-constexpr duration key_check_interval = std::chrono::seconds{1};
+constexpr duration key_check_interval = std::chrono::seconds{1}; ///< of the TLS files
+/// After new TLS files, inbound connections made with the old ones are closed after this time.
 constexpr duration old_connection_grace = std::chrono::seconds{5};
-constexpr std::size_t max_queued_frames = 64;
-constexpr std::size_t max_queued_bytes = 4U << 20U;
-constexpr std::size_t length_prefix_bytes = 4;
+constexpr std::size_t max_queued_frames = 64;       ///< to one peer
+constexpr std::size_t max_queued_bytes = 4U << 20U; ///< to one peer
+constexpr std::size_t length_prefix_bytes = 4;      ///< of a frame; big-endian
 
-/// A TCP connection, with TLS on it if there are keys.
+/// A TCP connection, encrypted with TLS if a TLS context is given.
 class channel {
 public:
     channel(tcp::socket socket, std::shared_ptr<asio::ssl::context> keys) : m_keys{std::move(keys)}
@@ -59,7 +62,7 @@
 
     tcp::socket& socket() { return m_secure ? m_secure->next_layer() : *m_plain; }
 
-    /// True if the other side has proved itself, or need not.
+    /// Returns true if the peer has a valid certificate with a name, or over plain TCP.
     awaitable<bool> handshake(asio::ssl::stream_base::handshake_type side)
     {
         if (!m_secure)
@@ -106,13 +109,13 @@
     node_id m_verified_name;
 };
 
-/// Where frames to one peer wait.
+/// The queue of frames to one peer.
 struct outbound {
     explicit outbound(asio::io_context& io) : wake{io} {}
     std::deque<std::string> queue;
     std::size_t queued_bytes = 0;
-    timer wake; ///< cancelled when something was queued
-    bool retired = false;
+    timer wake;           ///< cancelled when a frame is queued
+    bool retired = false; ///< the connection is closed once the queue is empty
 };
 
 struct peer_key {
@@ -188,7 +191,7 @@
             if (failed && m_stopped)
                 break;
             if (failed) {
-                // Out of file descriptors, most likely: wait rather than spin.
+                // Probably out of file descriptors. The pause avoids a busy loop.
                 timer pause{m_io, std::chrono::milliseconds{100}};
                 co_await pause.async_wait(use_result);
                 continue;
@@ -269,7 +272,7 @@
             ++m_counters.peers_refused;
             co_return nullptr;
         }
-        // Another node answers at this address: it is not told what was meant for the first.
+        // Another node has this address now and must not get frames for the intended one.
         if (m_keys && !key.node.value().empty() && opened->verified_name() != key.node) {
             ++m_counters.peers_refused;
             co_return nullptr;
@@ -293,7 +296,8 @@
             m_outbound.erase(found);
     }
 
-    /// The peer sends nothing on a connection that we opened: bytes or an end both close it.
+    /// Completes when the peer closes the connection, or sends data, which it must not do on a
+    /// connection opened by this node.
     awaitable<void> wait_for_close(channel& opened)
     {
         std::array<char, 1> nothing{};
@@ -326,8 +330,8 @@
         }
     }
 
-    /// New keys: connections made with the old ones are given a moment to finish, then closed, so
-    /// that no peer stays on credentials that were taken away.
+    /// Reloads the TLS files when they change. Connections made with the old ones are closed after
+    /// a grace period, so that no peer stays connected with revoked credentials.
     awaitable<void> refresh_loop([[maybe_unused]] std::shared_ptr<state> keep_alive)
     {
         while (!m_stopped) {
@@ -367,8 +371,8 @@
     std::optional<tls_credentials> keys;
     if (settings.tls.empty()) {
         log_event(log_level::warning, "peer_plain_tcp",
-                  {{"remedy", "set the peer key files; without them anyone who reaches the port "
-                              "is taken for a peer"}});
+                  {{"remedy", "configure the peer TLS files; without them any process that can "
+                              "reach the port is accepted as a peer"}});
     }
     else {
         BOOST_OUTCOME_TRY(keys, tls_credentials::load(settings.tls));
--- a/peers/transport.h
+++ b/peers/transport.h
@@ -1,5 +1,6 @@
-// Carries frames between daemons over TCP or mutual TLS. It decides nothing: a frame that can't be
-// sent at once waits in a short queue, and one that finds the queue full is dropped and counted.
+// Sends and receives frames between daemons over TCP or mutual TLS. Delivery is not guaranteed: a
+// frame that can't be sent at once is put in a short queue, and if that is full it is dropped and
+// counted.
 //
 //   auto transport = peer_transport::create(io, {.listen = "10.0.0.1:7100", .tls = files}).value();
 //   transport->on_frame([&](const node_id& proved, std::string bytes) { ... });
@@ -19,40 +20,43 @@
 namespace jaynotch {
 
 struct transport_settings {
-    std::string listen = "127.0.0.1:0"; ///< "IP:port"; port 0 takes a free one
+    std::string listen = "127.0.0.1:0"; ///< "IP:port"; port 0 selects a free port
     peer_tls_files tls;
-    std::size_t max_inbound = 2048; ///< connections accepted at once
+    std::size_t max_inbound = 2048; ///< maximum number of open inbound connections
 };
 
-/// What the transport and the core have done so far.
+/// Counters of the transport and the core since the start.
 struct peer_counters {
     std::uint64_t frames_sent = 0;
-    std::uint64_t bytes_sent = 0; ///< frames with their length, without TLS and TCP headers
+    std::uint64_t bytes_sent = 0; ///< with length prefixes, without TLS and TCP headers
     std::uint64_t frames_received = 0;
     std::uint64_t bytes_received = 0;
     std::uint64_t frames_dropped = 0; ///< queue full or no connection
-    std::uint64_t frames_refused = 0; ///< did not parse, foreign deployment, wrong sender
-    std::uint64_t peers_refused = 0;  ///< handshakes that failed
-    std::uint64_t connections = 0;    ///< open now
+    std::uint64_t frames_refused = 0; ///< invalid, other deployment, wrong sender or target
+    std::uint64_t peers_refused =
+        0; ///< failed handshakes, wrong certificate names, too many connections
+    std::uint64_t connections = 0; ///< currently open
 };
 
 /// Connections to peers, opened when first needed and reused.
 class peer_transport {
 public:
-    /// Binds the port. Errors: invalid_argument (address, key files), unavailable (port in use).
+    /// Binds the port. Errors: invalid_argument (address, TLS files), unavailable (can't bind).
     static result<std::unique_ptr<peer_transport>> create(boost::asio::io_context& io,
                                                           transport_settings settings);
     peer_transport(const peer_transport&) = delete;
     peer_transport& operator=(const peer_transport&) = delete;
     ~peer_transport();
 
-    /// Called with the name that the peer's certificate proved; empty over plain TCP.
+    /// Sets the handler of received frames. `verified_name` is the name in the peer's certificate;
+    /// empty over plain TCP.
     void on_frame(std::function<void(const node_id& verified_name, std::string bytes)> handler);
-    /// Sends to `node` at "IP:port". An empty node name takes whoever answers there (a seed).
+    /// Sends a frame to `node` at "IP:port". With an empty node name any node that answers at the
+    /// address gets it (a seed).
     void send(const node_id& node, const std::string& address, std::string bytes);
     void stop();
 
-    [[nodiscard]] const std::string& address() const; ///< bound
+    [[nodiscard]] const std::string& address() const; ///< bound "IP:port"
     [[nodiscard]] const peer_counters& counters() const;
 
 private:
