--- a/peers/key_relay.h
+++ b/peers/key_relay.h
@@ -36,8 +36,8 @@
     std::size_t watchers = 2;     ///< nodes of a failure domain that watch the platform
     duration request_timeout = std::chrono::milliseconds{400}; ///< for a peer's reply
     duration sync_interval = std::chrono::seconds{20};         ///< between comparisons with a peer
-    duration initial_sync_interval =
-        std::chrono::milliseconds{500};        ///< the same before the first reply
+    /// Used instead of sync_interval until the first reply.
+    duration initial_sync_interval = std::chrono::milliseconds{500};
     std::size_t max_reply_bytes = 256U << 10U; ///< of one reply
     double max_reply_bytes_s = 200'000.0;      ///< of all replies, per second
     std::size_t max_keys = 4096;
@@ -62,7 +62,8 @@
 struct key_updated {
     relayed_key entry;
 };
-/// This node has everything that a neighbour knew when the platform answered it, `store_age` ago.
+/// A neighbour watches the platform, which answered it `store_age` ago, and this node has all
+/// entries that the neighbour had at that time.
 struct neighbour_fresh {
     node_id neighbour;
     duration store_age{0};
@@ -92,6 +93,8 @@
     key_relay_commands push(duration store_age);
     /// Stops pushing. The other nodes must compare with this one after its next push.
     void stop_pushing();
+    /// A notice arrived. If this node lacks the revision, it requests it from a peer in a later
+    /// tick.
     key_relay_commands notice_received(time_point now, const key_notice& notice);
     key_relay_commands message_received(time_point now, const key_message& message);
 
--- a/peers/key_relay_test.cc
+++ b/peers/key_relay_test.cc
@@ -1,5 +1,5 @@
-// The relay of keys on a network of a few lines: nodes in failure domains, messages that are lost,
-// a platform that only watchers hear.
+// Tests of the key relay in a small simulated network: nodes in failure domains, lost messages, and
+// a platform whose changes only watchers receive.
 #include "peers/key_relay.h"
 
 #include <criterion/criterion.h>
@@ -17,7 +17,7 @@
     std::string domain;
     key_relay_core core;
     bool up = true;
-    std::size_t sent = 0; ///< messages
+    std::size_t sent = 0; ///< number of messages
 };
 
 struct in_flight_message {
@@ -25,7 +25,7 @@
     key_message message;
 };
 
-/// Nodes, the messages between them and the platform's keys.
+/// The nodes, the messages between them, and the platform's keys.
 class network {
 public:
     network(std::size_t nodes, std::size_t domains, std::uint64_t seed) : m_random{seed}
@@ -60,7 +60,7 @@
         }
     }
 
-    /// The platform gets a value; those that watch hear it, unless it is dark.
+    /// Writes a value to the platform. Watchers receive it unless the platform is unreachable.
     void write(const std::string& key, std::int64_t revision, const std::string& more = "")
     {
         m_platform[key] = {key, revision, key + "@" + std::to_string(revision) + more};
@@ -101,27 +101,27 @@
 
     double loss = 0.0;
     bool platform_unreachable = false;
-    std::string partitioned_domain; ///< a domain whose messages to others are lost
+    std::string partitioned_domain; ///< its messages to and from other domains are lost
     bool revision_decreased = false;
 
 private:
     void run(node& from, const key_relay_commands& commands)
     {
         for (const key_relay_command& command : commands) {
-            if (const auto* tell = std::get_if<send_key_message>(&command)) {
+            if (const auto* message = std::get_if<send_key_message>(&command)) {
                 ++from.sent;
-                m_in_flight.push_back({tell->to, {from.name, tell->body}});
+                m_in_flight.push_back({message->to, {from.name, message->body}});
             }
-            else if (const auto* told = std::get_if<announce_key>(&command))
-                announce(from, told->notice);
-            else if (const auto* taken = std::get_if<key_updated>(&command)) {
-                std::int64_t& high = m_high[from.name][taken->entry.key];
-                revision_decreased = revision_decreased || taken->entry.revision <= high;
-                high = taken->entry.revision;
+            else if (const auto* announced = std::get_if<announce_key>(&command))
+                announce(from, announced->notice);
+            else if (const auto* updated = std::get_if<key_updated>(&command)) {
+                std::int64_t& high = m_high[from.name][updated->entry.key];
+                revision_decreased = revision_decreased || updated->entry.revision <= high;
+                high = updated->entry.revision;
             }
-            else if (const auto* watch = std::get_if<watch_keys>(&command)) {
+            else if (const auto* change = std::get_if<watch_keys>(&command)) {
                 for (const auto& [key, entry] : m_platform) {
-                    if (watch->on && !platform_unreachable)
+                    if (change->on && !platform_unreachable)
                         run(from, from.core.key_changed(m_now, entry));
                 }
             }
@@ -187,20 +187,19 @@
         net.loss = 0.2;
         net.write("r1", 5);
         net.steps(20);
-        const auto late = std::count_if(net.nodes().begin(), net.nodes().end(), [](const node& n) {
-            return !n.core.keys().contains("r1");
-        });
-        // A rumor that was lost to a node altogether waits for its next comparison.
-        cr_assert(late <= 12, "seed %lu: %ld of 40 late", seed, late);
+        const auto missing =
+            std::count_if(net.nodes().begin(), net.nodes().end(),
+                          [](const node& n) { return !n.core.keys().contains("r1"); });
+        // Nodes that did not receive the rumor get the value with their next comparison.
+        cr_assert(missing <= 12, "seed %lu: %ld of 40 nodes without the value", seed, missing);
         net.loss = 0.0;
         net.steps(400);
         cr_assert(net.everyone_has("r1", 5), "seed %lu", seed);
     }
 }
 
-// The platform is down for an hour, and an entry VM is replaced meanwhile. Its callers would find
-// no group though all groups serve, since the fresh node could read no record. It learns them from
-// a peer.
+// An entry VM is replaced during an outage of the platform. The new node can't read any record and
+// would refuse all requests although all groups serve. It must get the records from a peer.
 Test(key_relay, a_node_started_during_an_outage_gets_all_keys_from_a_peer)
 {
     network net{4, 3, 7};
@@ -215,8 +214,8 @@
     cr_assert_eq(net.nodes().back().core.keys().size(), 30);
 }
 
-// The same in a fleet of hundreds: what is known takes several replies. The fresh node had the rest
-// twenty seconds after the first, and forty.
+// The same with so many records that they need several replies. Guards against a new node that
+// waits for the next comparison, 20 s later, before it requests the rest.
 Test(key_relay, a_node_started_during_an_outage_gets_a_thousand_keys_within_five_seconds)
 {
     network net{24, 1, 7};
@@ -232,7 +231,7 @@
     cr_assert_eq(net.nodes().back().core.keys().size(), 1'100U);
 }
 
-// Both watchers of a domain die. The domain's other nodes take their places by themselves.
+// Both watchers of a domain crash. Other nodes of the domain must become watchers.
 Test(key_relay, dead_watchers_are_replaced)
 {
     network net{10, 1, 3};
@@ -246,8 +245,8 @@
     cr_assert(net.everyone_has("r", 2));
 }
 
-// A failure domain is cut off from the others; both sides learn new keys. When the cut heals each
-// side hears of the other's by comparison alone, as the rumors were lost.
+// During an outage of the platform and a partition, one node of a domain gets a new key and its
+// rumor is lost. The other nodes of the domain must get the key by comparison.
 Test(key_relay, a_partitioned_domain_catches_up_by_comparison)
 {
     network net{12, 3, 9};
@@ -259,11 +258,11 @@
                              [&](const node& each) { return each.domain == domain; });
     };
     (void)in_domain("d0").core.key_changed(time_point{std::chrono::seconds{200}}, {"a", 3, "v"});
-    net.steps(1800); // three minutes: a comparison with one random peer each 20 s or so
+    net.steps(1800); // three minutes, with a comparison with a random peer about every 20 s
     std::size_t have = 0;
     for (const node& each : net.nodes())
         have += each.core.keys().contains("a") ? 1 : 0;
-    cr_assert_eq(have, 4, "%zu nodes of the cut-off domain have it", have);
+    cr_assert_eq(have, 4, "%zu nodes of the partitioned domain have the key", have);
     net.partitioned_domain.clear();
     net.platform_unreachable = false;
     net.write("a", 4);
@@ -271,8 +270,9 @@
     cr_assert(net.everyone_has("a", 4));
 }
 
-// A forged or orphaned notice names a revision that nobody has. Asking has to end, or each such
-// notice would cost every node two messages a second for ever.
+// A notice announces a revision that no node has, because it was forged or its origin crashed.
+// Requests for it must end. Otherwise each such notice would cost every node two messages per
+// second for ever.
 Test(key_relay, requests_for_a_nonexistent_revision_end)
 {
     network net{4, 1, 11};
@@ -287,7 +287,7 @@
     std::size_t after = 0;
     for (const node& each : net.nodes())
         after += each.sent;
-    // Twelve asks and as many replies a node, and a comparison and its reply each 20 s or so.
+    // Per node twelve requests and replies, and a comparison and its reply about every 20 s.
     cr_assert(after - before < 4 * (2 * 12 + 2 * 8), "%zu messages", after - before);
 }
 
@@ -328,7 +328,7 @@
 
 namespace {
 
-/// A node with two neighbours, whose messages a test carries itself.
+/// A core with two neighbours. The test delivers its messages.
 key_relay_core core_of(const std::string& name)
 {
     key_relay_settings settings;
@@ -339,7 +339,7 @@
     return made;
 }
 
-/// What is to be told to a node.
+/// The bodies of the messages to a node.
 std::vector<key_body> bodies_sent_to(const std::string& name, const key_relay_commands& commands)
 {
     std::vector<key_body> bodies;
@@ -360,8 +360,8 @@
 
 } // namespace
 
-// A watcher hears of a revoked key from a peer of another domain before the platform tells it. The
-// platform's word is no news to it then, and its neighbours never heard of the change.
+// A watcher receives a change from a peer of another domain before it receives it from the
+// platform, whose report is not new then. Guards against neighbours that never get the change.
 Test(key_relay, keys_received_from_peers_are_pushed_too)
 {
     const time_point now{std::chrono::hours{1}};
@@ -369,19 +369,19 @@
     watcher.push({});
     watcher.message_received(now, {node_id{"far"}, key_reply{{{"config", 7, "v"}}, {}, {}, false}});
     watcher.key_changed(now, {"config", 7, "v"});
-    const auto told = [&] {
+    const auto count_pushed = [&] {
         const std::vector<key_body> bodies = bodies_sent_to("n1", watcher.push({}));
         return std::get<key_reply>(bodies.at(0)).entries.size();
     };
-    cr_assert_eq(told(), 1U);
+    cr_assert_eq(count_pushed(), 1U);
     watcher.message_received(
         now, {node_id{"n2"}, key_reply{{{"config", 8, "v"}}, duration{0}, 1, false}});
-    cr_assert_eq(told(), 1U, "the other watcher may not know of every neighbour");
-    cr_assert_eq(told(), 0U);
+    cr_assert_eq(count_pushed(), 1U, "the other watcher may not know all neighbours");
+    cr_assert_eq(count_pushed(), 0U);
 }
 
-// A fleet starts, and every node reads all entries. Were they pushed and announced, each node would
-// get them from both watchers once more, megabytes while it has most to do.
+// When a fleet starts, every node reads all entries. If these were announced and pushed, each node
+// would get them again from both watchers, which is megabytes during its start.
 Test(key_relay, a_full_read_is_compared_not_pushed)
 {
     const time_point now{std::chrono::hours{1}};
@@ -389,7 +389,7 @@
     key_relay_core other = core_of("n1");
     for (int index = 0; index < 100; ++index) {
         const relayed_key entry{"r" + std::to_string(index), 5 + index, "v"};
-        cr_assert_eq(watcher.read(entry).size(), 1U, "taken here, told to nobody");
+        cr_assert_eq(watcher.read(entry).size(), 1U, "only an update of this node");
         if (index != 42)
             other.read(entry);
     }
@@ -405,8 +405,8 @@
     cr_assert(other.keys().contains("r42"));
 }
 
-// A connection is reset while a push is on its way. The next push has nothing new, and the
-// neighbour took it for proof that it had everything.
+// A push is lost when a connection is reset, and the next one has no entries. Guards against a
+// neighbour that counts as fresh although it lacks the lost entries.
 Test(key_relay, after_a_lost_push_a_neighbour_is_fresh_only_after_a_comparison)
 {
     time_point now{std::chrono::hours{1}};
@@ -426,7 +426,7 @@
         return carry(watcher.message_received(now, {node_id{"n1"}, request.front()}));
     };
     const key_relay_commands first = carry(watcher.push({}));
-    cr_assert(!reports_fresh_neighbour(first), "what came before its first push is not known");
+    cr_assert(!reports_fresh_neighbour(first), "the entries before its first push are unknown");
     compare(first);
     cr_assert(reports_fresh_neighbour(carry(watcher.push({}))));
 
@@ -442,11 +442,11 @@
     watcher.stop_pushing();
     now += std::chrono::seconds{1};
     cr_assert(!reports_fresh_neighbour(carry(watcher.push({}))),
-              "it may have missed something meanwhile");
+              "entries may be missing from its pushes");
 }
 
-// Two nodes of a domain watch the platform. The others must hear of each change at once, and of the
-// watchers being there when nothing changes, since they would watch themselves otherwise.
+// Two nodes of a domain watch the platform. The others must get each change at once, and pushes
+// without entries when nothing changes, since without pushes they would watch the platform too.
 Test(key_relay, a_push_sends_each_change_to_the_domain_once)
 {
     key_relay_settings settings;
@@ -456,7 +456,7 @@
     watcher.members_changed({node_id{"n0"}, node_id{"n1"}, node_id{"n2"}},
                             {node_id{"n0"}, node_id{"n1"}, node_id{"n2"}, node_id{"far"}});
     watcher.key_changed(now, {"key", 5, "value"});
-    const auto told = [](const key_relay_commands& commands) {
+    const auto pushed_to = [](const key_relay_commands& commands) {
         std::size_t entries = 0;
         std::set<node_id> to;
         for (const key_relay_command& one : commands) {
@@ -467,6 +467,6 @@
         return std::pair{to, entries};
     };
     const std::set<node_id> neighbours{node_id{"n1"}, node_id{"n2"}};
-    cr_assert(told(watcher.push({})) == std::pair(neighbours, std::size_t{2}));
-    cr_assert(told(watcher.push({})) == std::pair(neighbours, std::size_t{0}));
+    cr_assert(pushed_to(watcher.push({})) == std::pair(neighbours, std::size_t{2}));
+    cr_assert(pushed_to(watcher.push({})) == std::pair(neighbours, std::size_t{0}));
 }
--- a/peers/membership_test.cc
+++ b/peers/membership_test.cc
@@ -20,8 +20,8 @@
 
 } // namespace
 
-// A member crashes: its domain calls it dead within seconds, on a network that loses, doubles and
-// reorders frames, and nobody who is alive is called dead.
+// On a network that loses, duplicates and reorders frames, all nodes must declare a crashed member
+// dead, and no live one.
 Test(membership, a_crash_is_detected_without_false_positives)
 {
     for (std::uint64_t seed = 1; seed <= 5; ++seed) {
@@ -31,11 +31,12 @@
         net.max_delay = milliseconds{40};
         for (std::size_t i = 0; i < 24; ++i)
             net.add(i, 3);
-        cr_assert(net.until([&] { return net.views_converged(); }, seconds{60}), "no full view");
+        cr_assert(net.until([&] { return net.views_converged(); }, seconds{60}),
+                  "member tables did not converge");
         net.nodes[5]->crashed = true;
         cr_assert(net.until([&] { return all_report(net, *net.nodes[5], member_state::dead); },
                             seconds{60}),
-                  "seed %lu: not all know of the death", seed);
+                  "seed %lu: not all nodes detected the crash", seed);
         for (const auto& viewer : net.nodes) {
             for (const auto& other : net.nodes) {
                 if (viewer != other && !viewer->crashed && !other->crashed)
@@ -45,8 +46,8 @@
     }
 }
 
-// A VM is paused for minutes and returns as if nothing had happened. Its socket is full of old
-// frames and it holds dead members for alive. It refutes its own death and blames nobody.
+// Guards against false reports by a VM that was paused for minutes: its socket is full of old
+// frames and its table is outdated. It must refute its own death and not declare others dead.
 Test(membership, a_paused_node_rejoins)
 {
     test_network net{7};
@@ -63,8 +64,8 @@
     cr_assert_gt(paused_node.core.self().incarnation, 0U);
 }
 
-// Two halves of a failure domain lose each other until each holds the other for dead. When the
-// network heals they must find each other again without an operator.
+// During a partition of a failure domain each half declares the other dead. After the partition
+// they must rejoin without an operator, which needs probes of dead members.
 Test(membership, partitioned_halves_rejoin)
 {
     test_network net{8};
@@ -79,8 +80,8 @@
     cr_assert(net.until([&] { return net.views_converged(); }, seconds{60}));
 }
 
-// A failure domain is cut off for ten minutes. Its members are not dead, and nothing has to be
-// refuted when it comes back.
+// A failure domain is partitioned from the others for ten minutes. Its members must not be declared
+// dead.
 Test(membership, a_partitioned_domain_is_not_declared_dead)
 {
     test_network net{9};
@@ -95,8 +96,8 @@
     cr_assert(net.views_converged());
 }
 
-// A VM is replaced: a new process with the old name and address starts with a later boot. It wins
-// at once, and frames of the old process that still arrive change nothing.
+// A VM is replaced: a new process starts with the same name and address and a higher boot number.
+// It must supersede the old one, and frames of the old process must be rejected.
 Test(membership, a_restarted_node_supersedes_its_old_process)
 {
     test_network net{10};
@@ -117,7 +118,7 @@
         });
     };
     cr_assert(net.until([&] { return known_as(2); }, seconds{30}));
-    // The old process wakes and pings: refused, and told that its name is taken.
+    // A ping of the old process is rejected.
     const std::uint64_t refused = net.nodes[0]->core.refused();
     membership_settings settings;
     settings.deployment = "test";
@@ -131,8 +132,8 @@
     cr_assert(known_as(2));
 }
 
-// Another node gets the address of one that was replaced. Frames meant for the first are not
-// answered in its name, so the first is found to be gone.
+// Another node gets the address of one that crashed. It must not answer frames for the crashed
+// node, which would otherwise stay alive in all tables.
 Test(membership, a_reused_address_does_not_answer_for_the_old_node)
 {
     test_network net{11};
@@ -147,7 +148,7 @@
         net.until([&] { return all_report(net, new_owner, member_state::alive); }, seconds{60}));
 }
 
-// A node says goodbye: its domain knows at once, without waiting for a suspicion.
+// A node that leaves must be known to have left at once, without a suspicion.
 Test(membership, leaving_is_known_within_100_ms)
 {
     test_network net{12};
@@ -161,8 +162,8 @@
     cr_assert(all_report(net, leaver, member_state::left));
 }
 
-// An operator drains a server. Every node of 90 in three domains must stop picking it within two
-// seconds of the first that heard, though frames are lost.
+// An operator drains a server. All 90 nodes in three domains must know it within two seconds after
+// the first one, although frames are lost.
 Test(membership, a_leaving_server_is_known_everywhere_within_two_seconds)
 {
     test_network net{13};
@@ -179,10 +180,11 @@
         };
     }
     net.run(*net.nodes[40], net.nodes[40]->core.publish(net.now, leaving{"10.1.0.7:80", {}}));
-    cr_assert(net.until([&] { return heard >= 89; }, seconds{2}), "only %zu of 89", heard);
+    cr_assert(net.until([&] { return heard >= 89; }, seconds{2}),
+              "received by only %zu of 89 nodes", heard);
 }
 
-// Guards against nodes that keep a server's limit after another node heard that it is lifted.
+// Guards against nodes that keep a server's rate limit after it was lifted.
 Test(membership, a_server_limit_and_its_removal_reach_all_nodes)
 {
     test_network net{15};
@@ -213,11 +215,11 @@
     net.run(first, first.core.publish(net.now, server_limit{"i-1", std::nullopt, {}}));
     cr_assert(net.until(all_know(std::nullopt), seconds{15}));
     net.run_for(seconds{30});
-    cr_assert(all_know(std::nullopt)(), "an echo of the limit came back");
+    cr_assert(all_know(std::nullopt)(), "an outdated limit was accepted");
 }
 
-// A frame sat in a paused node's socket for a minute. The ticket that it brings must look a minute
-// old, or a group that has lost a VM since would be served from.
+// A frame waits in a paused node's socket for a minute. Its ticket must get an age of about a
+// minute. Otherwise requests would go to a group that may have lost a VM since.
 Test(membership, a_delayed_frame_does_not_make_a_ticket_look_recent)
 {
     test_network net{14};
@@ -239,8 +241,8 @@
     cr_assert_geq(seen.count(), duration{seconds{50}}.count());
 }
 
-// Of two reports about one group in the same instant, the one that says it is not whole wins, and
-// an older "whole" that arrives later does not bring it back.
+// Of two tickets of a group from about the same time, the incomplete one must be kept, and an older
+// complete one that arrives later must be ignored.
 Test(membership, an_incomplete_ticket_overrides_older_complete_ones)
 {
     rumor_table table{{}};
@@ -255,7 +257,8 @@
     cr_assert(table.insert_if_newer(whole, now + seconds{2}, now + seconds{2}, 10));
 }
 
-// A process of another deployment, or one that forges a name over TLS, changes nothing.
+// Frames of another deployment, frames whose sender does not match the certificate, and truncated
+// frames must change nothing.
 Test(membership, foreign_and_forged_frames_change_nothing)
 {
     test_network net{15};
@@ -282,8 +285,8 @@
     cr_assert_eq(core.members().size(), known);
 }
 
-// A node of a later version adds a field and a kind of frame that this one does not know. The rest
-// of the frame still counts, and an unknown kind is not answered.
+// A node of a newer version sends a frame with an unknown field and kind. Its known fields must
+// still be processed.
 Test(membership, frames_of_a_later_version_are_read)
 {
     test_network net{17};
@@ -300,7 +303,7 @@
     digest.revision = 12;
     frame.__set_config(digest);
     std::string bytes = encode_frame(frame);
-    // Before the stop byte: field 19 + 11 = 30, a binary of three bytes, in the compact protocol.
+    // Adds field 30, a binary of three bytes in the compact protocol, before the stop byte.
     bytes.pop_back();
     bytes += std::string{"\x08\x3c\x03"
                          "abc\x00",
@@ -315,8 +318,8 @@
     cr_assert(heard);
 }
 
-// Whatever there is to say, a node keeps to its bytes: 410 nodes, 200 groups, demand of ten
-// workspaces in two pools from each node, and a configuration change each 26 s.
+// Guards the budget of bytes per second (membership.h) with 410 nodes, 200 groups, 20 demand
+// reports from each node, and a configuration change every 28 s.
 Test(membership, bytes_a_second_at_410_nodes_stay_in_budget)
 {
     test_network net{18};
@@ -351,16 +354,16 @@
     constexpr double elapsed = spans * 4.0;
     constexpr double header_bytes = 102; // TLS record, TCP and IP headers of a frame
     double sum = 0;
-    double most = 0;
+    double highest = 0;
     for (const auto& node : net.nodes) {
         const double rate = (static_cast<double>(node->bytes_sent) +
                              header_bytes * static_cast<double>(node->frames_sent)) /
                             elapsed;
         sum += rate;
-        most = std::max(most, rate);
+        highest = std::max(highest, rate);
     }
-    std::printf("bytes a second sent a node, headers included: mean %.0f, most %.0f\n", sum / 410.0,
-                most);
+    std::printf("bytes per second sent per node, headers included: mean %.0f, highest %.0f\n",
+                sum / 410.0, highest);
     cr_assert_lt(sum / 410.0, 1500.0);
-    cr_assert_lt(most, 3000.0);
+    cr_assert_lt(highest, 3000.0);
 }
--- a/peers/peers.thrift
+++ b/peers/peers.thrift
@@ -1,14 +1,15 @@
-// Frames between daemons: Thrift's compact protocol. A field that a reader doesn't know is
-// skipped; `version` says which fields the sender knew. Fields are never renumbered or reused.
-// Names are hashed to 32 bits (wire_key) where the reader knows the names anyway.
+// Frames between daemons, in Thrift's compact protocol. Receivers skip fields that they don't know;
+// `version` tells which fields the sender knew. Field numbers are never changed or reused. Names
+// are sent as 32-bit hashes (wire_key) where the receiver knows the names. An `age` is the time
+// since the observation in tenths of a second.
 namespace cpp jaynotch.wire
 
 enum frame_kind {
-  ping = 1            // asks for an ack; carries rumors
+  ping = 1            // requests an ack; carries rumors
   ack = 2
-  ping_request = 3    // "ping `subject` for me"
-  rumor = 4           // rumors that could not wait for the next ping
-  sync_request = 5    // "send me the whole member table"
+  ping_request = 3    // requests an indirect probe: ping `subject` on behalf of the sender
+  rumor = 4           // urgent rumors
+  sync_request = 5    // requests the whole member table
   sync_reply = 6
   config_request = 7
   config_reply = 8
@@ -32,13 +33,13 @@
   6: member_state state
 }
 
-// Revision that the sender has installed; rides on every frame.
+// Revision that the sender has installed; part of every frame.
 struct config_digest {
   1: i64 revision
   2: optional bool platform_lost   // the sender can't reach the key-value service
 }
 
-// What some node has installed.
+// Revision that a node has installed, spread as a rumor.
 struct confirmation {
   1: i32 node
   2: i64 revision
@@ -46,39 +47,39 @@
   4: i16 age
 }
 
-// One group's completeness ticket, as a watcher of the group saw it `age` ago.
+// A group's completeness ticket, as a watcher of the group observed it.
 struct ticket_digest {
   1: i32 group
   2: i64 fencing
   3: i16 load          // per mille of capacity
   4: bool complete
-  5: i16 age           // tenths of a second
+  5: i16 age
 }
 
-// What one node has in flight and admits for a workspace of a pool.
+// Requests of one workspace in one pool that a node has in flight and receives.
 struct demand {
   1: i32 node
   2: i32 pool
   3: i32 workspace
   4: i32 in_flight
-  5: i32 arrivals      // requests in the last second, times ten
+  5: i32 arrivals      // requests per second, times ten
   6: i16 age
 }
 
-// A backend server that takes no new work.
+// A backend server that must get no new requests.
 struct leaving {
   1: string server
   2: i16 age
 }
 
-// What a backend server takes of all nodes together; without a rate it names no limit any more.
+// Rate limit of a backend server for all nodes together; without a rate there is no limit any more.
 struct server_limit {
   1: string server
   2: optional i32 per_second_milli
   3: i16 age
 }
 
-// Asks for the head that `base` lacks, or for pages by digest.
+// Requests the head if it is newer than `base`, or pages by digest.
 struct config_request {
   1: i64 base
   2: optional list<string> digests
@@ -89,9 +90,9 @@
   2: binary bytes
 }
 
-// A key of the platform that some nodes watch and the others hear of, at its newest revision.
+// Announces the newest revision of a platform key that only some nodes watch.
 struct key_notice {
-  1: i32 key           // hash of the key
+  1: i32 key           // wire_key of the key
   2: i64 revision
   3: i16 age
 }
@@ -101,7 +102,7 @@
   2: i64 revision
 }
 
-// Asks for the keys that are newer than `known`: the wanted ones, or all if none are named.
+// Requests entries newer than `known`: of the keys `wanted`, or of all keys if it is not set.
 struct key_request {
   1: list<known_key> known
   2: optional list<i32> wanted
@@ -115,20 +116,20 @@
 
 struct key_reply {
   1: list<key_value> entries
-  2: optional i32 store_age_ms  // the sender follows the store, which answered it this long ago
-  3: optional i64 push_number   // of a push; one that is missing was lost
-  4: optional bool complete     // answers a comparison of all keys, and nothing newer was left out
+  2: optional i32 store_age_ms  // time since the store answered the sender, which follows it
+  3: optional i64 push_number   // sequence number of a push; a gap shows that one was lost
+  4: optional bool complete     // replies to a request for all keys and contains all newer entries
 }
 
-// `head` is the head record of `revision` as it stands in the key-value service.
+// `head` is the head record of `revision` as stored in the key-value service.
 struct config_reply {
   1: i64 revision
   2: optional binary head
   3: optional list<config_page> pages
-  4: optional binary delta         // what changed in the head since the asker's base
+  4: optional binary delta         // changes of the head since the requester's base
 }
 
-// "Does this backend server answer you?"
+// Asks whether a backend server responds to the receiver.
 struct server_question {
   1: string vm
   2: string address
@@ -139,7 +140,7 @@
   2: bool answers
 }
 
-// What a runner says of its group while the registry is dark.
+// A runner's report about itself and its group, relayed while the registry is unreachable.
 struct runner_word {
   1: string vm
   2: i64 born_ms
@@ -151,10 +152,10 @@
   8: string model
 }
 
-// "Does the platform's store answer you? I manage this failure domain."
+// Asks whether the platform's store responds to the receiver. Sent by the manager of the domain.
 struct store_question {
   1: string failure_domain
-  2: i64 round               // comes back with the answer
+  2: i64 round               // copied into the answer
 }
 
 struct store_answer {
@@ -171,9 +172,9 @@
   5: i64 boot
   6: i32 incarnation
   7: i32 sequence
-  8: i64 sent_ms               // by the sender's own clock, since its boot
-  9: optional string target    // whom the sender believes it is talking to
-  10: optional string subject  // whom a ping_request, or its ack, is about
+  8: i64 sent_ms               // on the sender's clock, since its start
+  9: optional string target    // node that the frame is intended for
+  10: optional string subject  // node that a ping_request, or its ack, refers to
   11: optional i64 member_digest
   12: optional config_digest config
   13: optional list<member_update> members
--- a/peers/store_followers.h
+++ b/peers/store_followers.h
@@ -3,8 +3,9 @@
 //
 //   store_followers followers{{.self = node}};
 //   followers.members_changed(own_domain);
-//   followers.push_received(from, store_age, now);              // from a neighbour
-//   followers.store_answered(now);  followers.store_failed(now);  // this node's own calls
+//   followers.push_received(from, store_age, now);  // a push from a neighbour
+//   followers.store_answered(now);                  // a call of this node succeeded
+//   followers.store_failed(now);                    // a call of this node failed
 //   if (followers.should_follow(now)) ...
 //
 // Two nodes always follow and push what they learn to the others. The others rely on a push only if
@@ -30,8 +31,8 @@
     /// waits for the store's answer, and much shorter than the time within which a change must be
     /// in force.
     duration freshness_period = std::chrono::milliseconds{1'500};
-    duration stand_in_stagger =
-        std::chrono::milliseconds{50}; ///< between the starts of two stand-ins
+    /// Delay between the starts of two stand-ins that follow each other in rank.
+    duration stand_in_stagger = std::chrono::milliseconds{50};
     /// A node whose call to the store failed does not stand in again before this time.
     duration stand_in_retry_delay = std::chrono::seconds{2};
 };
--- a/peers/store_followers_test.cc
+++ b/peers/store_followers_test.cc
@@ -1,5 +1,5 @@
-// Nodes of one failure domain on a clock of a few lines: a store that some of them reach, pushes
-// between them, no network.
+// Tests of the choice of followers with the nodes of one failure domain on a simulated clock. The
+// nodes call a store that some of them can't reach, and push to each other without loss.
 #include "peers/store_followers.h"
 
 #include <criterion/criterion.h>
@@ -13,11 +13,11 @@
 
 namespace {
 
-/// What the store is to a node.
+/// How the store responds to a node.
 enum class store_access {
     answers,
-    refuses, ///< resets or turns away: the call fails at once
-    hangs,   ///< nothing comes; the call fails when it times out
+    refuses, ///< resets or rejects: the call fails at once
+    hangs,   ///< no response: the call fails when it times out
 };
 
 class domain {
@@ -33,7 +33,7 @@
         }
     }
 
-    /// The two that are chosen, then the others in turn.
+    /// The nodes in the order of their ranks.
     [[nodiscard]] std::vector<std::size_t> ranked() const
     {
         std::vector<std::size_t> order(m_nodes.size());
@@ -45,8 +45,8 @@
     void set_store_access(std::size_t node, store_access now) { m_nodes[node].store = now; }
     void kill(std::size_t node) { m_nodes[node].alive = false; }
 
-    /// The store takes a change; returns how long it takes until all that live, but for those that
-    /// are told to be left out, have heard of it.
+    /// Changes the store. Returns the time until all live nodes, except those in `excluded`, know
+    /// the change.
     duration propagation_time(const std::set<std::size_t>& excluded)
     {
         ++m_change;
@@ -79,8 +79,8 @@
 
 private:
     static constexpr duration step_time = 10ms;
-    static constexpr duration wait = 1s;    ///< of a call for a change
-    static constexpr duration timeout = 2s; ///< of a call that hangs
+    static constexpr duration wait = 1s;    ///< of a call without a change
+    static constexpr duration timeout = 2s; ///< of a call without a response
     static constexpr duration push_interval = 400ms;
 
     struct node {
@@ -88,8 +88,8 @@
         store_followers followers;
         store_access store = store_access::answers;
         bool alive = true;
-        int known = 0;                          ///< last change heard of
-        std::optional<time_point> called_until; ///< call under way
+        int known = 0;                          ///< last known change
+        std::optional<time_point> called_until; ///< end of the current call, if any
         time_point called;
         time_point next_call{};
         time_point pushed{};
@@ -164,8 +164,8 @@
     std::size_t m_calls = 0;
 };
 
-/// Within this a change must be in force; the least that operators ask for, less the time for a
-/// reading of everything.
+/// Time within which all nodes must know a change: the shortest time that operators require for a
+/// change to be in force, less the time for a full read.
 constexpr duration max_propagation_time = 2s + 700ms;
 
 constexpr std::array sizes{4U, 24U, 82U};
@@ -178,13 +178,14 @@
         domain here{size};
         here.run(10s);
         cr_assert_eq(here.following(), 2U);
-        cr_assert_leq(here.calls(), 2 * 10 + 2 * size, "two calls a second, and the start");
+        cr_assert_leq(here.calls(), 2 * 10 + 2 * size,
+                      "two calls per second, plus the calls at the start");
         cr_assert_lt(here.propagation_time({}), 100ms);
     }
 }
 
-// Both followers are cut off from the store and live on: their neighbours kept old tables for as
-// long as they heard of them.
+// Both followers are alive but can't reach the store. Guards against neighbours that keep outdated
+// tables because they still receive frames from the followers.
 Test(store_followers, a_change_reaches_all_nodes_when_no_follower_reaches_the_store)
 {
     for (const std::size_t size : sizes) {
@@ -198,7 +199,7 @@
                          "%zu nodes", size);
             here.run(3s);
             cr_assert_lt(here.propagation_time({}), max_propagation_time,
-                         "their neighbours tell those cut off");
+                         "their neighbours push to the nodes without access");
         }
     }
 }
@@ -215,7 +216,7 @@
     }
 }
 
-// A third of the nodes are turned away, the first in rank among them.
+// The store rejects the third of the nodes with the lowest ranks.
 Test(store_followers, a_change_reaches_all_nodes_when_the_first_third_is_refused)
 {
     for (const std::size_t size : sizes) {
@@ -227,13 +228,13 @@
         cr_assert_lt(here.propagation_time({}), max_propagation_time, "%zu nodes", size);
         const std::size_t before = here.calls();
         here.run(10s);
-        // Two chosen ones that are turned away call each 0.8 s, one or a few stand in, and whoever
-        // is turned away tries again when nobody else is fresh.
+        // The two followers retry every 0.8 s, one or a few nodes stand in, and rejected nodes
+        // retry when no other node is fresh.
         cr_assert_leq(here.calls() - before, 2 * 13 + 2 * 10 + 2 * size);
     }
 }
 
-// Stand-ins hand back as soon as a chosen follower is answered again.
+// Stand-ins must stop when the store answers the permanent followers again.
 Test(store_followers, stand_ins_stop_when_a_follower_recovers)
 {
     for (const std::size_t size : sizes) {
@@ -249,7 +250,8 @@
     }
 }
 
-// No node reaches the store: all of them calling all the time would be a herd on its return.
+// No node reaches the store. If all nodes kept calling it, the calls would overload it on its
+// return.
 Test(store_followers, an_outage_costs_few_calls)
 {
     for (const std::size_t size : sizes) {
--- a/peers/test_network.h
+++ b/peers/test_network.h
@@ -1,5 +1,6 @@
-// For tests and benchmarks: membership cores joined by an in-memory network on a simulated clock.
-// Frames may be lost, doubled, delayed (and so reordered) or cut off; bytes are counted.
+// For tests and benchmarks: membership cores connected by an in-memory network on a simulated
+// clock. Frames can be lost, duplicated, delayed (and thus reordered) or blocked by a partition.
+// Sent and received bytes are counted.
 #pragma once
 
 #include "base/base.h"
@@ -17,9 +18,9 @@
 struct test_node {
     explicit test_node(membership_core made) : core{std::move(made)} {}
     membership_core core;
-    bool crashed = false; ///< sends and receives nothing, for good
-    bool paused = false;  ///< takes nothing in; frames wait as in a socket
-    std::vector<std::pair<node_id, std::string>> waiting;
+    bool crashed = false; ///< permanently sends and receives nothing
+    bool paused = false;  ///< processes nothing; received frames are queued as in a socket
+    std::vector<std::pair<node_id, std::string>> waiting; ///< sender and bytes of queued frames
     std::function<void(const membership_command&)> on_command; ///< all but send_frame
     std::function<void()> on_tick;
     std::uint64_t frames_sent = 0;
@@ -32,18 +33,18 @@
     explicit test_network(std::uint64_t seed) : random{seed} {}
 
     random_source random;
-    double loss = 0.0;
-    double duplication = 0.0;
+    double loss = 0.0;        ///< probability per frame
+    double duplication = 0.0; ///< probability per frame
     duration min_delay = std::chrono::microseconds{500};
     duration max_delay = std::chrono::microseconds{1500};
-    std::function<bool(const test_node&, const test_node&)> cut; ///< true: nothing passes
+    std::function<bool(const test_node&, const test_node&)> cut; ///< true: no frames pass
     std::vector<std::unique_ptr<test_node>> nodes;
     time_point now{std::chrono::hours{1}};
     std::map<std::string, test_node*> by_address;
 
     static node_id name(std::size_t index) { return node_id{"entry-" + std::to_string(index)}; }
 
-    /// Adds a node; domains are dealt out in turn.
+    /// Adds a node. Its failure domain is `index` modulo `domains`; its seed is the first node.
     test_node& add(std::size_t index, std::size_t domains, std::uint64_t boot = 1,
                    const std::string& address = {}, const std::string& deployment = "test")
     {
@@ -63,6 +64,7 @@
         return *nodes.back();
     }
 
+    /// Executes commands of a node: sends frames and passes the others to on_command.
     void run(test_node& from, const membership_commands& commands)
     {
         for (const membership_command& command : commands) {
@@ -73,12 +75,13 @@
         }
     }
 
-    /// Does `what` after `wait`, in the order of time.
+    /// Schedules a function; functions run in the order of their times.
     void after(duration wait, std::function<void()> what)
     {
         m_events.emplace(now + wait, std::move(what));
     }
 
+    /// Advances the clock, running scheduled functions and a tick of every node each 100 ms.
     void run_for(duration span)
     {
         const time_point end = now + span;
@@ -100,6 +103,7 @@
         }
     }
 
+    /// Ends a pause: the node processes all queued frames.
     void resume(test_node& node)
     {
         node.paused = false;
@@ -109,6 +113,7 @@
             run(node, node.core.frame_received(now, from, bytes));
     }
 
+    /// Runs until the condition holds or `limit` has passed; returns the condition.
     bool until(const std::function<bool()>& condition, duration limit)
     {
         const time_point end = now + limit;
@@ -117,14 +122,14 @@
         return condition();
     }
 
-    /// What `viewer` holds `other` to be.
+    /// The state of `other` in the table of `viewer`; `left` if it is unknown.
     static member_state state_of(const test_node& viewer, const test_node& other)
     {
         const member* known = viewer.core.members().find(other.core.self().node);
         return known == nullptr ? member_state::left : known->state;
     }
 
-    /// Whether every running node holds every other running one for alive.
+    /// Whether every running node has every other running node as alive in its table.
     [[nodiscard]] bool views_converged() const
     {
         for (const auto& viewer : nodes) {
--- a/peers/ticket_age_main.cc
+++ b/peers/ticket_age_main.cc
@@ -1,12 +1,12 @@
-// jaynotch-ticket-age: how old the newest ticket of a group is on the nodes that hear of it by
-// gossip, by size of the fleet. On the membership cores, an in-memory network and a simulated
-// clock.
+// jaynotch-ticket-age: measures the age of the newest ticket of a group on nodes that receive it by
+// gossip, for several fleet sizes. Uses the membership cores with an in-memory network and a
+// simulated clock.
 //
-//   jaynotch-ticket-age            one row for each size, as a markdown table
+//   jaynotch-ticket-age            prints a markdown table with one row per fleet size
 //
-// Two watchers of each group publish its ticket each second, as the daemons do. Each second the age
-// of what every node has of every group is sampled; a ticket older than the horizon has lapsed
-// there.
+// Two watchers of each group publish its ticket every second, as the daemons do. Every second the
+// age of each node's newest ticket of each group is sampled. Tickets older than 5 s count as
+// expired on the node.
 #include "peers/test_network.h"
 
 #include <algorithm>
@@ -26,12 +26,12 @@
 
 constexpr std::size_t failure_domains = 5;
 constexpr std::size_t watchers = 2;
-constexpr int joined_s = 90; ///< until all know one another
+constexpr int joined_s = 90; ///< time for the member tables to converge
 constexpr int warm_up_s = 30;
 constexpr int sampled_s = 30;
 constexpr std::int64_t fencing = 100'000;
 
-/// When the newest ticket that a node has of each group was observed by its watcher.
+/// For each node and group, when the watcher observed the newest ticket that the node has.
 using observation_times = std::vector<std::vector<time_point>>;
 
 void publish_all(test_network& net, std::uint32_t groups, observation_times& observed)
--- a/peers/transport_test.cc
+++ b/peers/transport_test.cc
@@ -119,8 +119,8 @@
 
 } // namespace
 
-// A process that reaches the peer port without a key of ours, with a key of another authority, or
-// with another node's name in its frames: it learns nothing and changes nothing.
+// A process that connects without TLS, with a certificate of another CA, or with another node's
+// name in its frames must learn nothing and change nothing.
 Test(transport, a_peer_without_a_valid_certificate_learns_and_changes_nothing)
 {
     boost::asio::io_context io;
@@ -151,8 +151,8 @@
     cr_assert_eq(forger->members().size(), 1U);
 }
 
-// Keys are rotated under a running fleet: new files are taken up without a restart, nobody is
-// suspected on the way, and a node whose key the new authority did not sign is shut out.
+// Certificates are replaced while nodes run. The new files must be loaded without a restart, the
+// nodes must stay connected, and a node whose certificate the new CA did not sign must be rejected.
 Test(transport, keys_rotate_without_a_restart)
 {
     boost::asio::io_context io;
@@ -166,7 +166,8 @@
               first->address());
     cr_assert(until(
         io, [&] { return knows(*first, "n2") && knows(*second, "n1"); }, 10));
-    // Both at once, as the shortest way; the operators' page tells the careful one.
+    // Replaces the certificates and the CA at once. peer_tls.cc describes the rotation without
+    // interruption.
     folder.write("n1", identity{"n1", &new_authority}, new_authority);
     folder.write("n2", identity{"n2", &new_authority}, new_authority);
     const auto newcomer =
@@ -185,7 +186,8 @@
         io, [&] { return knows(*first, "n2") && knows(*second, "n1"); }, 15));
 }
 
-// A peer stops reading. Frames to it are dropped and counted, and the queue stays bounded.
+// A peer stops reading. The queue to it must stay bounded, and further frames must be dropped and
+// counted.
 Test(transport, a_peer_that_does_not_read_blocks_nothing)
 {
     boost::asio::io_context io;
