--- a/peers/key_relay.cc
+++ b/peers/key_relay.cc
@@ -163,8 +163,8 @@
 key_relay_commands key_relay_core::message_received(time_point now, const key_message& message)
 {
     key_relay_commands out;
-    if (const auto* asked = std::get_if<key_request>(&message.body)) {
-        handle_request(now, message.from, *asked, out);
+    if (const auto* request = std::get_if<key_request>(&message.body)) {
+        handle_request(now, message.from, *request, out);
         return out;
     }
     m_synced = true;
@@ -201,8 +201,8 @@
     const bool consecutive = source.number != 0 && *push.push_number == source.number + 1;
     source.number = *push.push_number;
     source.complete = source.complete && consecutive;
-    if (!source.complete && now - source.asked >= m_settings.request_timeout) {
-        source.asked = now;
+    if (!source.complete && now - source.comparison_requested_at >= m_settings.request_timeout) {
+        source.comparison_requested_at = now;
         out.emplace_back(send_key_message{from, key_request{this->known(), {}}});
     }
     if (source.complete && push.store_age)
@@ -226,15 +226,15 @@
     return true;
 }
 
-void key_relay_core::handle_request(time_point now, const node_id& to, const key_request& asked,
+void key_relay_core::handle_request(time_point now, const node_id& to, const key_request& request,
                                     key_relay_commands& out)
 {
     std::map<std::uint32_t, std::int64_t> known_revisions;
-    for (const known_key& item : asked.known)
+    for (const known_key& item : request.known)
         known_revisions[item.key] = item.revision;
-    const std::set<std::uint32_t> wanted{asked.wanted.begin(), asked.wanted.end()};
+    const std::set<std::uint32_t> wanted{request.wanted.begin(), request.wanted.end()};
     key_reply reply;
-    reply.complete = asked.wanted.empty();
+    reply.complete = request.wanted.empty();
     std::size_t bytes = 0;
     for (const auto& [name, entry] : m_keys) {
         const std::uint32_t wire = wire_key(name);
@@ -262,10 +262,10 @@
         request.known = known();
     else {
         for (const auto& [wire, revision] : m_missing) {
-            const relayed_key* held = find(wire);
+            const relayed_key* current = find(wire);
             request.wanted.push_back(wire);
-            if (held != nullptr)
-                request.known.push_back({wire, held->revision});
+            if (current != nullptr)
+                request.known.push_back({wire, current->revision});
         }
     }
     const bool watcher =
@@ -302,9 +302,10 @@
         m_reply_tokens = std::min(burst, m_reply_tokens + seconds * m_settings.max_reply_bytes_s);
     }
     m_refilled = now;
+    // Without a reply the requester tries another peer. The limit keeps many new nodes from using
+    // up the bandwidth of this one.
     if (m_reply_tokens < static_cast<double>(bytes))
-        return false; // the requester tries another peer; many new nodes must not use up the
-                      // network
+        return false;
     m_reply_tokens -= static_cast<double>(bytes);
     return true;
 }
--- a/peers/key_relay.h
+++ b/peers/key_relay.h
@@ -107,13 +107,13 @@
     struct push_source {
         std::int64_t number = 0; ///< of the last push received
         bool complete = false;   ///< no push is missing since the last comparison
-        time_point asked{};      ///< when a comparison was last requested
+        time_point comparison_requested_at{};
     };
 
     bool update_if_newer(const relayed_key& entry, key_relay_commands& out);
     void handle_push(time_point now, const node_id& from, const key_reply& push,
                      key_relay_commands& out);
-    void handle_request(time_point now, const node_id& to, const key_request& asked,
+    void handle_request(time_point now, const node_id& to, const key_request& request,
                         key_relay_commands& out);
     void send_request(time_point now, bool everything, key_relay_commands& out);
     [[nodiscard]] std::vector<known_key> known() const;
--- a/peers/key_relay_test.cc
+++ b/peers/key_relay_test.cc
@@ -88,7 +88,7 @@
             step();
     }
 
-    bool everyone_has(const std::string& key, std::int64_t revision) const
+    bool all_nodes_have(const std::string& key, std::int64_t revision) const
     {
         return std::all_of(m_nodes.begin(), m_nodes.end(), [&](const node& each) {
             const auto found = each.core.keys().find(key);
@@ -115,9 +115,9 @@
             else if (const auto* announced = std::get_if<announce_key>(&command))
                 announce(from, announced->notice);
             else if (const auto* updated = std::get_if<key_updated>(&command)) {
-                std::int64_t& high = m_high[from.name][updated->entry.key];
-                revision_decreased = revision_decreased || updated->entry.revision <= high;
-                high = updated->entry.revision;
+                std::int64_t& highest = m_highest[from.name][updated->entry.key];
+                revision_decreased = revision_decreased || updated->entry.revision <= highest;
+                highest = updated->entry.revision;
             }
             else if (const auto* change = std::get_if<watch_keys>(&command)) {
                 for (const auto& [key, entry] : m_platform) {
@@ -164,7 +164,7 @@
     std::vector<node> m_nodes;
     std::deque<in_flight_message> m_in_flight;
     std::map<std::string, relayed_key> m_platform;
-    std::map<node_id, std::map<std::string, std::int64_t>> m_high;
+    std::map<node_id, std::map<std::string, std::int64_t>> m_highest;
 };
 
 } // namespace
@@ -194,7 +194,7 @@
         cr_assert(missing <= 12, "seed %lu: %ld of 40 nodes without the value", seed, missing);
         net.loss = 0.0;
         net.steps(400);
-        cr_assert(net.everyone_has("r1", 5), "seed %lu", seed);
+        cr_assert(net.all_nodes_have("r1", 5), "seed %lu", seed);
     }
 }
 
@@ -222,7 +222,7 @@
     for (int i = 0; i < 1'100; ++i)
         net.write("r" + std::to_string(i), 10 + i, std::string(600, 'v'));
     net.steps(1'000);
-    cr_assert(net.everyone_has("r1099", 10 + 1'099));
+    cr_assert(net.all_nodes_have("r1099", 10 + 1'099));
     net.platform_unreachable = true;
     net.nodes()[3].up = false;
     net.add("fresh", "d0");
@@ -242,7 +242,7 @@
     net.members_changed();
     net.write("r", 2);
     net.steps(10);
-    cr_assert(net.everyone_has("r", 2));
+    cr_assert(net.all_nodes_have("r", 2));
 }
 
 // During an outage of the platform and a partition, one node of a domain gets a new key and its
@@ -267,7 +267,7 @@
     net.platform_unreachable = false;
     net.write("a", 4);
     net.steps(20);
-    cr_assert(net.everyone_has("a", 4));
+    cr_assert(net.all_nodes_have("a", 4));
 }
 
 // A notice announces a revision that no node has, because it was forged or its origin crashed.
@@ -320,7 +320,7 @@
             net.write("r" + std::to_string(i), ++revision);
         net.steps(500);
         for (int i = 0; i < 5; ++i)
-            cr_assert(net.everyone_has("r" + std::to_string(i), revision - 4 + i), "seed %lu",
+            cr_assert(net.all_nodes_have("r" + std::to_string(i), revision - 4 + i), "seed %lu",
                       seed);
         cr_assert(!net.revision_decreased, "seed %lu", seed);
     }
@@ -329,7 +329,7 @@
 namespace {
 
 /// A core with two neighbours. The test delivers its messages.
-key_relay_core core_of(const std::string& name)
+key_relay_core make_core(const std::string& name)
 {
     key_relay_settings settings;
     settings.self = node_id{name};
@@ -344,9 +344,9 @@
 {
     std::vector<key_body> bodies;
     for (const key_relay_command& one : commands) {
-        const auto* order = std::get_if<send_key_message>(&one);
-        if (order != nullptr && order->to == node_id{name})
-            bodies.push_back(order->body);
+        const auto* message = std::get_if<send_key_message>(&one);
+        if (message != nullptr && message->to == node_id{name})
+            bodies.push_back(message->body);
     }
     return bodies;
 }
@@ -365,7 +365,7 @@
 Test(key_relay, keys_received_from_peers_are_pushed_too)
 {
     const time_point now{std::chrono::hours{1}};
-    key_relay_core watcher = core_of("n0");
+    key_relay_core watcher = make_core("n0");
     watcher.push({});
     watcher.message_received(now, {node_id{"far"}, key_reply{{{"config", 7, "v"}}, {}, {}, false}});
     watcher.key_changed(now, {"config", 7, "v"});
@@ -385,8 +385,8 @@
 Test(key_relay, a_full_read_is_compared_not_pushed)
 {
     const time_point now{std::chrono::hours{1}};
-    key_relay_core watcher = core_of("n0");
-    key_relay_core other = core_of("n1");
+    key_relay_core watcher = make_core("n0");
+    key_relay_core other = make_core("n1");
     for (int index = 0; index < 100; ++index) {
         const relayed_key entry{"r" + std::to_string(index), 5 + index, "v"};
         cr_assert_eq(watcher.read(entry).size(), 1U, "only an update of this node");
@@ -410,9 +410,9 @@
 Test(key_relay, after_a_lost_push_a_neighbour_is_fresh_only_after_a_comparison)
 {
     time_point now{std::chrono::hours{1}};
-    key_relay_core watcher = core_of("n0");
-    key_relay_core other = core_of("n1");
-    const auto carry = [&](const key_relay_commands& pushed) {
+    key_relay_core watcher = make_core("n0");
+    key_relay_core other = make_core("n1");
+    const auto deliver = [&](const key_relay_commands& pushed) {
         key_relay_commands all;
         for (const key_body& body : bodies_sent_to("n1", pushed)) {
             for (key_relay_command& one : other.message_received(now, {node_id{"n0"}, body}))
@@ -423,25 +423,25 @@
     const auto compare = [&](const key_relay_commands& asked) {
         const std::vector<key_body> request = bodies_sent_to("n0", asked);
         cr_assert_eq(request.size(), 1U);
-        return carry(watcher.message_received(now, {node_id{"n1"}, request.front()}));
+        return deliver(watcher.message_received(now, {node_id{"n1"}, request.front()}));
     };
-    const key_relay_commands first = carry(watcher.push({}));
+    const key_relay_commands first = deliver(watcher.push({}));
     cr_assert(!reports_fresh_neighbour(first), "the entries before its first push are unknown");
     compare(first);
-    cr_assert(reports_fresh_neighbour(carry(watcher.push({}))));
+    cr_assert(reports_fresh_neighbour(deliver(watcher.push({}))));
 
     watcher.key_changed(now, {"config", 7, "v"});
     watcher.push({}); // lost
     now += std::chrono::seconds{1};
-    const key_relay_commands after = carry(watcher.push({}));
+    const key_relay_commands after = deliver(watcher.push({}));
     cr_assert(!reports_fresh_neighbour(after));
     compare(after);
     cr_assert(other.keys().contains("config"));
-    cr_assert(reports_fresh_neighbour(carry(watcher.push({}))));
+    cr_assert(reports_fresh_neighbour(deliver(watcher.push({}))));
 
     watcher.stop_pushing();
     now += std::chrono::seconds{1};
-    cr_assert(!reports_fresh_neighbour(carry(watcher.push({}))),
+    cr_assert(!reports_fresh_neighbour(deliver(watcher.push({}))),
               "entries may be missing from its pushes");
 }
 
@@ -460,9 +460,9 @@
         std::size_t entries = 0;
         std::set<node_id> to;
         for (const key_relay_command& one : commands) {
-            const auto& order = std::get<send_key_message>(one);
-            to.insert(order.to);
-            entries += std::get<key_reply>(order.body).entries.size();
+            const auto& message = std::get<send_key_message>(one);
+            to.insert(message.to);
+            entries += std::get<key_reply>(message.body).entries.size();
         }
         return std::pair{to, entries};
     };
--- a/peers/membership.cc
+++ b/peers/membership.cc
@@ -18,8 +18,8 @@
 
 constexpr std::size_t urgent_frame_bytes = 180; ///< approximate size, deducted from the budget
 constexpr duration push_interval = std::chrono::milliseconds{100};
-/// For this long after its start, a node may find that its boot number is not above that of its
-/// last start.
+/// A node that gets a report about itself with a higher boot number within this time after its
+/// start takes it for a report about its previous process (see apply_report_on_self()).
 constexpr duration startup_period = std::chrono::seconds{30};
 /// Maximum drift between two clocks, 200 ppm. The minimum clock offset may increase at this rate.
 constexpr double max_clock_drift = 2e-4;
@@ -208,9 +208,9 @@
                                            membership_commands& out)
 {
     if (received.boot > m_self.boot) {
-        // Shortly after the start, and with the same address, the report is about this node's last
-        // start, when the clock was ahead of the current time: take a higher boot number. Otherwise
-        // a newer process has the same name.
+        // Shortly after the start, and with the same address, the report is about this node's
+        // previous process, which started when the clock was ahead: take a higher boot number.
+        // Otherwise a newer process has the same name.
         if (now - m_started < startup_period && received.address == m_self.address) {
             m_self.boot = received.boot + 1;
             publish_self(now);
@@ -361,7 +361,7 @@
         reply_to_sync(now, to, out);
         break;
     default:
-        break; // handled by the message's consumer, or a kind of a newer version
+        break; // messages for other components, and kinds of newer versions
     }
     const bool differs = frame.__isset.member_digest && frame.member_digest != table_digest();
     if (differs && now >= m_next_sync) {
--- a/peers/membership.h
+++ b/peers/membership.h
@@ -55,7 +55,7 @@
     std::size_t indirect_probes = 3; ///< nodes that are asked to probe for this one
     std::size_t fan_out = 6;         ///< random peers that an urgent rumor is sent to
     std::size_t bridges = 2;         ///< nodes of a failure domain that probe each other domain
-    std::size_t small_domain = 3;    ///< with fewer members, bridges monitor a domain too
+    std::size_t small_domain = 3;    ///< domains with fewer members are monitored by bridges too
     double rumor_bytes_s = 900.0;    ///< bytes per second sent for rumors
     std::size_t rumor_frame_bytes = 1200; ///< maximum bytes of rumors in a frame
 };
--- a/peers/peer_service.cc
+++ b/peers/peer_service.cc
@@ -83,8 +83,8 @@
 
     void run(const membership_commands& commands)
     {
-        for (const membership_command& command : commands)
-            std::visit([this](const auto& order) { execute(order); }, command);
+        for (const membership_command& each : commands)
+            std::visit([this](const auto& command) { execute(command); }, each);
     }
 
     std::unique_ptr<peer_transport> m_transport;
@@ -101,52 +101,52 @@
     std::function<void(const server_message&)> m_server_handler;
 
 private:
-    void execute(const send_frame& order)
+    void execute(const send_frame& command)
     {
-        m_transport->send(order.to, order.address, order.bytes);
+        m_transport->send(command.to, command.address, command.bytes);
     }
-    void execute(const member_changed& order)
+    void execute(const member_changed& command)
     {
         ++m_members_version;
         log_event(log_level::info, "member_changed",
-                  {{"node", order.now.node.value()},
-                   {"state", to_name(order.now.state)},
-                   {"boot", order.now.boot},
-                   {"incarnation", order.now.incarnation}});
+                  {{"node", command.now.node.value()},
+                   {"state", to_name(command.now.state)},
+                   {"boot", command.now.boot},
+                   {"incarnation", command.now.incarnation}});
         if (m_member_handler)
-            m_member_handler(order.now);
+            m_member_handler(command.now);
     }
-    void execute(const rumor_received& order)
+    void execute(const rumor_received& command)
     {
-        const auto* confirmed = std::get_if<confirmation>(&order.item);
+        const auto* confirmed = std::get_if<confirmation>(&command.item);
         if (confirmed != nullptr && m_confirmation_handler)
             m_confirmation_handler(*confirmed);
         if (m_rumor_handler)
-            m_rumor_handler(order.item);
+            m_rumor_handler(command.item);
     }
-    void execute(const config_message& order)
+    void execute(const config_message& command)
     {
         if (m_config_handler)
-            m_config_handler(order);
+            m_config_handler(command);
     }
-    void execute(const key_message& order)
+    void execute(const key_message& command)
     {
         if (m_key_handler)
-            m_key_handler(order);
+            m_key_handler(command);
     }
-    void execute(const server_message& order)
+    void execute(const server_message& command)
     {
         if (m_server_handler)
-            m_server_handler(order);
+            m_server_handler(command);
     }
-    void execute(const superseded& order)
+    void execute(const superseded& command)
     {
         if (m_superseded)
             return;
         m_superseded = true;
         log_event(
             log_level::error, "node_superseded",
-            {{"boot", order.boot},
+            {{"boot", command.boot},
              {"remedy", "another process uses this node's name; give each process a unique name"}});
         if (m_superseded_handler)
             m_superseded_handler();
--- a/peers/store_followers_test.cc
+++ b/peers/store_followers_test.cc
@@ -50,8 +50,8 @@
     duration propagation_time(const std::set<std::size_t>& excluded)
     {
         ++m_change;
-        const time_point begun = m_now;
-        const auto have = [&] {
+        const time_point start = m_now;
+        const auto all_know = [&] {
             for (std::size_t index = 0; index < m_nodes.size(); ++index) {
                 const bool counts = m_nodes[index].alive && !excluded.contains(index);
                 if (counts && m_nodes[index].known < m_change)
@@ -59,9 +59,9 @@
             }
             return true;
         };
-        while (!have() && m_now - begun < 20s)
+        while (!all_know() && m_now - start < 20s)
             step();
-        return m_now - begun;
+        return m_now - start;
     }
 
     void run(duration time)
@@ -136,15 +136,16 @@
 
     void update_call(node& one)
     {
-        const bool news = one.known < m_change;
-        const bool over = m_now >= *one.called_until;
-        if (one.store == store_access::answers && (news || over)) {
+        const bool changed = one.known < m_change;
+        const bool finished = m_now >= *one.called_until;
+        if (one.store == store_access::answers && (changed || finished)) {
             one.called_until.reset();
             one.known = m_change;
             one.followers.store_answered(m_now);
             push_to_domain(one, duration{0});
         }
-        else if (one.store == store_access::refuses || (one.store == store_access::hangs && over)) {
+        else if (one.store == store_access::refuses ||
+                 (one.store == store_access::hangs && finished)) {
             one.called_until.reset();
             one.next_call = m_now + 800ms;
             one.followers.store_failed(m_now);
@@ -175,12 +176,12 @@
 Test(store_followers, two_nodes_follow_at_any_domain_size)
 {
     for (const std::size_t size : sizes) {
-        domain here{size};
-        here.run(10s);
-        cr_assert_eq(here.following(), 2U);
-        cr_assert_leq(here.calls(), 2 * 10 + 2 * size,
+        domain simulation{size};
+        simulation.run(10s);
+        cr_assert_eq(simulation.following(), 2U);
+        cr_assert_leq(simulation.calls(), 2 * 10 + 2 * size,
                       "two calls per second, plus the calls at the start");
-        cr_assert_lt(here.propagation_time({}), 100ms);
+        cr_assert_lt(simulation.propagation_time({}), 100ms);
     }
 }
 
@@ -190,15 +191,15 @@
 {
     for (const std::size_t size : sizes) {
         for (const store_access failure : {store_access::refuses, store_access::hangs}) {
-            domain here{size};
-            here.run(10s);
-            const std::vector<std::size_t> order = here.ranked();
-            here.set_store_access(order[0], failure);
-            here.set_store_access(order[1], failure);
-            cr_assert_lt(here.propagation_time({order[0], order[1]}), max_propagation_time,
+            domain simulation{size};
+            simulation.run(10s);
+            const std::vector<std::size_t> order = simulation.ranked();
+            simulation.set_store_access(order[0], failure);
+            simulation.set_store_access(order[1], failure);
+            cr_assert_lt(simulation.propagation_time({order[0], order[1]}), max_propagation_time,
                          "%zu nodes", size);
-            here.run(3s);
-            cr_assert_lt(here.propagation_time({}), max_propagation_time,
+            simulation.run(3s);
+            cr_assert_lt(simulation.propagation_time({}), max_propagation_time,
                          "their neighbours push to the nodes without access");
         }
     }
@@ -207,12 +208,12 @@
 Test(store_followers, a_change_reaches_all_nodes_when_all_followers_are_dead)
 {
     for (const std::size_t size : sizes) {
-        domain here{size};
-        here.run(10s);
-        const std::vector<std::size_t> order = here.ranked();
-        here.kill(order[0]);
-        here.kill(order[1]);
-        cr_assert_lt(here.propagation_time({}), max_propagation_time, "%zu nodes", size);
+        domain simulation{size};
+        simulation.run(10s);
+        const std::vector<std::size_t> order = simulation.ranked();
+        simulation.kill(order[0]);
+        simulation.kill(order[1]);
+        cr_assert_lt(simulation.propagation_time({}), max_propagation_time, "%zu nodes", size);
     }
 }
 
@@ -220,17 +221,17 @@
 Test(store_followers, a_change_reaches_all_nodes_when_the_first_third_is_refused)
 {
     for (const std::size_t size : sizes) {
-        domain here{size};
-        here.run(10s);
-        const std::vector<std::size_t> order = here.ranked();
+        domain simulation{size};
+        simulation.run(10s);
+        const std::vector<std::size_t> order = simulation.ranked();
         for (std::size_t rank = 0; rank < (size + 2) / 3; ++rank)
-            here.set_store_access(order[rank], store_access::refuses);
-        cr_assert_lt(here.propagation_time({}), max_propagation_time, "%zu nodes", size);
-        const std::size_t before = here.calls();
-        here.run(10s);
+            simulation.set_store_access(order[rank], store_access::refuses);
+        cr_assert_lt(simulation.propagation_time({}), max_propagation_time, "%zu nodes", size);
+        const std::size_t before = simulation.calls();
+        simulation.run(10s);
         // The two followers retry every 0.8 s, one or a few nodes stand in, and rejected nodes
         // retry when no other node is fresh.
-        cr_assert_leq(here.calls() - before, 2 * 13 + 2 * 10 + 2 * size);
+        cr_assert_leq(simulation.calls() - before, 2 * 13 + 2 * 10 + 2 * size);
     }
 }
 
@@ -238,15 +239,15 @@
 Test(store_followers, stand_ins_stop_when_a_follower_recovers)
 {
     for (const std::size_t size : sizes) {
-        domain here{size};
-        const std::vector<std::size_t> order = here.ranked();
-        here.set_store_access(order[0], store_access::refuses);
-        here.set_store_access(order[1], store_access::refuses);
-        here.run(10s);
-        here.set_store_access(order[0], store_access::answers);
-        here.set_store_access(order[1], store_access::answers);
-        here.run(5s);
-        cr_assert_eq(here.following(), 2U, "%zu nodes", size);
+        domain simulation{size};
+        const std::vector<std::size_t> order = simulation.ranked();
+        simulation.set_store_access(order[0], store_access::refuses);
+        simulation.set_store_access(order[1], store_access::refuses);
+        simulation.run(10s);
+        simulation.set_store_access(order[0], store_access::answers);
+        simulation.set_store_access(order[1], store_access::answers);
+        simulation.run(5s);
+        cr_assert_eq(simulation.following(), 2U, "%zu nodes", size);
     }
 }
 
@@ -255,16 +256,16 @@
 Test(store_followers, an_outage_costs_few_calls)
 {
     for (const std::size_t size : sizes) {
-        domain here{size};
-        here.run(10s);
-        const std::vector<std::size_t> order = here.ranked();
+        domain simulation{size};
+        simulation.run(10s);
+        const std::vector<std::size_t> order = simulation.ranked();
         for (const std::size_t node : order)
-            here.set_store_access(node, store_access::refuses);
-        const std::size_t before = here.calls();
-        here.run(8s);
-        cr_assert_leq(here.calls() - before, 2 * 10 + 4 * size);
+            simulation.set_store_access(node, store_access::refuses);
+        const std::size_t before = simulation.calls();
+        simulation.run(8s);
+        cr_assert_leq(simulation.calls() - before, 2 * 10 + 4 * size);
         for (const std::size_t node : order)
-            here.set_store_access(node, store_access::answers);
-        cr_assert_lt(here.propagation_time({}), 1s);
+            simulation.set_store_access(node, store_access::answers);
+        cr_assert_lt(simulation.propagation_time({}), 1s);
     }
 }
--- a/peers/transport.cc
+++ b/peers/transport.cc
@@ -110,8 +110,8 @@
 };
 
 /// The queue of frames to one peer.
-struct outbound {
-    explicit outbound(asio::io_context& io) : wake{io} {}
+struct outbound_queue {
+    explicit outbound_queue(asio::io_context& io) : wake{io} {}
     std::deque<std::string> queue;
     std::size_t queued_bytes = 0;
     timer wake;           ///< cancelled when a frame is queued
@@ -130,7 +130,7 @@
 public:
     state(asio::io_context& io, tcp::acceptor acceptor, std::optional<tls_credentials> keys,
           std::size_t max_inbound)
-        : m_io{io}, m_acceptor{std::move(acceptor)}, m_keys{std::move(keys)}, m_refresh{io},
+        : m_io{io}, m_acceptor{std::move(acceptor)}, m_keys{std::move(keys)}, m_key_check_timer{io},
           m_address{to_text(m_acceptor.local_endpoint())}, m_max_inbound{max_inbound}
     {}
 
@@ -148,7 +148,7 @@
         const peer_key key{node, address};
         auto& peer = m_outbound[key];
         if (peer == nullptr) {
-            peer = std::make_shared<outbound>(m_io);
+            peer = std::make_shared<outbound_queue>(m_io);
             asio::co_spawn(m_io, send_loop(shared_from_this(), key, peer), asio::detached);
         }
         const bool full = peer->queue.size() >= max_queued_frames ||
@@ -167,7 +167,7 @@
         m_stopped = true;
         error_code ignored;
         m_acceptor.close(ignored);
-        m_refresh.cancel();
+        m_key_check_timer.cancel();
         for (const auto& [key, peer] : m_outbound) {
             peer->retired = true;
             peer->wake.cancel();
@@ -232,11 +232,11 @@
 
     awaitable<bool> receive_one(channel& from)
     {
-        std::array<unsigned char, length_prefix_bytes> head{};
-        if (!co_await with_timeout(from.read(asio::buffer(head)), idle_timeout))
+        std::array<unsigned char, length_prefix_bytes> prefix{};
+        if (!co_await with_timeout(from.read(asio::buffer(prefix)), idle_timeout))
             co_return false;
         std::size_t length = 0;
-        for (const unsigned char byte : head)
+        for (const unsigned char byte : prefix)
             length = (length << 8U) | byte;
         if (length == 0 || length > max_frame_bytes) {
             ++m_counters.frames_refused;
@@ -281,7 +281,7 @@
     }
 
     awaitable<void> send_loop([[maybe_unused]] std::shared_ptr<state> keep_alive, peer_key key,
-                              std::shared_ptr<outbound> peer)
+                              std::shared_ptr<outbound_queue> peer)
     {
         const std::shared_ptr<channel> opened = co_await open(key);
         if (opened != nullptr) {
@@ -300,11 +300,11 @@
     /// connection opened by this node.
     awaitable<void> wait_for_close(channel& opened)
     {
-        std::array<char, 1> nothing{};
-        co_await opened.read(asio::buffer(nothing));
+        std::array<char, 1> unexpected{};
+        co_await opened.read(asio::buffer(unexpected));
     }
 
-    awaitable<void> send_queued(channel& opened, outbound& peer)
+    awaitable<void> send_queued(channel& opened, outbound_queue& peer)
     {
         while (!m_stopped) {
             if (peer.queue.empty()) {
@@ -335,8 +335,8 @@
     awaitable<void> refresh_loop([[maybe_unused]] std::shared_ptr<state> keep_alive)
     {
         while (!m_stopped) {
-            m_refresh.expires_after(key_check_interval);
-            co_await m_refresh.async_wait(use_result);
+            m_key_check_timer.expires_after(key_check_interval);
+            co_await m_key_check_timer.async_wait(use_result);
             if (m_stopped || !m_keys->refresh())
                 continue;
             for (const auto& [key, peer] : m_outbound) {
@@ -345,8 +345,8 @@
             }
             m_outbound.clear();
             const auto old = m_inbound;
-            m_refresh.expires_after(old_connection_grace);
-            co_await m_refresh.async_wait(use_result);
+            m_key_check_timer.expires_after(old_connection_grace);
+            co_await m_key_check_timer.async_wait(use_result);
             for (const auto& connection : old)
                 connection->close();
         }
@@ -355,10 +355,10 @@
     asio::io_context& m_io;
     tcp::acceptor m_acceptor;
     std::optional<tls_credentials> m_keys;
-    timer m_refresh;
+    timer m_key_check_timer;
     std::string m_address;
     std::size_t m_max_inbound;
-    std::map<peer_key, std::shared_ptr<outbound>> m_outbound;
+    std::map<peer_key, std::shared_ptr<outbound_queue>> m_outbound;
     std::set<std::shared_ptr<channel>> m_inbound;
     peer_counters m_counters;
     bool m_stopped = false;
