--- a/peers/membership_test.cc
+++ b/peers/membership_test.cc
@@ -171,17 +171,17 @@
     for (std::size_t i = 0; i < 90; ++i)
         net.add(i, 3);
     cr_assert(net.until([&] { return net.views_converged(); }, minutes{3}));
-    std::size_t heard = 0;
+    std::size_t receivers = 0;
     for (const auto& node : net.nodes) {
         node->on_command = [&](const membership_command& command) {
-            const auto* news = std::get_if<rumor_received>(&command);
-            if (news != nullptr && std::holds_alternative<leaving>(news->item))
-                ++heard;
+            const auto* received = std::get_if<rumor_received>(&command);
+            if (received != nullptr && std::holds_alternative<leaving>(received->item))
+                ++receivers;
         };
     }
     net.run(*net.nodes[40], net.nodes[40]->core.publish(net.now, leaving{"10.1.0.7:80", {}}));
-    cr_assert(net.until([&] { return heard >= 89; }, seconds{2}),
-              "received by only %zu of 89 nodes", heard);
+    cr_assert(net.until([&] { return receivers >= 89; }, seconds{2}),
+              "received by only %zu of 89 nodes", receivers);
 }
 
 // Guards against nodes that keep a server's rate limit after it was lifted.
@@ -196,10 +196,10 @@
     std::vector<std::optional<double>> known(nodes);
     for (std::size_t i = 0; i < nodes; ++i) {
         net.nodes[i]->on_command = [&known, i](const membership_command& command) {
-            const auto* news = std::get_if<rumor_received>(&command);
-            if (news == nullptr)
+            const auto* received = std::get_if<rumor_received>(&command);
+            if (received == nullptr)
                 return;
-            if (const auto* limit = std::get_if<server_limit>(&news->item))
+            if (const auto* limit = std::get_if<server_limit>(&received->item))
                 known[i] = limit->per_second;
         };
     }
@@ -226,11 +226,11 @@
     net.add(0, 1);
     net.add(1, 1);
     cr_assert(net.until([&] { return net.views_converged(); }, seconds{10}));
-    duration seen{0};
+    duration ticket_age{0};
     net.nodes[1]->on_command = [&](const membership_command& command) {
-        const auto* news = std::get_if<rumor_received>(&command);
-        if (news != nullptr)
-            seen = std::get<ticket_digest>(news->item).age;
+        const auto* received = std::get_if<rumor_received>(&command);
+        if (received != nullptr)
+            ticket_age = std::get<ticket_digest>(received->item).age;
     };
     net.nodes[1]->paused = true;
     net.run(*net.nodes[0], net.nodes[0]->core.publish(
@@ -238,7 +238,7 @@
     net.run_for(seconds{90});
     net.nodes[0]->crashed = true;
     net.resume(*net.nodes[1]);
-    cr_assert_geq(seen.count(), duration{seconds{50}}.count());
+    cr_assert_geq(ticket_age.count(), duration{seconds{50}}.count());
 }
 
 // Of two tickets of a group from about the same time, the incomplete one must be kept, and an older
@@ -247,14 +247,14 @@
 {
     rumor_table table{{}};
     const time_point now{std::chrono::hours{1}};
-    const ticket_digest whole{1, fencing_number{5}, 100, true, {}};
-    ticket_digest gone = whole;
-    gone.complete = false;
-    cr_assert(table.insert_if_newer(whole, now, now, 10));
-    cr_assert(table.insert_if_newer(gone, now - milliseconds{50}, now, 10));
-    cr_assert_not(table.insert_if_newer(whole, now, now, 10));
-    cr_assert_not(table.insert_if_newer(whole, now - seconds{5}, now, 10));
-    cr_assert(table.insert_if_newer(whole, now + seconds{2}, now + seconds{2}, 10));
+    const ticket_digest complete_ticket{1, fencing_number{5}, 100, true, {}};
+    ticket_digest incomplete_ticket = complete_ticket;
+    incomplete_ticket.complete = false;
+    cr_assert(table.insert_if_newer(complete_ticket, now, now, 10));
+    cr_assert(table.insert_if_newer(incomplete_ticket, now - milliseconds{50}, now, 10));
+    cr_assert_not(table.insert_if_newer(complete_ticket, now, now, 10));
+    cr_assert_not(table.insert_if_newer(complete_ticket, now - seconds{5}, now, 10));
+    cr_assert(table.insert_if_newer(complete_ticket, now + seconds{2}, now + seconds{2}, 10));
 }
 
 // Frames of another deployment, frames whose sender does not match the certificate, and truncated
@@ -309,13 +309,14 @@
                          "abc\x00",
                          7};
     cr_assert(decode_frame(bytes).has_value());
-    bool heard = false;
+    bool digest_received = false;
     for (const auto& command : net.nodes[0]->core.frame_received(net.now, {}, bytes)) {
         const auto* message = std::get_if<config_message>(&command);
-        heard = heard || (message != nullptr &&
-                          std::get<config_digest>(message->body).revision.value() == 12);
+        digest_received =
+            digest_received ||
+            (message != nullptr && std::get<config_digest>(message->body).revision.value() == 12);
     }
-    cr_assert(heard);
+    cr_assert(digest_received);
 }
 
 // Guards the budget of bytes per second (membership.h) with 410 nodes, 200 groups, 20 demand
--- a/peers/peer_service.cc
+++ b/peers/peer_service.cc
@@ -13,8 +13,8 @@
 namespace {
 
 constexpr duration tick_interval = std::chrono::milliseconds{100};
-constexpr duration leave_grace =
-    std::chrono::milliseconds{200}; ///< for the leave frames to be sent
+/// Time for the leave frames to be sent before the transport stops.
+constexpr duration leave_grace = std::chrono::milliseconds{200};
 
 random_source random_for(const peer_settings& settings)
 {
--- a/peers/transport.h
+++ b/peers/transport.h
@@ -3,7 +3,7 @@
 // counted.
 //
 //   auto transport = peer_transport::create(io, {.listen = "10.0.0.1:7100", .tls = files}).value();
-//   transport->on_frame([&](const node_id& proved, std::string bytes) { ... });
+//   transport->on_frame([&](const node_id& verified_name, std::string bytes) { ... });
 //   transport->send(node_id{"entry-2"}, "10.0.0.2:7100", bytes);
 #pragma once
 
@@ -33,9 +33,8 @@
     std::uint64_t bytes_received = 0;
     std::uint64_t frames_dropped = 0; ///< queue full or no connection
     std::uint64_t frames_refused = 0; ///< invalid, other deployment, wrong sender or target
-    std::uint64_t peers_refused =
-        0; ///< failed handshakes, wrong certificate names, too many connections
-    std::uint64_t connections = 0; ///< currently open
+    std::uint64_t peers_refused = 0;  ///< failed handshake, wrong name, too many connections
+    std::uint64_t connections = 0;    ///< currently open
 };
 
 /// Connections to peers, opened when first needed and reused.
--- a/peers/transport_test.cc
+++ b/peers/transport_test.cc
@@ -18,7 +18,7 @@
 using key_ptr = std::unique_ptr<EVP_PKEY, decltype(&EVP_PKEY_free)>;
 using certificate_ptr = std::unique_ptr<X509, decltype(&X509_free)>;
 
-/// A key and a certificate, self-signed or signed by another.
+/// A key and a certificate, self-signed or signed by an issuer.
 struct identity {
     key_ptr key{EVP_EC_gen("P-256"), EVP_PKEY_free};
     certificate_ptr certificate{X509_new(), X509_free};
@@ -176,7 +176,7 @@
     cr_assert(until(
         io, [&] { return knows(*newcomer, "n1") && knows(*second, "n3"); }, 15));
     const std::uint64_t refused = first->counters().peers_refused;
-    const auto late =
+    const auto rejected =
         start(io, "n4", folder.write("n4", identity{"n4", &old_authority}, old_authority),
               first->address());
     cr_assert(until(
