--- a/peers/store_followers_test.cc
+++ b/peers/store_followers_test.cc
@@ -45,15 +45,15 @@
     void set_store_access(std::size_t node, store_access now) { m_nodes[node].store = now; }
     void kill(std::size_t node) { m_nodes[node].alive = false; }
 
-    /// Changes the store. Returns the time until all live nodes, except those in `excluded`, know
-    /// the change.
-    duration propagation_time(const std::set<std::size_t>& excluded)
+    /// Changes the store. Returns the time until all live nodes, except those in `skipped_nodes`,
+    /// know the change.
+    duration propagation_time(const std::set<std::size_t>& skipped_nodes)
     {
         ++m_change;
         const time_point start = m_now;
         const auto all_know = [&] {
             for (std::size_t index = 0; index < m_nodes.size(); ++index) {
-                const bool counts = m_nodes[index].alive && !excluded.contains(index);
+                const bool counts = m_nodes[index].alive && !skipped_nodes.contains(index);
                 if (counts && m_nodes[index].known < m_change)
                     return false;
             }
