--- a/config/config_service.cc
+++ b/config/config_service.cc
@@ -130,7 +130,7 @@
         // Confirmations are gossiped rarely, so the nodes that lack one are queried.
         if (unconfirmed.size() > max_nodes_queried)
             unconfirmed.resize(max_nodes_queried);
-        m_peers.ask(unconfirmed);
+        m_peers.ping_nodes(unconfirmed);
         return out;
     }
 
--- a/config/test_fleet.h
+++ b/config/test_fleet.h
@@ -63,7 +63,7 @@
         node.peer_node->on_command = [this, &node](const membership_command& command) {
             if (const auto* message = std::get_if<config_message>(&command))
                 run(node, node.spread->peer_message_received(net.now, *message));
-            if (const auto* received = std::get_if<rumor_heard>(&command)) {
+            if (const auto* received = std::get_if<rumor_received>(&command)) {
                 if (const auto* confirmed = std::get_if<confirmation>(&received->item))
                     run(node, node.spread->peer_confirmation_received(net.now, *confirmed));
             }
--- a/peers/membership_test.cc
+++ b/peers/membership_test.cc
@@ -10,7 +10,7 @@
 
 namespace {
 
-bool all_hold(const test_network& net, const test_node& other, member_state state)
+bool all_report(const test_network& net, const test_node& other, member_state state)
 {
     return std::all_of(net.nodes.begin(), net.nodes.end(), [&](const auto& viewer) {
         return viewer.get() == &other || viewer->crashed ||
@@ -20,22 +20,23 @@
 
 } // namespace
 
-// A member crashes: its domain calls it dead within seconds, on a network that loses, doubles and
-// reorders frames, and nobody who is alive is called dead.
-Test(membership, a_crash_is_noticed_and_nobody_else_is_blamed)
+// On a network that loses, duplicates and reorders frames, all nodes must declare a crashed member
+// dead, and no live one.
+Test(membership, a_crash_is_detected_without_false_positives)
 {
     for (std::uint64_t seed = 1; seed <= 5; ++seed) {
         test_network net{seed};
         net.loss = 0.05;
-        net.doubled = 0.1;
-        net.most_delay = milliseconds{40};
+        net.duplication = 0.1;
+        net.max_delay = milliseconds{40};
         for (std::size_t i = 0; i < 24; ++i)
             net.add(i, 3);
-        cr_assert(net.until([&] { return net.all_see_all(); }, seconds{60}), "no full view");
+        cr_assert(net.until([&] { return net.views_converged(); }, seconds{60}),
+                  "member tables did not converge");
         net.nodes[5]->crashed = true;
-        cr_assert(net.until([&] { return all_hold(net, *net.nodes[5], member_state::dead); },
+        cr_assert(net.until([&] { return all_report(net, *net.nodes[5], member_state::dead); },
                             seconds{60}),
-                  "seed %lu: not all know of the death", seed);
+                  "seed %lu: not all nodes detected the crash", seed);
         for (const auto& viewer : net.nodes) {
             for (const auto& other : net.nodes) {
                 if (viewer != other && !viewer->crashed && !other->crashed)
@@ -45,63 +46,64 @@
     }
 }
 
-// A VM is paused for minutes and returns as if nothing had happened. Its socket is full of old
-// frames and it holds dead members for alive. It refutes its own death and blames nobody.
-Test(membership, a_paused_node_returns)
+// Guards against false reports by a VM that was paused for minutes: its socket is full of old
+// frames and its table is outdated. It must refute its own death and not declare others dead.
+Test(membership, a_paused_node_rejoins)
 {
     test_network net{7};
     for (std::size_t i = 0; i < 12; ++i)
         net.add(i, 2);
-    cr_assert(net.until([&] { return net.all_see_all(); }, seconds{30}));
-    test_node& sleeper = *net.nodes[4];
-    sleeper.paused = true;
-    cr_assert(net.until([&] { return all_hold(net, sleeper, member_state::dead); }, seconds{60}));
+    cr_assert(net.until([&] { return net.views_converged(); }, seconds{30}));
+    test_node& paused_node = *net.nodes[4];
+    paused_node.paused = true;
+    cr_assert(
+        net.until([&] { return all_report(net, paused_node, member_state::dead); }, seconds{60}));
     net.run_for(minutes{3});
-    net.resume(sleeper);
-    cr_assert(net.until([&] { return net.all_see_all(); }, seconds{30}));
-    cr_assert_gt(sleeper.core.self().incarnation, 0U);
+    net.resume(paused_node);
+    cr_assert(net.until([&] { return net.views_converged(); }, seconds{30}));
+    cr_assert_gt(paused_node.core.self().incarnation, 0U);
 }
 
-// Two halves of a failure domain lose each other until each holds the other for dead. When the
-// network heals they must find each other again without an operator.
-Test(membership, halves_that_hold_each_other_for_dead_meet_again)
+// During a partition of a failure domain each half declares the other dead. After the partition
+// they must rejoin without an operator, which needs probes of dead members.
+Test(membership, partitioned_halves_rejoin)
 {
     test_network net{8};
     for (std::size_t i = 0; i < 8; ++i)
         net.add(i, 1);
-    cr_assert(net.until([&] { return net.all_see_all(); }, seconds{30}));
+    cr_assert(net.until([&] { return net.views_converged(); }, seconds{30}));
     const auto half = [](const test_node& node) { return node.core.self().address < "10.0.0.4"; };
     net.cut = [&](const test_node& a, const test_node& b) { return half(a) != half(b); };
     net.run_for(minutes{2});
     cr_assert_eq(test_network::state_of(*net.nodes[0], *net.nodes[7]), member_state::dead);
     net.cut = nullptr;
-    cr_assert(net.until([&] { return net.all_see_all(); }, seconds{60}));
+    cr_assert(net.until([&] { return net.views_converged(); }, seconds{60}));
 }
 
-// A failure domain is cut off for ten minutes. Its members are not dead, and nothing has to be
-// refuted when it comes back.
-Test(membership, a_cut_off_domain_is_not_dead)
+// A failure domain is partitioned from the others for ten minutes. Its members must not be declared
+// dead.
+Test(membership, a_partitioned_domain_is_not_declared_dead)
 {
     test_network net{9};
     for (std::size_t i = 0; i < 15; ++i)
         net.add(i, 3);
-    cr_assert(net.until([&] { return net.all_see_all(); }, seconds{30}));
+    cr_assert(net.until([&] { return net.views_converged(); }, seconds{30}));
     const failure_domain_id lost{"domain-2"};
     net.cut = [&](const test_node& a, const test_node& b) {
         return (a.core.self().failure_domain == lost) != (b.core.self().failure_domain == lost);
     };
     net.run_for(minutes{10});
-    cr_assert(net.all_see_all());
+    cr_assert(net.views_converged());
 }
 
-// A VM is replaced: a new process with the old name and address starts with a later boot. It wins
-// at once, and frames of the old process that still arrive change nothing.
-Test(membership, a_replaced_node_wins_over_its_past)
+// A VM is replaced: a new process starts with the same name and address and a higher boot number.
+// It must supersede the old one, and frames of the old process must be rejected.
+Test(membership, a_restarted_node_supersedes_its_old_process)
 {
     test_network net{10};
     for (std::size_t i = 0; i < 6; ++i)
         net.add(i, 1);
-    cr_assert(net.until([&] { return net.all_see_all(); }, seconds{30}));
+    cr_assert(net.until([&] { return net.views_converged(); }, seconds{30}));
     test_node& old = *net.nodes[3];
     old.crashed = true;
     const std::string address = old.core.self().address;
@@ -116,12 +118,12 @@
         });
     };
     cr_assert(net.until([&] { return known_as(2); }, seconds{30}));
-    // The old process wakes and pings: refused, and told that its name is taken.
+    // A ping of the old process is rejected.
     const std::uint64_t refused = net.nodes[0]->core.refused();
     membership_settings settings;
     settings.deployment = "test";
     settings.self = old.core.self();
-    for (const auto& command : old.core.ask(net.now, {net.nodes[0]->core.self().node})) {
+    for (const auto& command : old.core.ping_nodes(net.now, {net.nodes[0]->core.self().node})) {
         const auto& frame = std::get<send_frame>(command);
         net.run(*net.nodes[0],
                 net.nodes[0]->core.frame_received(net.now, old.core.self().node, frame.bytes));
@@ -130,72 +132,74 @@
     cr_assert(known_as(2));
 }
 
-// Another node gets the address of one that was replaced. Frames meant for the first are not
-// answered in its name, so the first is found to be gone.
-Test(membership, an_address_that_changed_hands_does_not_answer_for_the_old_node)
+// Another node gets the address of one that crashed. It must not answer frames for the crashed
+// node, which would otherwise stay alive in all tables.
+Test(membership, a_reused_address_does_not_answer_for_the_old_node)
 {
     test_network net{11};
     for (std::size_t i = 0; i < 6; ++i)
         net.add(i, 1);
-    cr_assert(net.until([&] { return net.all_see_all(); }, seconds{30}));
+    cr_assert(net.until([&] { return net.views_converged(); }, seconds{30}));
     test_node& old = *net.nodes[2];
     old.crashed = true;
-    test_node& heir = net.add(77, 1, 5, old.core.self().address);
-    cr_assert(net.until([&] { return all_hold(net, old, member_state::dead); }, seconds{60}));
-    cr_assert(net.until([&] { return all_hold(net, heir, member_state::alive); }, seconds{60}));
+    test_node& new_owner = net.add(77, 1, 5, old.core.self().address);
+    cr_assert(net.until([&] { return all_report(net, old, member_state::dead); }, seconds{60}));
+    cr_assert(
+        net.until([&] { return all_report(net, new_owner, member_state::alive); }, seconds{60}));
 }
 
-// A node says goodbye: its domain knows at once, without waiting for a suspicion.
-Test(membership, leaving_is_heard_at_once)
+// A node that leaves must be known to have left at once, without a suspicion.
+Test(membership, leaving_is_known_within_100_ms)
 {
     test_network net{12};
     for (std::size_t i = 0; i < 6; ++i)
         net.add(i, 1);
-    cr_assert(net.until([&] { return net.all_see_all(); }, seconds{30}));
+    cr_assert(net.until([&] { return net.views_converged(); }, seconds{30}));
     test_node& leaver = *net.nodes[1];
     net.run(leaver, leaver.core.leave(net.now));
     leaver.crashed = true;
     net.run_for(milliseconds{100});
-    cr_assert(all_hold(net, leaver, member_state::left));
+    cr_assert(all_report(net, leaver, member_state::left));
 }
 
-// An operator drains a server. Every node of 90 in three domains must stop picking it within two
-// seconds of the first that heard, though frames are lost.
+// An operator drains a server. All 90 nodes in three domains must know it within two seconds after
+// the first one, although frames are lost.
 Test(membership, a_leaving_server_is_known_everywhere_within_two_seconds)
 {
     test_network net{13};
     net.loss = 0.02;
     for (std::size_t i = 0; i < 90; ++i)
         net.add(i, 3);
-    cr_assert(net.until([&] { return net.all_see_all(); }, minutes{3}));
-    std::size_t heard = 0;
+    cr_assert(net.until([&] { return net.views_converged(); }, minutes{3}));
+    std::size_t receivers = 0;
     for (const auto& node : net.nodes) {
         node->on_command = [&](const membership_command& command) {
-            const auto* news = std::get_if<rumor_heard>(&command);
-            if (news != nullptr && std::holds_alternative<leaving>(news->item))
-                ++heard;
+            const auto* received = std::get_if<rumor_received>(&command);
+            if (received != nullptr && std::holds_alternative<leaving>(received->item))
+                ++receivers;
         };
     }
     net.run(*net.nodes[40], net.nodes[40]->core.publish(net.now, leaving{"10.1.0.7:80", {}}));
-    cr_assert(net.until([&] { return heard >= 89; }, seconds{2}), "only %zu of 89", heard);
+    cr_assert(net.until([&] { return receivers >= 89; }, seconds{2}),
+              "received by only %zu of 89 nodes", receivers);
 }
 
-// Guards against nodes that keep a server's limit after another node heard that it is lifted.
-Test(membership, a_servers_limit_and_its_end_are_known_everywhere)
+// Guards against nodes that keep a server's rate limit after it was lifted.
+Test(membership, a_server_limit_and_its_removal_reach_all_nodes)
 {
     test_network net{15};
     net.loss = 0.02;
     constexpr std::size_t nodes = 30;
     for (std::size_t i = 0; i < nodes; ++i)
         net.add(i, 3);
-    cr_assert(net.until([&] { return net.all_see_all(); }, minutes{3}));
+    cr_assert(net.until([&] { return net.views_converged(); }, minutes{3}));
     std::vector<std::optional<double>> known(nodes);
     for (std::size_t i = 0; i < nodes; ++i) {
         net.nodes[i]->on_command = [&known, i](const membership_command& command) {
-            const auto* news = std::get_if<rumor_heard>(&command);
-            if (news == nullptr)
+            const auto* received = std::get_if<rumor_received>(&command);
+            if (received == nullptr)
                 return;
-            if (const auto* limit = std::get_if<server_limit>(&news->item))
+            if (const auto* limit = std::get_if<server_limit>(&received->item))
                 known[i] = limit->per_second;
         };
     }
@@ -211,22 +215,22 @@
     net.run(first, first.core.publish(net.now, server_limit{"i-1", std::nullopt, {}}));
     cr_assert(net.until(all_know(std::nullopt), seconds{15}));
     net.run_for(seconds{30});
-    cr_assert(all_know(std::nullopt)(), "an echo of the limit came back");
+    cr_assert(all_know(std::nullopt)(), "an outdated limit was accepted");
 }
 
-// A frame sat in a paused node's socket for a minute. The ticket that it brings must look a minute
-// old, or a group that has lost a VM since would be served from.
-Test(membership, a_stuck_frame_does_not_make_a_ticket_fresh)
+// A frame waits in a paused node's socket for a minute. Its ticket must get an age of about a
+// minute. Otherwise requests would go to a group that may have lost a VM since.
+Test(membership, a_delayed_frame_does_not_make_a_ticket_look_recent)
 {
     test_network net{14};
     net.add(0, 1);
     net.add(1, 1);
-    cr_assert(net.until([&] { return net.all_see_all(); }, seconds{10}));
-    duration seen{0};
+    cr_assert(net.until([&] { return net.views_converged(); }, seconds{10}));
+    duration ticket_age{0};
     net.nodes[1]->on_command = [&](const membership_command& command) {
-        const auto* news = std::get_if<rumor_heard>(&command);
-        if (news != nullptr)
-            seen = std::get<ticket_digest>(news->item).age;
+        const auto* received = std::get_if<rumor_received>(&command);
+        if (received != nullptr)
+            ticket_age = std::get<ticket_digest>(received->item).age;
     };
     net.nodes[1]->paused = true;
     net.run(*net.nodes[0], net.nodes[0]->core.publish(
@@ -234,32 +238,33 @@
     net.run_for(seconds{90});
     net.nodes[0]->crashed = true;
     net.resume(*net.nodes[1]);
-    cr_assert_geq(seen.count(), duration{seconds{50}}.count());
+    cr_assert_geq(ticket_age.count(), duration{seconds{50}}.count());
 }
 
-// Of two reports about one group in the same instant, the one that says it is not whole wins, and
-// an older "whole" that arrives later does not bring it back.
-Test(membership, a_ticket_that_is_gone_stays_gone)
+// Of two tickets of a group from about the same time, the incomplete one must be kept, and an older
+// complete one that arrives later must be ignored.
+Test(membership, an_incomplete_ticket_overrides_older_complete_ones)
 {
     rumor_table table{{}};
     const time_point now{std::chrono::hours{1}};
-    const ticket_digest whole{1, fencing_number{5}, 100, true, {}};
-    ticket_digest gone = whole;
-    gone.complete = false;
-    cr_assert(table.offer(whole, now, now, 10));
-    cr_assert(table.offer(gone, now - milliseconds{50}, now, 10));
-    cr_assert_not(table.offer(whole, now, now, 10));
-    cr_assert_not(table.offer(whole, now - seconds{5}, now, 10));
-    cr_assert(table.offer(whole, now + seconds{2}, now + seconds{2}, 10));
+    const ticket_digest complete_ticket{1, fencing_number{5}, 100, true, {}};
+    ticket_digest incomplete_ticket = complete_ticket;
+    incomplete_ticket.complete = false;
+    cr_assert(table.insert_if_newer(complete_ticket, now, now, 10));
+    cr_assert(table.insert_if_newer(incomplete_ticket, now - milliseconds{50}, now, 10));
+    cr_assert_not(table.insert_if_newer(complete_ticket, now, now, 10));
+    cr_assert_not(table.insert_if_newer(complete_ticket, now - seconds{5}, now, 10));
+    cr_assert(table.insert_if_newer(complete_ticket, now + seconds{2}, now + seconds{2}, 10));
 }
 
-// A process of another deployment, or one that forges a name over TLS, changes nothing.
+// Frames of another deployment, frames whose sender does not match the certificate, and truncated
+// frames must change nothing.
 Test(membership, foreign_and_forged_frames_change_nothing)
 {
     test_network net{15};
     net.add(0, 1);
     net.add(1, 1);
-    cr_assert(net.until([&] { return net.all_see_all(); }, seconds{10}));
+    cr_assert(net.until([&] { return net.views_converged(); }, seconds{10}));
     test_network other{16};
     test_node& foreign = other.add(5, 1, 9, "10.0.0.5:7100", "prod");
     foreign.core.add_seeds({net.nodes[0]->core.self().address});
@@ -270,7 +275,7 @@
     cr_assert_eq(core.members().size(), known);
 
     std::string genuine;
-    for (const auto& command : net.nodes[1]->core.ask(net.now, {core.self().node}))
+    for (const auto& command : net.nodes[1]->core.ping_nodes(net.now, {core.self().node}))
         genuine = std::get<send_frame>(command).bytes;
     const std::uint64_t refused = core.refused();
     cr_assert(core.frame_received(net.now, node_id{"entry-9"}, genuine).empty());
@@ -280,14 +285,14 @@
     cr_assert_eq(core.members().size(), known);
 }
 
-// A node of a later version adds a field and a kind of frame that this one does not know. The rest
-// of the frame still counts, and an unknown kind is not answered.
+// A node of a newer version sends a frame with an unknown field and kind. Its known fields must
+// still be processed.
 Test(membership, frames_of_a_later_version_are_read)
 {
     test_network net{17};
     net.add(0, 1);
     net.add(1, 1);
-    cr_assert(net.until([&] { return net.all_see_all(); }, seconds{10}));
+    cr_assert(net.until([&] { return net.views_converged(); }, seconds{10}));
     wire::frame frame;
     frame.version = 9;
     frame.deployment = static_cast<std::int32_t>(wire_key("test"));
@@ -298,23 +303,24 @@
     digest.revision = 12;
     frame.__set_config(digest);
     std::string bytes = encode_frame(frame);
-    // Before the stop byte: field 19 + 11 = 30, a binary of three bytes, in the compact protocol.
+    // Adds field 30, a binary of three bytes in the compact protocol, before the stop byte.
     bytes.pop_back();
     bytes += std::string{"\x08\x3c\x03"
                          "abc\x00",
                          7};
     cr_assert(decode_frame(bytes).has_value());
-    bool heard = false;
+    bool digest_received = false;
     for (const auto& command : net.nodes[0]->core.frame_received(net.now, {}, bytes)) {
         const auto* message = std::get_if<config_message>(&command);
-        heard = heard || (message != nullptr &&
-                          std::get<config_digest>(message->body).revision.value() == 12);
+        digest_received =
+            digest_received ||
+            (message != nullptr && std::get<config_digest>(message->body).revision.value() == 12);
     }
-    cr_assert(heard);
+    cr_assert(digest_received);
 }
 
-// Whatever there is to say, a node keeps to its bytes: 410 nodes, 200 groups, demand of ten
-// workspaces in two pools from each node, and a configuration change each 26 s.
+// Guards the budget of bytes per second (membership.h) with 410 nodes, 200 groups, 20 demand
+// reports from each node, and a configuration change every 28 s.
 Test(membership, bytes_a_second_at_410_nodes_stay_in_budget)
 {
     test_network net{18};
@@ -349,16 +355,16 @@
     constexpr double elapsed = spans * 4.0;
     constexpr double header_bytes = 102; // TLS record, TCP and IP headers of a frame
     double sum = 0;
-    double most = 0;
+    double highest = 0;
     for (const auto& node : net.nodes) {
         const double rate = (static_cast<double>(node->bytes_sent) +
                              header_bytes * static_cast<double>(node->frames_sent)) /
                             elapsed;
         sum += rate;
-        most = std::max(most, rate);
+        highest = std::max(highest, rate);
     }
-    std::printf("bytes a second sent a node, headers included: mean %.0f, most %.0f\n", sum / 410.0,
-                most);
+    std::printf("bytes per second sent per node, headers included: mean %.0f, highest %.0f\n",
+                sum / 410.0, highest);
     cr_assert_lt(sum / 410.0, 1500.0);
-    cr_assert_lt(most, 3000.0);
+    cr_assert_lt(highest, 3000.0);
 }
--- a/peers/transport_test.cc
+++ b/peers/transport_test.cc
@@ -18,7 +18,7 @@
 using key_ptr = std::unique_ptr<EVP_PKEY, decltype(&EVP_PKEY_free)>;
 using certificate_ptr = std::unique_ptr<X509, decltype(&X509_free)>;
 
-/// A key and a certificate, self-signed or signed by another.
+/// A key and a certificate, self-signed or signed by an issuer.
 struct identity {
     key_ptr key{EVP_EC_gen("P-256"), EVP_PKEY_free};
     certificate_ptr certificate{X509_new(), X509_free};
@@ -119,9 +119,9 @@
 
 } // namespace
 
-// A process that reaches the peer port without a key of ours, with a key of another authority, or
-// with another node's name in its frames: it learns nothing and changes nothing.
-Test(transport, a_peer_without_the_key_learns_and_changes_nothing)
+// A process that connects without TLS, with a certificate of another CA, or with another node's
+// name in its frames must learn nothing and change nothing.
+Test(transport, a_peer_without_a_valid_certificate_learns_and_changes_nothing)
 {
     boost::asio::io_context io;
     key_folder folder;
@@ -151,8 +151,8 @@
     cr_assert_eq(forger->members().size(), 1U);
 }
 
-// Keys are rotated under a running fleet: new files are taken up without a restart, nobody is
-// suspected on the way, and a node whose key the new authority did not sign is shut out.
+// Certificates are replaced while nodes run. The new files must be loaded without a restart, the
+// nodes must stay connected, and a node whose certificate the new CA did not sign must be rejected.
 Test(transport, keys_rotate_without_a_restart)
 {
     boost::asio::io_context io;
@@ -166,7 +166,8 @@
               first->address());
     cr_assert(until(
         io, [&] { return knows(*first, "n2") && knows(*second, "n1"); }, 10));
-    // Both at once, as the shortest way; the operators' page tells the careful one.
+    // Replaces the certificates and the CA at once. peer_tls.cc describes the rotation without
+    // interruption.
     folder.write("n1", identity{"n1", &new_authority}, new_authority);
     folder.write("n2", identity{"n2", &new_authority}, new_authority);
     const auto newcomer =
@@ -175,7 +176,7 @@
     cr_assert(until(
         io, [&] { return knows(*newcomer, "n1") && knows(*second, "n3"); }, 15));
     const std::uint64_t refused = first->counters().peers_refused;
-    const auto late =
+    const auto rejected =
         start(io, "n4", folder.write("n4", identity{"n4", &old_authority}, old_authority),
               first->address());
     cr_assert(until(
@@ -185,13 +186,14 @@
         io, [&] { return knows(*first, "n2") && knows(*second, "n1"); }, 15));
 }
 
-// A peer stops reading. Frames to it are dropped and counted, and the queue stays bounded.
-Test(transport, a_peer_that_does_not_read_holds_nothing_up)
+// A peer stops reading. The queue to it must stay bounded, and further frames must be dropped and
+// counted.
+Test(transport, a_peer_that_does_not_read_blocks_nothing)
 {
     boost::asio::io_context io;
-    boost::asio::ip::tcp::acceptor deaf{io, {boost::asio::ip::address_v4::loopback(), 0}};
+    boost::asio::ip::tcp::acceptor unread{io, {boost::asio::ip::address_v4::loopback(), 0}};
     auto transport = peer_transport::create(io, {"127.0.0.1:0", {}, 16}).value();
-    const std::string address = "127.0.0.1:" + std::to_string(deaf.local_endpoint().port());
+    const std::string address = "127.0.0.1:" + std::to_string(unread.local_endpoint().port());
     for (int i = 0; i < 400; ++i) {
         transport->send(node_id{"deaf"}, address, std::string(200'000, 'x'));
         io.poll();
