--- a/daemon/daemon.cc
+++ b/daemon/daemon.cc
@@ -106,7 +106,7 @@
         boost::system::error_code ignored;
         m_timer.expires_after(second);
         co_await m_timer.async_wait(net::redirect_error(net::use_awaitable, ignored));
-        ask_slow_callers(*services);
+        check_slow_callers(*services);
         spans->flush();
     }
 }
--- a/daemon/daemon_events.cc
+++ b/daemon/daemon_events.cc
@@ -33,7 +33,7 @@
     for_groups.on_broken = [this](const group_id& group) {
         requests->handle(group_broken{target_id{group.value()}});
     };
-    for_groups.on_leaving = [this](const std::string& address) { plain->heard(address); };
+    for_groups.on_leaving = [this](const std::string& address) { plain->reported(address); };
     groups = std::make_unique<group_driver>(io, settings, kv, *peers, std::move(for_groups));
 
     plain_watch_hooks for_plain;
@@ -51,16 +51,17 @@
     for_plain.publish = [this](const std::string& server) { peers->publish(leaving{server}); };
     plain = std::make_unique<plain_watch>(io, servers, settings.node, std::move(for_plain));
 
-    services.reset(new relay_services{io,
-                                      settings,
-                                      *requests,
-                                      servers,
-                                      *spans,
-                                      counted,
-                                      counts,
-                                      [this](const target_id& id) { plain->said(id.value()); },
-                                      [this](const group_id& group) { return may_get(group); },
-                                      {}});
+    services.reset(
+        new relay_services{io,
+                           settings,
+                           *requests,
+                           servers,
+                           *spans,
+                           exported_metrics,
+                           counts,
+                           [this](const target_id& id) { plain->announced(id.value()); },
+                           [this](const group_id& group) { return has_valid_ticket(group); },
+                           {}});
     calls = std::make_unique<front>(*services, [this] {
         return front_state{config->current(), m_stopping, warming_up()};
     });
@@ -70,7 +71,7 @@
 
     config->on_installed(
         [this](std::shared_ptr<const configuration> tables) { install(std::move(tables)); });
-    peers->on_rumor([this](const rumor& heard) { take_rumor(heard); });
+    peers->on_rumor([this](const rumor& reported) { take_rumor(reported); });
     peers->on_member([this](const member& changed) { take_member(changed); });
     peers->on_superseded([this] {
         log_event(log_level::error, "daemon_superseded",
@@ -110,36 +111,36 @@
 }
 
 /// A ticket may have run out since the groups were last told to the core.
-bool daemon::impl::may_get(const group_id& group) const
+bool daemon::impl::has_valid_ticket(const group_id& group) const
 {
     const auto found = m_valid_until.find(group);
     return found != m_valid_until.end() && runtime_clock::now() < found->second;
 }
 
-void daemon::impl::take_rumor(const rumor& heard)
+void daemon::impl::take_rumor(const rumor& reported)
 {
-    if (const auto* ticket = std::get_if<ticket_digest>(&heard))
+    if (const auto* ticket = std::get_if<ticket_digest>(&reported))
         groups->take_ticket(*ticket);
-    else if (const auto* newer = std::get_if<key_notice>(&heard))
+    else if (const auto* newer = std::get_if<key_notice>(&reported))
         groups->take_notice(*newer);
-    else if (const auto* wanted = std::get_if<demand>(&heard))
+    else if (const auto* wanted = std::get_if<demand>(&reported))
         take_demand(*wanted);
-    else if (const auto* gone = std::get_if<leaving>(&heard))
-        plain->heard(gone->server);
+    else if (const auto* gone = std::get_if<leaving>(&reported))
+        plain->reported(gone->server);
 }
 
-void daemon::impl::take_demand(const demand& heard)
+void daemon::impl::take_demand(const demand& reported)
 {
-    const auto pool_name = m_pools_by_key.find(heard.pool);
-    const auto workspace = m_workspaces_by_key.find(heard.workspace);
+    const auto pool_name = m_pools_by_key.find(reported.pool);
+    const auto workspace = m_workspaces_by_key.find(reported.workspace);
     if (pool_name == m_pools_by_key.end() || workspace == m_workspaces_by_key.end())
         return;
     for (const member& one : peers->members()) {
-        if (wire_key(one.node.value()) != heard.node || one.node == settings.node)
+        if (wire_key(one.node.value()) != reported.node || one.node == settings.node)
             continue;
         const time_point now = runtime_clock::now();
         auto& rows = m_demand[one.node].rows;
-        const demand_row row{pool_name->second, workspace->second, heard.in_flight, 0};
+        const demand_row row{pool_name->second, workspace->second, reported.in_flight, 0};
         rows[{row.pool, row.workspace}] = {row, now};
         std::erase_if(
             rows, [now](const auto& entry) { return now - entry.second.second > demand_keeping; });
@@ -178,7 +179,7 @@
     now.platform_lost = config->status().platform_lost;
     now.complete_groups = groups->complete().size();
     now.managed_domains = groups->managed().size();
-    return counted.render(now);
+    return exported_metrics.render(now);
 }
 
 } // namespace jaynotch
--- a/daemon/daemon_impl.h
+++ b/daemon/daemon_impl.h
@@ -43,7 +43,7 @@
     net::io_context& io;
     daemon_settings settings;
     daemon_counts counts;
-    metrics counted;
+    metrics exported_metrics;
     kv_service kv;
     upstreams servers;
     std::unique_ptr<tracer> spans;
@@ -69,11 +69,11 @@
     void tie_together();
     void install(std::shared_ptr<const configuration> tables);
     void push_groups();
-    void take_rumor(const rumor& heard);
-    void take_demand(const demand& heard);
+    void take_rumor(const rumor& reported);
+    void take_demand(const demand& reported);
     void tell_demand(const share_demand& own);
     void take_member(const member& changed);
-    [[nodiscard]] bool may_get(const group_id& group) const;
+    [[nodiscard]] bool has_valid_ticket(const group_id& group) const;
     [[nodiscard]] std::string metrics_page();
 
     struct peer_rows {
--- a/daemon/daemon_setup.cc
+++ b/daemon/daemon_setup.cc
@@ -64,10 +64,10 @@
     }
 }
 
-void ask_slow_callers(const relay_services& services)
+void check_slow_callers(const relay_services& services)
 {
     std::vector<std::function<void()>> asked; // asking may end requests
-    for (const auto& [way, ask] : services.slow)
+    for (const auto& [way, ask] : services.slow_caller_checks)
         asked.push_back(ask);
     for (const auto& ask : asked)
         ask();
--- a/daemon/daemon_setup.h
+++ b/daemon/daemon_setup.h
@@ -27,7 +27,7 @@
 net::awaitable<void> finish_callers(net::io_context& io, http_server& server,
                                     const daemon_counts& counts, time_point until);
 /// Every request whose caller takes no bytes says so to the core; to be called each second.
-void ask_slow_callers(const relay_services& services);
+void check_slow_callers(const relay_services& services);
 /// Calls under way use the parts until they end: keeps them for longer than any of them takes once
 /// every connection is closed, or until the io_context goes.
 void keep_for_calls(net::io_context& io, std::shared_ptr<const void> parts);
--- a/daemon/forward_front.cc
+++ b/daemon/forward_front.cc
@@ -38,7 +38,7 @@
     const std::shared_ptr<const configuration> tables = m_state().tables;
     const result<void> readable = co_await read_asked(exchange, asked, tables.get());
     if (!readable) {
-        m_services.counted.ended(outcome::refused, runtime_clock::now() - asked.arrived);
+        m_services.exported_metrics.ended(outcome::refused, runtime_clock::now() - asked.arrived);
         co_await turn_away(exchange, readable.error());
         co_return;
     }
@@ -89,7 +89,7 @@
 net::awaitable<void> forward_front::turn_away(http_exchange& exchange, const error& why)
 {
     ++m_services.counts.refused;
-    m_services.counted.refused(why.kind);
+    m_services.exported_metrics.refused(why.kind);
     refusal shown{.failure = why, .ran = ran_state::no};
     shown.fractions = true;
     if (why.kind == error_kind::unavailable || why.kind == error_kind::overloaded)
--- a/daemon/front.cc
+++ b/daemon/front.cc
@@ -186,7 +186,7 @@
         asked.caller.failed = true;
         asked.caller.set("jaynotch.outcome", "refused");
         m_services.spans.end(std::move(asked.caller));
-        m_services.counted.ended(outcome::refused, runtime_clock::now() - asked.arrived);
+        m_services.exported_metrics.ended(outcome::refused, runtime_clock::now() - asked.arrived);
         co_await turn_away(exchange, readable.error(), retry_after);
         co_return;
     }
@@ -242,7 +242,7 @@
                                       std::optional<std::chrono::milliseconds> retry_after)
 {
     ++m_services.counts.refused;
-    m_services.counted.refused(why.kind);
+    m_services.exported_metrics.refused(why.kind);
     const refusal shown{.failure = why, .ran = ran_state::no, .retry_after = retry_after};
     co_await exchange.refuse(shown);
 }
--- a/daemon/metrics_test.cc
+++ b/daemon/metrics_test.cc
@@ -17,19 +17,19 @@
 
 Test(metrics, a_page_tells_what_became_of_requests_and_why)
 {
-    metrics counted;
-    counted.ended(outcome::answered, 120ms);
-    counted.refused(error_kind::overloaded);
-    counted.attempt_failed(attempt_failure::stalled);
-    counted.attempt_cancelled(cancel_reason::target_silent);
-    counted.attempt_repeated();
-    counted.queued(30ms);
-    counted.loop_delay(2ms);
+    metrics exported_metrics;
+    exported_metrics.ended(outcome::answered, 120ms);
+    exported_metrics.refused(error_kind::overloaded);
+    exported_metrics.attempt_failed(attempt_failure::stalled);
+    exported_metrics.attempt_cancelled(cancel_reason::target_silent);
+    exported_metrics.attempt_repeated();
+    exported_metrics.queued(30ms);
+    exported_metrics.loop_delay(2ms);
     gauges now;
     now.groups_forming = 2;
     now.spare_runners = 5;
     now.config_age = 3s;
-    const std::string page = counted.render(now);
+    const std::string page = exported_metrics.render(now);
     cr_assert(has(page, "jaynotch_requests_total{outcome=\"answered\"} 1"), "%s", page.c_str());
     cr_assert(has(page, "jaynotch_refusals_total{kind=\"overloaded\"} 1"));
     cr_assert(has(page, "jaynotch_attempt_failures_total{reason=\"stalled\"} 1"));
--- a/daemon/plain_watch.cc
+++ b/daemon/plain_watch.cc
@@ -83,12 +83,12 @@
             answer.value().status == boost::beast::http::status::service_unavailable ||
             !answer.value().header("jaynotch-leaving").empty();
         if (says)
-            said(server);
+            announced(server);
         else
             set(server, found->second, false);
     }
 
-    void said(const std::string& server)
+    void announced(const std::string& server)
     {
         const auto found = m_rows.find(server);
         if (found == m_rows.end())
@@ -98,10 +98,10 @@
             found->second.last_told = now;
             m_hooks.publish(server);
         }
-        heard(server);
+        reported(server);
     }
 
-    void heard(const std::string& server)
+    void reported(const std::string& server)
     {
         const auto found = m_rows.find(server);
         if (found == m_rows.end())
@@ -162,14 +162,14 @@
     m_impl->m_rows = std::move(next);
 }
 
-void plain_watch::said(const std::string& server)
+void plain_watch::announced(const std::string& server)
 {
-    m_impl->said(server);
+    m_impl->announced(server);
 }
 
-void plain_watch::heard(const std::string& server)
+void plain_watch::reported(const std::string& server)
 {
-    m_impl->heard(server);
+    m_impl->reported(server);
 }
 
 bool plain_watch::leaving(const std::string& server) const
--- a/daemon/plain_watch.h
+++ b/daemon/plain_watch.h
@@ -44,9 +44,9 @@
     void stop();
     void install(const configuration& tables);
     /// A server said of itself, here, that it is leaving.
-    void said(const std::string& server);
+    void announced(const std::string& server);
     /// Others say that a server is leaving.
-    void heard(const std::string& server);
+    void reported(const std::string& server);
     [[nodiscard]] bool leaving(const std::string& server) const;
     [[nodiscard]] std::vector<std::string> servers() const;
 
--- a/daemon/registry_daemon.cc
+++ b/daemon/registry_daemon.cc
@@ -83,7 +83,7 @@
         managers->on_word([this] { push_targets(); });
         feed = std::make_unique<registry_feed>(io, settings, kv, *peers, feed_hooks());
         services.reset(new relay_services{
-            io, settings, *requests, servers, *spans, counted, counts, {}, {}, {}});
+            io, settings, *requests, servers, *spans, exported_metrics, counts, {}, {}, {}});
         calls = std::make_unique<forward_front>(*services, [this] {
             return front_state{tables, m_stopping, false};
         });
@@ -165,7 +165,7 @@
     net::io_context& io;
     daemon_settings settings;
     daemon_counts counts;
-    metrics counted;
+    metrics exported_metrics;
     kv_service kv;
     upstreams servers;
     std::unique_ptr<tracer> spans;
@@ -295,7 +295,8 @@
             co_await m_timer.async_wait(net::redirect_error(net::use_awaitable, ignored));
             if (m_stopped)
                 co_return;
-            counted.loop_delay(std::max<duration>(duration{0}, runtime_clock::now() - wanted));
+            exported_metrics.loop_delay(
+                std::max<duration>(duration{0}, runtime_clock::now() - wanted));
             feed->tick();
             managers->tick();
             flush_log();
@@ -308,7 +309,7 @@
 
     void each_second()
     {
-        ask_slow_callers(*services);
+        check_slow_callers(*services);
         spans->flush();
         if (runtime_clock::now() >= m_next_call_report)
             say_store_calls();
@@ -380,7 +381,7 @@
             now.groups_forming += one.leading ? one.groups_forming : 0;
             now.spare_runners += one.leading ? one.spare_runners : 0;
         }
-        return counted.render(now);
+        return exported_metrics.render(now);
     }
 
     /// Before the peers are known, budgets are split as if there were this many nodes.
--- a/daemon/relay.cc
+++ b/daemon/relay.cc
@@ -58,7 +58,7 @@
     m_inbox = m_services.driver.open();
     m_asked.info.id = m_inbox->id();
     m_inbox->at_once = [this](const command& wanted) { note(wanted); };
-    m_services.slow.emplace(this, [this] { tell_slow_caller(); });
+    m_services.slow_caller_checks.emplace(this, [this] { tell_slow_caller(); });
     const auto gone = [&driver = m_services.driver, id = m_inbox->id()] {
         driver.handle(caller_gone{id});
     };
@@ -74,7 +74,7 @@
     }
     co_await stop_attempts();
     m_exchange.unwatch_caller();
-    m_services.slow.erase(this);
+    m_services.slow_caller_checks.erase(this);
     m_inbox->at_once = nullptr;
     m_services.driver.close(m_inbox->id());
 }
@@ -106,7 +106,7 @@
 void relay_request::way::give_up(attempt_state& attempt, cancel_reason why)
 {
     m_log.attempt_cancelled(attempt.order, why, attempt.sent);
-    m_services.counted.attempt_cancelled(why);
+    m_services.exported_metrics.attempt_cancelled(why);
     cancel(attempt);
 }
 
@@ -157,12 +157,13 @@
     if (attempt->cancelled)
         return;
     ++m_running;
-    m_services.counted.attempt();
+    m_services.exported_metrics.attempt();
     if (attempt->order.basis.sending <= 1)
-        m_services.counted.queued(std::chrono::milliseconds{attempt->order.basis.waited_ms});
+        m_services.exported_metrics.queued(
+            std::chrono::milliseconds{attempt->order.basis.waited_ms});
     if (attempt->order.resume) {
         ++m_services.counts.resumed;
-        m_services.counted.resumed();
+        m_services.exported_metrics.resumed();
     }
     net::co_spawn(m_services.io, run_attempt(attempt),
                   net::bind_cancellation_slot(attempt->stop.slot(), net::detached));
@@ -194,7 +195,7 @@
 
 net::awaitable<void> relay_request::way::refuse_caller(const refuse& wanted)
 {
-    m_services.counted.refused(wanted.failure.kind);
+    m_services.exported_metrics.refused(wanted.failure.kind);
     const refusal shown = shown_to_caller(wanted);
     m_log.refused(wanted,
                   static_cast<unsigned>(shown.status.value_or(status_of(shown.failure.kind))));
@@ -258,7 +259,7 @@
 
 void relay_request::way::ended(outcome how)
 {
-    m_services.counted.ended(how, runtime_clock::now() - m_asked.arrived);
+    m_services.exported_metrics.ended(how, runtime_clock::now() - m_asked.arrived);
     m_asked.caller.set("jaynotch.outcome", to_name(how));
     m_asked.caller.failed = how != outcome::answered && how != outcome::replayed;
     m_services.spans.end(std::move(m_asked.caller));
@@ -273,7 +274,7 @@
 void relay_request::way::first_byte()
 {
     m_first_after = runtime_clock::now() - m_asked.arrived;
-    m_services.counted.first_byte(m_first_after);
+    m_services.exported_metrics.first_byte(m_first_after);
 }
 
 void relay_request::way::tell_slow_caller()
--- a/daemon/relay.h
+++ b/daemon/relay.h
@@ -34,14 +34,14 @@
     request_driver& driver;
     upstreams& servers;
     tracer& spans;
-    metrics& counted;
+    metrics& exported_metrics;
     daemon_counts& counts;
     /// A backend server said of itself that it is leaving.
     std::function<void(const target_id&)> on_leaving;
     /// Whether a group's completeness ticket holds at this moment.
-    std::function<bool(const group_id&)> may_get;
+    std::function<bool(const group_id&)> has_valid_ticket;
     /// Called each second for every request; one whose caller takes no bytes says so to the core.
-    std::unordered_map<const void*, std::function<void()>> slow;
+    std::unordered_map<const void*, std::function<void()>> slow_caller_checks;
 };
 
 /// What a caller asked for, read from its request.
--- a/daemon/relay_attempt.cc
+++ b/daemon/relay_attempt.cc
@@ -123,7 +123,7 @@
     request.before_send = [this, &attempt] {
         if (attempt.sent) {
             m_log.attempt_repeated(attempt.order);
-            m_services.counted.attempt_repeated();
+            m_services.exported_metrics.attempt_repeated();
         }
         attempt.sent = true;
         m_sent = true;
@@ -145,7 +145,8 @@
         co_await forward(attempt);
         co_return;
     }
-    if (attempt.order.kind == pool_kind::model && !m_services.may_get(attempt.order.group)) {
+    if (attempt.order.kind == pool_kind::model && !m_services.has_valid_ticket(attempt.order.group))
+    {
         report_failure(attempt, attempt_failure::not_connected);
         co_return;
     }
@@ -243,7 +244,7 @@
 void relay_request::way::count_foreign_answer()
 {
     ++m_services.counts.foreign_answers;
-    m_services.counted.foreign_answer();
+    m_services.exported_metrics.foreign_answer();
 }
 
 bool relay_request::way::report_engine_head(attempt_state& attempt, const http_stream& answer,
@@ -272,7 +273,7 @@
     attempt.hop.failed = true;
     attempt.hop.set("jaynotch.failure", to_name(reason));
     m_log.attempt_ended(attempt.order, to_name(reason), attempt.sent);
-    m_services.counted.attempt_failed(reason);
+    m_services.exported_metrics.attempt_failed(reason);
     m_services.driver.handle(attempt_failed{m_inbox->id(), attempt.order.attempt, reason});
 }
 
@@ -333,7 +334,7 @@
     m_last_events = now;
     m_events += count;
     m_services.counts.tokens_relayed += count;
-    m_services.counted.tokens(count);
+    m_services.exported_metrics.tokens(count);
     m_services.driver.handle(attempt_progress{m_inbox->id(), attempt.order.attempt, count});
     co_return !attempt.cancelled;
 }
