--- a/daemon/forward_front.cc
+++ b/daemon/forward_front.cc
@@ -13,10 +13,10 @@
 namespace {
 
 /// For callers who meet a node that knows no configuration yet.
-constexpr std::chrono::milliseconds soon{200};
+constexpr std::chrono::milliseconds default_retry_after{200};
 
 /// A Host header as tables name hosts.
-std::string host_of(std::string_view header)
+std::string normalize_host(std::string_view header)
 {
     std::string host{header.substr(0, header.find(':'))};
     std::transform(host.begin(), host.end(), host.begin(),
@@ -32,33 +32,34 @@
 
 net::awaitable<void> forward_front::serve(http_exchange& exchange)
 {
-    asked_request asked;
-    asked.arrived = runtime_clock::now();
+    incoming_request incoming;
+    incoming.arrived = runtime_clock::now();
     ++m_services.counts.requests;
     const std::shared_ptr<const configuration> tables = m_state().tables;
-    const result<void> readable = co_await read_asked(exchange, asked, tables.get());
-    if (!readable) {
-        m_services.exported_metrics.ended(outcome::refused, runtime_clock::now() - asked.arrived);
-        co_await turn_away(exchange, readable.error());
+    const result<void> accepted = co_await read_request(exchange, incoming, tables.get());
+    if (!accepted) {
+        m_services.exported_metrics.ended(outcome::refused,
+                                          runtime_clock::now() - incoming.arrived);
+        co_await reject(exchange, accepted.error());
         co_return;
     }
-    asked.caller = m_services.spans.begin(
+    incoming.server_span = m_services.spans.begin(
         "request", span_kind::server, trace_context::from_header(exchange.header("traceparent")));
-    asked.caller.set("url.path", exchange.path());
+    incoming.server_span.set("url.path", exchange.path());
     ++m_services.counts.in_flight;
-    relay_request way{m_services, exchange, std::move(asked)};
-    co_await way.run();
+    relay_request relay{m_services, exchange, std::move(incoming)};
+    co_await relay.run();
     --m_services.counts.in_flight;
 }
 
-net::awaitable<result<void>> forward_front::read_asked(http_exchange& exchange,
-                                                       asked_request& asked,
-                                                       const configuration* tables)
+net::awaitable<result<void>> forward_front::read_request(http_exchange& exchange,
+                                                         incoming_request& incoming,
+                                                         const configuration* tables)
 {
-    const std::size_t most = tables != nullptr && tables->limits
-                                 ? tables->limits->body_bytes
-                                 : m_services.settings.limits.model_body_bytes;
-    result<std::string> body = co_await exchange.read_body(most);
+    const std::size_t max_body_bytes = tables != nullptr && tables->limits
+                                           ? tables->limits->body_bytes
+                                           : m_services.settings.limits.model_body_bytes;
+    result<std::string> body = co_await exchange.read_body(max_body_bytes);
     if (!body)
         co_return body.error();
     if (tables == nullptr)
@@ -67,36 +68,36 @@
     if (m_services.driver.open_inboxes() >= m_services.settings.limits.requests)
         co_return error{error_kind::overloaded, "this node holds as many requests as it may",
                         "come back later, or raise --max_requests"};
-    asked.body = std::move(body).value();
+    incoming.body = std::move(body).value();
     result<call_facts> facts = platform::read_call(exchange.request());
     if (!facts)
         co_return facts.error();
-    request_info& info = asked.info;
+    request_info& info = incoming.info;
     info.kind = request_kind::plain;
     info.method = std::string{exchange.request().method_string()};
     info.path = std::string{exchange.path()};
-    info.host = host_of(exchange.header("Host"));
+    info.host = normalize_host(exchange.header("Host"));
     info.model = facts.value().model;
     info.credential = facts.value().credential;
     info.prompt_tokens = facts.value().prompt_tokens;
     info.answer_tokens = facts.value().answer_tokens;
     if (facts.value().patience)
-        info.deadline = asked.arrived + *facts.value().patience;
-    asked.facts = std::move(facts).value();
+        info.deadline = incoming.arrived + *facts.value().patience;
+    incoming.facts = std::move(facts).value();
     co_return success();
 }
 
-net::awaitable<void> forward_front::turn_away(http_exchange& exchange, const error& why)
+net::awaitable<void> forward_front::reject(http_exchange& exchange, const error& why)
 {
     ++m_services.counts.refused;
     m_services.exported_metrics.refused(why.kind);
-    refusal shown{.failure = why, .ran = ran_state::no};
-    shown.fractions = true;
+    refusal reply{.failure = why, .ran = ran_state::no};
+    reply.fractions = true;
     if (why.kind == error_kind::unavailable || why.kind == error_kind::overloaded)
-        shown.retry_after = soon;
+        reply.retry_after = default_retry_after;
     if (why.kind == error_kind::deadline_exceeded)
-        shown.status = http::status::request_timeout; // its body did not come
-    co_await exchange.refuse(shown);
+        reply.status = http::status::request_timeout; // its body did not come
+    co_await exchange.refuse(reply);
 }
 
 } // namespace jaynotch
--- a/daemon/forward_front.h
+++ b/daemon/forward_front.h
@@ -18,9 +18,9 @@
     net::awaitable<void> serve(http_exchange& exchange);
 
 private:
-    net::awaitable<result<void>> read_asked(http_exchange& exchange, asked_request& asked,
-                                            const configuration* tables);
-    net::awaitable<void> turn_away(http_exchange& exchange, const error& why);
+    net::awaitable<result<void>> read_request(http_exchange& exchange, incoming_request& incoming,
+                                              const configuration* tables);
+    net::awaitable<void> reject(http_exchange& exchange, const error& why);
 
     relay_services& m_services;
     std::function<front_state()> m_state;
--- a/daemon/front.h
+++ b/daemon/front.h
@@ -26,15 +26,15 @@
     net::awaitable<void> serve(http_exchange& exchange);
 
 private:
-    net::awaitable<bool> serve_own(http_exchange& exchange);
+    net::awaitable<bool> serve_builtin(http_exchange& exchange);
     net::awaitable<void> serve_ready(http_exchange& exchange);
     net::awaitable<void> serve_models(http_exchange& exchange);
     net::awaitable<void> serve_outcome(http_exchange& exchange);
     net::awaitable<void> serve_request(http_exchange& exchange, request_kind kind);
-    net::awaitable<result<void>> read_asked(http_exchange& exchange, asked_request& asked);
+    net::awaitable<result<void>> read_request(http_exchange& exchange, incoming_request& incoming);
     net::awaitable<void>
-    turn_away(http_exchange& exchange, const error& why,
-              std::optional<std::chrono::milliseconds> retry_after = std::nullopt);
+    reject(http_exchange& exchange, const error& why,
+           std::optional<std::chrono::milliseconds> retry_after = std::nullopt);
 
     relay_services& m_services;
     std::function<front_state()> m_state;
--- a/daemon/key_relay_driver.cc
+++ b/daemon/key_relay_driver.cc
@@ -13,32 +13,32 @@
 {
     if (m_members_version != m_peers.members_version())
         members_changed();
-    carry_out(m_core.tick(runtime_clock::now()));
+    execute(m_core.tick(runtime_clock::now()));
 }
 
 void key_relay_driver::learned(const kv_entry& entry)
 {
-    carry_out(m_core.learned(runtime_clock::now(), {entry.key, entry.mod_revision, entry.value}));
+    execute(m_core.learned(runtime_clock::now(), {entry.key, entry.mod_revision, entry.value}));
 }
 
 void key_relay_driver::read(const kv_entry& entry)
 {
-    carry_out(m_core.read({entry.key, entry.mod_revision, entry.value}));
+    execute(m_core.read({entry.key, entry.mod_revision, entry.value}));
 }
 
 void key_relay_driver::push(duration store_age)
 {
-    carry_out(m_core.push(store_age));
+    execute(m_core.push(store_age));
 }
 
 void key_relay_driver::noticed(const key_notice& notice)
 {
-    carry_out(m_core.noticed(runtime_clock::now(), notice));
+    execute(m_core.noticed(runtime_clock::now(), notice));
 }
 
 void key_relay_driver::heard(const key_message& message)
 {
-    carry_out(m_core.heard(runtime_clock::now(), message));
+    execute(m_core.heard(runtime_clock::now(), message));
 }
 
 void key_relay_driver::members_changed()
@@ -53,46 +53,46 @@
         if (one.failure_domain == m_settings.failure_domain)
             own.push_back(one.node);
     }
-    carry_out(m_core.members_changed(own, all));
+    execute(m_core.members_changed(own, all));
     if (m_hooks.on_neighbours)
         m_hooks.on_neighbours(own);
 }
 
-void key_relay_driver::carry_out(const key_relay_commands& commands)
+void key_relay_driver::execute(const key_relay_commands& commands)
 {
     for (const key_relay_command& command : commands)
-        std::visit([this](const auto& order) { carry_out(order); }, command);
+        std::visit([this](const auto& cmd) { execute(cmd); }, command);
 }
 
-void key_relay_driver::carry_out(const watch_keys& order)
+void key_relay_driver::execute(const watch_keys& cmd)
 {
-    if (order.on)
+    if (cmd.on)
         m_hooks.on_watch();
 }
 
-void key_relay_driver::carry_out(const tell_keys& order)
+void key_relay_driver::execute(const tell_keys& cmd)
 {
-    m_peers.send_keys(order.to, order.body);
+    m_peers.send_keys(cmd.to, cmd.body);
 }
 
-void key_relay_driver::carry_out(const announce_key& order)
+void key_relay_driver::execute(const announce_key& cmd)
 {
-    m_peers.publish(order.notice);
+    m_peers.publish(cmd.notice);
 }
 
-void key_relay_driver::carry_out(const take_key& order)
+void key_relay_driver::execute(const take_key& cmd)
 {
     kv_entry entry;
-    entry.key = order.entry.key;
-    entry.value = order.entry.value;
-    entry.mod_revision = order.entry.revision;
+    entry.key = cmd.entry.key;
+    entry.value = cmd.entry.value;
+    entry.mod_revision = cmd.entry.revision;
     m_hooks.on_key(entry);
 }
 
-void key_relay_driver::carry_out(const neighbour_fresh& order)
+void key_relay_driver::execute(const neighbour_fresh& cmd)
 {
     if (m_hooks.on_fresh)
-        m_hooks.on_fresh(order.neighbour, order.store_age);
+        m_hooks.on_fresh(cmd.neighbour, cmd.store_age);
 }
 
 } // namespace jaynotch
--- a/daemon/key_relay_driver.h
+++ b/daemon/key_relay_driver.h
@@ -55,12 +55,12 @@
 
 private:
     void members_changed();
-    void carry_out(const key_relay_commands& commands);
-    void carry_out(const watch_keys& order);
-    void carry_out(const tell_keys& order);
-    void carry_out(const announce_key& order);
-    void carry_out(const take_key& order);
-    void carry_out(const neighbour_fresh& order);
+    void execute(const key_relay_commands& commands);
+    void execute(const watch_keys& cmd);
+    void execute(const tell_keys& cmd);
+    void execute(const announce_key& cmd);
+    void execute(const take_key& cmd);
+    void execute(const neighbour_fresh& cmd);
 
     const daemon_settings& m_settings;
     peer_service& m_peers;
--- a/daemon/model_request.cc
+++ b/daemon/model_request.cc
@@ -8,9 +8,9 @@
 namespace {
 
 constexpr std::uint32_t default_answer_tokens = 256;
-constexpr std::size_t bytes_a_token = 4;
+constexpr std::size_t bytes_per_token = 4;
 
-error bad(std::string message, std::string remedy)
+error invalid_request(std::string message, std::string remedy)
 {
     return error{error_kind::invalid_argument, std::move(message), std::move(remedy)};
 }
@@ -25,7 +25,7 @@
     return default_answer_tokens;
 }
 
-std::vector<std::uint64_t> blocks_of(std::string_view prompt)
+std::vector<std::uint64_t> hash_prefix_blocks(std::string_view prompt)
 {
     std::vector<std::uint64_t> blocks;
     std::uint64_t chained = 0;
@@ -45,48 +45,50 @@
     boost::json::value parsed =
         boost::json::parse(boost::json::string_view{body.data(), body.size()}, failed);
     if (failed || !parsed.is_object())
-        return bad("the body is not a JSON object", "send a JSON object as the OpenAI API says");
+        return invalid_request("the body is not a JSON object",
+                               "send a JSON object as the OpenAI API says");
     model_request request;
     request.body = std::move(parsed.get_object());
     const auto* model = request.body.if_contains("model");
     if (model == nullptr || !model->is_string() || model->get_string().empty())
-        return bad("\"model\" is missing", "name a model that GET /v1/models lists");
+        return invalid_request("\"model\" is missing", "name a model that GET /v1/models lists");
     request.model = std::string{model->get_string()};
     const std::string_view field = kind == request_kind::chat ? "messages" : "prompt";
     const auto* prompt = request.body.if_contains(field);
-    const bool fits = prompt != nullptr && (kind == request_kind::chat
-                                                ? prompt->is_array() && !prompt->get_array().empty()
-                                                : prompt->is_string() || prompt->is_array());
-    if (!fits)
-        return bad("\"" + std::string{field} + "\" is missing or of the wrong type",
-                   kind == request_kind::chat ? "send a list of at least one message"
-                                              : "send a string");
+    const bool valid_prompt =
+        prompt != nullptr &&
+        (kind == request_kind::chat ? prompt->is_array() && !prompt->get_array().empty()
+                                    : prompt->is_string() || prompt->is_array());
+    if (!valid_prompt)
+        return invalid_request("\"" + std::string{field} + "\" is missing or of the wrong type",
+                               kind == request_kind::chat ? "send a list of at least one message"
+                                                          : "send a string");
     const auto* stream = request.body.if_contains("stream");
     if (stream != nullptr && !stream->is_bool() && !stream->is_null())
-        return bad("\"stream\" is not a boolean", "write true or false");
+        return invalid_request("\"stream\" is not a boolean", "write true or false");
     if (request.body.contains("jaynotch_resume"))
-        return bad("\"jaynotch_resume\" is not for callers", "leave it out");
+        return invalid_request("\"jaynotch_resume\" is not for callers", "leave it out");
     request.stream = stream != nullptr && stream->is_bool() && stream->get_bool();
     const std::string text =
         prompt->is_string() ? std::string{prompt->get_string()} : boost::json::serialize(*prompt);
     request.prompt_tokens = static_cast<std::uint32_t>(
-        std::min<std::size_t>(text.size() / bytes_a_token + 1, 1U << 24U));
+        std::min<std::size_t>(text.size() / bytes_per_token + 1, 1U << 24U));
     request.answer_tokens = answer_tokens(request.body);
-    request.prefix_blocks = blocks_of(text);
+    request.prefix_blocks = hash_prefix_blocks(text);
     return request;
 }
 
 std::string engine_body(const model_request& request, std::string_view model,
-                        std::string_view adapter, bool resume, std::string_view given)
+                        std::string_view adapter, bool resume, std::string_view delivered_text)
 {
     boost::json::object body = request.body;
     body["model"] = adapter.empty() ? model : adapter;
     if (resume)
-        body["jaynotch_resume"] = boost::json::object{{"text", given}};
+        body["jaynotch_resume"] = boost::json::object{{"text", delivered_text}};
     return boost::json::serialize(body);
 }
 
-bool is_whole_completion(std::string_view body)
+bool is_completion(std::string_view body)
 {
     boost::system::error_code failed;
     const boost::json::value parsed =
--- a/daemon/model_request.h
+++ b/daemon/model_request.h
@@ -36,10 +36,10 @@
 /// The body for an engine: the model's own name, the adapter, and what was given already if the
 /// answer is to be resumed.
 std::string engine_body(const model_request& request, std::string_view model,
-                        std::string_view adapter, bool resume, std::string_view given);
+                        std::string_view adapter, bool resume, std::string_view delivered_text);
 
 /// Whether an answer that is not streamed is a completion: JSON with at least one choice.
-bool is_whole_completion(std::string_view body);
+bool is_completion(std::string_view body);
 
 /// GET /v1/models: the models that `tables` routes, for the OpenAI API.
 std::string models_page(const configuration& tables, const workspace_id& workspace);
--- a/daemon/plain_watch.cc
+++ b/daemon/plain_watch.cc
@@ -13,11 +13,11 @@
 
 namespace {
 
-constexpr duration period = std::chrono::seconds{1};
+constexpr duration probe_interval = std::chrono::seconds{1};
 constexpr duration probe_timeout = std::chrono::milliseconds{800};
-constexpr duration repeat_after = std::chrono::seconds{4};
-constexpr duration believed_for = std::chrono::seconds{20};
-constexpr std::size_t watchers = 2;
+constexpr duration publish_interval = std::chrono::seconds{4};
+constexpr duration leaving_ttl = std::chrono::seconds{20};
+constexpr std::size_t watchers_per_server = 2;
 
 } // namespace
 
@@ -25,8 +25,8 @@
 public:
     struct row {
         bool leaving = false;
-        time_point last_word{};
-        time_point last_told{};
+        time_point last_report{};
+        time_point last_published{};
         bool probing = false;
     };
 
@@ -39,25 +39,25 @@
     {
         const auto self = shared_from_this();
         while (!m_stopped) {
-            look();
+            probe_assigned();
             boost::system::error_code ignored;
-            m_timer.expires_after(period);
+            m_timer.expires_after(probe_interval);
             co_await m_timer.async_wait(
                 boost::asio::redirect_error(boost::asio::use_awaitable, ignored));
         }
     }
 
-    void look()
+    void probe_assigned()
     {
         const std::vector<std::string> nodes = m_hooks.live_nodes();
         const time_point now = runtime_clock::now();
         for (auto& [server, known] : m_rows) {
-            if (known.leaving && now - known.last_word > believed_for)
-                set(server, known, false);
-            bool mine = false;
-            for (const std::size_t index : rendezvous(server, nodes, watchers))
-                mine = mine || nodes[index] == m_self.value();
-            if (!mine || known.probing)
+            if (known.leaving && now - known.last_report > leaving_ttl)
+                set_leaving(server, known, false);
+            bool assigned = false;
+            for (const std::size_t index : rendezvous(server, nodes, watchers_per_server))
+                assigned = assigned || nodes[index] == m_self.value();
+            if (!assigned || known.probing)
                 continue;
             known.probing = true;
             boost::asio::co_spawn(m_io, probe(server), boost::asio::detached);
@@ -79,13 +79,13 @@
         found->second.probing = false;
         if (!answer)
             co_return;
-        const bool says =
+        const bool is_leaving =
             answer.value().status == boost::beast::http::status::service_unavailable ||
             !answer.value().header("jaynotch-leaving").empty();
-        if (says)
+        if (is_leaving)
             announced(server);
         else
-            set(server, found->second, false);
+            set_leaving(server, found->second, false);
     }
 
     void announced(const std::string& server)
@@ -94,8 +94,8 @@
         if (found == m_rows.end())
             return;
         const time_point now = runtime_clock::now();
-        if (!found->second.leaving || now - found->second.last_told > repeat_after) {
-            found->second.last_told = now;
+        if (!found->second.leaving || now - found->second.last_published > publish_interval) {
+            found->second.last_published = now;
             m_hooks.publish(server);
         }
         reported(server);
@@ -106,11 +106,11 @@
         const auto found = m_rows.find(server);
         if (found == m_rows.end())
             return;
-        found->second.last_word = runtime_clock::now();
-        set(server, found->second, true);
+        found->second.last_report = runtime_clock::now();
+        set_leaving(server, found->second, true);
     }
 
-    void set(const std::string& server, row& known, bool leaving)
+    void set_leaving(const std::string& server, row& known, bool leaving)
     {
         if (known.leaving == leaving)
             return;
--- a/daemon/proxy_bench.cc
+++ b/daemon/proxy_bench.cc
@@ -120,8 +120,8 @@
 /// beat, one write a token, whatever the number of streams.
 class paced_engine {
 public:
-    paced_engine(asio::io_context& io, std::string name, duration beat)
-        : m_acceptor{io, {asio::ip::make_address("127.0.0.1"), 0}}, m_beat{beat}
+    paced_engine(asio::io_context& io, std::string name, duration token_interval)
+        : m_acceptor{io, {asio::ip::make_address("127.0.0.1"), 0}}, m_token_interval{token_interval}
     {
         m_report.vm = vm_id{std::move(name)};
         m_report.boot = "1";
@@ -164,14 +164,14 @@
             }
             http::response<http::string_body> response{http::status::ok, 11};
             if (request.target() == "/control/assign")
-                take(request.body());
+                assign(request.body());
             response.body() = render_engine_report(m_report);
             response.prepare_payload();
             co_await http::async_write(*socket, response,
                                        asio::redirect_error(asio::use_awaitable, failed));
         }
     }
-    void take(const std::string& body)
+    void assign(const std::string& body)
     {
         const engine_order_assign order = parse_engine_assign(body).value();
         m_report.group = order.group;
@@ -198,10 +198,10 @@
         char size_line[16];
         std::snprintf(size_line, sizeof size_line, "%zx\r\n", event.size());
         const std::string piece = size_line + event + "\r\n";
-        timer beat{m_acceptor.get_executor(), runtime_clock::now() + m_beat};
+        timer next_token{m_acceptor.get_executor(), runtime_clock::now() + m_token_interval};
         for (std::uint32_t token = 0; token < bench_tokens && !failed; ++token) {
-            co_await beat.async_wait(asio::redirect_error(asio::use_awaitable, failed));
-            beat.expires_at(beat.expiry() + m_beat);
+            co_await next_token.async_wait(asio::redirect_error(asio::use_awaitable, failed));
+            next_token.expires_at(next_token.expiry() + m_token_interval);
             co_await asio::async_write(socket, asio::buffer(piece),
                                        asio::redirect_error(asio::use_awaitable, failed));
         }
@@ -214,13 +214,13 @@
 
     tcp::acceptor m_acceptor;
     engine_report m_report;
-    duration m_beat;
+    duration m_token_interval;
 };
 
 /// Sends `count` requests one after the other over one connection; latencies in seconds.
-asio::awaitable<void> ask_in_turn(std::uint16_t port, std::size_t count,
-                                  std::shared_ptr<std::vector<double>> latencies,
-                                  std::shared_ptr<std::atomic<std::size_t>> ended)
+asio::awaitable<void> send_sequentially(std::uint16_t port, std::size_t count,
+                                        std::shared_ptr<std::vector<double>> latencies,
+                                        std::shared_ptr<std::atomic<std::size_t>> finished)
 {
     tcp::socket socket{co_await asio::this_coro::executor};
     const tcp::endpoint remote{asio::ip::make_address("127.0.0.1"), port};
@@ -239,7 +239,7 @@
         if (response.result() != http::status::ok)
             break;
     }
-    ++*ended;
+    ++*finished;
 }
 
 struct latency {
@@ -251,13 +251,14 @@
 latency measure(worker& callers, std::uint16_t port, std::size_t connections, std::size_t each)
 {
     std::vector<std::shared_ptr<std::vector<double>>> all;
-    const auto ended = std::make_shared<std::atomic<std::size_t>>(0);
+    const auto finished = std::make_shared<std::atomic<std::size_t>>(0);
     const auto began = std::chrono::steady_clock::now();
     for (std::size_t index = 0; index < connections; ++index) {
         all.push_back(std::make_shared<std::vector<double>>());
-        asio::co_spawn(callers.io, ask_in_turn(port, each, all.back(), ended), asio::detached);
+        asio::co_spawn(callers.io, send_sequentially(port, each, all.back(), finished),
+                       asio::detached);
     }
-    while (ended->load() < connections)
+    while (finished->load() < connections)
         std::this_thread::sleep_for(1ms);
     const std::chrono::duration<double> took = std::chrono::steady_clock::now() - began;
     std::vector<double> joined;
@@ -271,9 +272,9 @@
 /// Platform on one thread, daemon on another, callers on a third.
 class bench_fleet {
 public:
-    explicit bench_fleet(duration beat = 10ms)
+    explicit bench_fleet(duration token_interval = 10ms)
     {
-        platform.on([this, beat] {
+        platform.on([this, token_interval] {
             standin_fleet_settings settings;
             settings.engines = 0;
             settings.fabric_domains = 1;
@@ -281,7 +282,7 @@
             plain = std::make_unique<fast_server>(platform.io);
             for (int index = 0; index < 2; ++index) {
                 engines.push_back(std::make_unique<paced_engine>(
-                    platform.io, "vm-" + std::to_string(index), beat));
+                    platform.io, "vm-" + std::to_string(index), token_interval));
                 fleet->vms().put(engines.back()->entry());
             }
             return true;
@@ -379,15 +380,15 @@
     for (auto _ : state) {
         const latency direct = measure(fleet.callers, fleet.direct_port(), connections, each);
         const double before = fleet.entry.seconds();
-        const latency through = measure(fleet.callers, fleet.port, connections, each);
-        const double spent = fleet.entry.seconds() - before;
+        const latency relayed = measure(fleet.callers, fleet.port, connections, each);
+        const double cpu_seconds = fleet.entry.seconds() - before;
         const auto count = static_cast<double>(connections * each);
         state.counters["direct_median_us"] = direct.median * 1e6;
-        state.counters["added_median_us"] = (through.median - direct.median) * 1e6;
-        state.counters["added_p99_us"] = (through.p99 - direct.p99) * 1e6;
-        state.counters["median_ratio"] = through.median / direct.median;
-        state.counters["requests_s"] = through.requests_s;
-        state.counters["requests_s_per_core"] = count / spent;
+        state.counters["added_median_us"] = (relayed.median - direct.median) * 1e6;
+        state.counters["added_p99_us"] = (relayed.p99 - direct.p99) * 1e6;
+        state.counters["median_ratio"] = relayed.median / direct.median;
+        state.counters["requests_s"] = relayed.requests_s;
+        state.counters["requests_s_per_core"] = count / cpu_seconds;
         state.counters["direct_requests_s"] = direct.requests_s;
     }
 }
@@ -395,8 +396,8 @@
 
 /// Reads one stream to its end, counting events.
 asio::awaitable<void> read_stream(std::uint16_t port, std::uint32_t tokens,
-                                  std::shared_ptr<std::atomic<std::size_t>> whole,
-                                  std::shared_ptr<std::atomic<std::size_t>> ended)
+                                  std::shared_ptr<std::atomic<std::size_t>> complete,
+                                  std::shared_ptr<std::atomic<std::size_t>> finished)
 {
     tcp::socket socket{co_await asio::this_coro::executor};
     const tcp::endpoint remote{asio::ip::make_address("127.0.0.1"), port};
@@ -408,52 +409,53 @@
     request.set(http::field::host, "bench");
     request.prepare_payload();
     co_await http::async_write(socket, request, asio::use_awaitable);
-    std::array<char, 64 * 1024> room{};
+    std::array<char, 64 * 1024> read_buffer{};
     std::string tail;
     boost::system::error_code failed;
     bool refused = false;
     while (!failed && !refused && tail.find("data: [DONE]") == std::string::npos) {
         const std::size_t got = co_await socket.async_read_some(
-            asio::buffer(room), asio::redirect_error(asio::use_awaitable, failed));
-        tail.append(room.data(), got);
+            asio::buffer(read_buffer), asio::redirect_error(asio::use_awaitable, failed));
+        tail.append(read_buffer.data(), got);
         refused = tail.find("jaynotch-ran") != std::string::npos;
         if (tail.size() > 64)
             tail.erase(0, tail.size() - 64);
     }
     if (!failed && !refused)
-        ++*whole;
-    ++*ended;
+        ++*complete;
+    ++*finished;
 }
 
 /// Streams at once through one node, each given a token every beat: tokens a second delivered, and
 /// how busy the daemon's thread was. Offered are streams / beat.
 void tokens_through_one_node(benchmark::State& state)
 {
-    const std::chrono::milliseconds beat{state.range(1)};
-    bench_fleet fleet{beat};
+    const std::chrono::milliseconds token_interval{state.range(1)};
+    bench_fleet fleet{token_interval};
     const auto streams = static_cast<std::size_t>(state.range(0));
     for (auto _ : state) {
-        const auto whole = std::make_shared<std::atomic<std::size_t>>(0);
-        const auto ended = std::make_shared<std::atomic<std::size_t>>(0);
+        const auto complete = std::make_shared<std::atomic<std::size_t>>(0);
+        const auto finished = std::make_shared<std::atomic<std::size_t>>(0);
         const double before = fleet.entry.seconds();
         const double standin_before = fleet.platform.seconds();
         const double callers_before = fleet.callers.seconds();
         const auto began = std::chrono::steady_clock::now();
         for (std::size_t index = 0; index < streams; ++index)
-            asio::co_spawn(fleet.callers.io, read_stream(fleet.port, bench_tokens, whole, ended),
+            asio::co_spawn(fleet.callers.io,
+                           read_stream(fleet.port, bench_tokens, complete, finished),
                            asio::detached);
-        while (ended->load() < streams)
+        while (finished->load() < streams)
             std::this_thread::sleep_for(1ms);
         const std::chrono::duration<double> took = std::chrono::steady_clock::now() - began;
-        const double spent = fleet.entry.seconds() - before;
+        const double cpu_seconds = fleet.entry.seconds() - before;
         const auto count = static_cast<double>(
             fleet.entry.on([&] { return fleet.node->counts().tokens_relayed; }));
         state.counters["offered_s"] =
-            static_cast<double>(streams) / std::chrono::duration<double>{beat}.count();
-        state.counters["whole"] = static_cast<double>(whole->load());
+            static_cast<double>(streams) / std::chrono::duration<double>{token_interval}.count();
+        state.counters["whole"] = static_cast<double>(complete->load());
         state.counters["tokens_s"] = count / took.count();
-        state.counters["tokens_s_per_core"] = count / spent;
-        state.counters["daemon_busy"] = spent / took.count();
+        state.counters["tokens_s_per_core"] = count / cpu_seconds;
+        state.counters["daemon_busy"] = cpu_seconds / took.count();
         state.counters["engines_busy"] = (fleet.platform.seconds() - standin_before) / took.count();
         state.counters["callers_busy"] = (fleet.callers.seconds() - callers_before) / took.count();
     }
--- a/daemon/relay.cc
+++ b/daemon/relay.cc
@@ -34,83 +34,88 @@
 
 } // namespace
 
-relay_request::relay_request(relay_services& services, http_exchange& exchange, asked_request asked)
-    : m_way{std::make_shared<way>(services, exchange, std::move(asked))}
+relay_request::relay_request(relay_services& services, http_exchange& exchange,
+                             incoming_request incoming)
+    : m_impl{std::make_shared<impl>(services, exchange, std::move(incoming))}
 {}
 
 relay_request::~relay_request() = default;
 
 net::awaitable<void> relay_request::run()
 {
-    return m_way->run();
+    return m_impl->run();
 }
 
-relay_request::way::way(relay_services& services, http_exchange& exchange, asked_request asked)
-    : m_services{services}, m_exchange{exchange}, m_asked{std::move(asked)},
-      m_attempt_ended{services.io, time_point::max()}, m_log{m_asked.facts ? m_asked.facts->attempt
-                                                                           : std::string{},
-                                                             m_asked.arrived}
+relay_request::impl::impl(relay_services& services, http_exchange& exchange,
+                          incoming_request incoming)
+    : m_services{services}, m_exchange{exchange}, m_incoming{std::move(incoming)},
+      m_attempt_ended{services.io, time_point::max()}, m_log{m_incoming.facts
+                                                                 ? m_incoming.facts->attempt
+                                                                 : std::string{},
+                                                             m_incoming.arrived}
 {}
 
-net::awaitable<void> relay_request::way::run()
+net::awaitable<void> relay_request::impl::run()
 {
     const auto self = shared_from_this();
     m_inbox = m_services.driver.open();
-    m_asked.info.id = m_inbox->id();
-    m_inbox->at_once = [this](const command& wanted) { note(wanted); };
-    m_services.slow_caller_checks.emplace(this, [this] { tell_slow_caller(); });
-    const auto gone = [&driver = m_services.driver, id = m_inbox->id()] {
+    m_incoming.info.id = m_inbox->id();
+    m_inbox->on_push = [this](const command& cmd) { apply_immediately(cmd); };
+    m_services.slow_caller_checks.emplace(this, [this] { report_slow_caller(); });
+    const auto report_caller_gone = [&driver = m_services.driver, id = m_inbox->id()] {
         driver.handle(caller_gone{id});
     };
-    m_admission = m_services.spans.begin("admission", span_kind::internal, m_asked.caller.context);
-    if (m_asked.facts)
-        m_log.admitted(m_asked.info, *m_asked.facts);
-    m_services.driver.handle(request_arrived{m_asked.info});
-    m_exchange.watch_caller(gone, m_asked.model.has_value() || m_asked.facts.has_value());
+    m_admission_span =
+        m_services.spans.begin("admission", span_kind::internal, m_incoming.server_span.context);
+    if (m_incoming.facts)
+        m_log.admitted(m_incoming.info, *m_incoming.facts);
+    m_services.driver.handle(request_arrived{m_incoming.info});
+    m_exchange.watch_caller(report_caller_gone,
+                            m_incoming.model.has_value() || m_incoming.facts.has_value());
     bool done = false;
     while (!done) {
-        const command wanted = co_await m_inbox->next();
-        done = co_await carry_out(wanted);
+        const command cmd = co_await m_inbox->next();
+        done = co_await execute(cmd);
     }
     co_await stop_attempts();
     m_exchange.unwatch_caller();
     m_services.slow_caller_checks.erase(this);
-    m_inbox->at_once = nullptr;
+    m_inbox->on_push = nullptr;
     m_services.driver.close(m_inbox->id());
 }
 
-void relay_request::way::note(const command& wanted)
+void relay_request::impl::apply_immediately(const command& cmd)
 {
-    if (m_admission) {
-        m_services.spans.end(std::move(*m_admission));
-        m_admission.reset();
+    if (m_admission_span) {
+        m_services.spans.end(std::move(*m_admission_span));
+        m_admission_span.reset();
     }
-    if (const auto* order = std::get_if<send_attempt>(&wanted)) {
+    if (const auto* send_command = std::get_if<send_attempt>(&cmd)) {
         const auto attempt = std::make_shared<attempt_state>();
-        attempt->order = *order;
-        m_log.sent(*order);
-        m_attempts.emplace(order->attempt, attempt);
+        attempt->send_command = *send_command;
+        m_log.sent(*send_command);
+        m_attempts.emplace(send_command->attempt, attempt);
     }
-    else if (const auto* order_deliver = std::get_if<deliver>(&wanted)) {
+    else if (const auto* order_deliver = std::get_if<deliver>(&cmd)) {
         const auto found = m_attempts.find(order_deliver->attempt);
         if (found != m_attempts.end())
             found->second->delivering = true;
     }
-    else if (const auto* order_cancel = std::get_if<cancel_attempt>(&wanted)) {
+    else if (const auto* order_cancel = std::get_if<cancel_attempt>(&cmd)) {
         const auto found = m_attempts.find(order_cancel->attempt);
         if (found != m_attempts.end())
-            give_up(*found->second, order_cancel->reason);
+            cancel_on_command(*found->second, order_cancel->reason);
     }
 }
 
-void relay_request::way::give_up(attempt_state& attempt, cancel_reason why)
+void relay_request::impl::cancel_on_command(attempt_state& attempt, cancel_reason why)
 {
-    m_log.attempt_cancelled(attempt.order, why, attempt.sent);
+    m_log.attempt_cancelled(attempt.send_command, why, attempt.sent);
     m_services.exported_metrics.attempt_cancelled(why);
     cancel(attempt);
 }
 
-void relay_request::way::cancel(attempt_state& attempt)
+void relay_request::impl::cancel(attempt_state& attempt)
 {
     if (attempt.cancelled)
         return;
@@ -119,49 +124,49 @@
         attempt.stream->cancel();
     else
         attempt.stop.emit(net::cancellation_type::terminal);
-    if (attempt.sent && attempt.order.kind == pool_kind::model && !m_asked.facts)
+    if (attempt.sent && attempt.send_command.kind == pool_kind::model && !m_incoming.facts)
         net::co_spawn(m_services.io,
-                      cancel_at_engine(m_services.io.get_executor(), attempt.order.address,
-                                       attempt.order.attempt),
+                      cancel_at_engine(m_services.io.get_executor(), attempt.send_command.address,
+                                       attempt.send_command.attempt),
                       net::detached);
 }
 
-net::awaitable<bool> relay_request::way::carry_out(const command& wanted)
+net::awaitable<bool> relay_request::impl::execute(const command& cmd)
 {
-    if (const auto* order = std::get_if<send_attempt>(&wanted)) {
-        start_attempt(m_attempts.at(order->attempt));
+    if (const auto* send_command = std::get_if<send_attempt>(&cmd)) {
+        start_attempt(m_attempts.at(send_command->attempt));
         co_return false;
     }
-    if (std::holds_alternative<complete>(wanted)) {
+    if (std::holds_alternative<complete>(cmd)) {
         co_await complete_answer();
     }
-    else if (const auto* refused = std::get_if<refuse>(&wanted)) {
+    else if (const auto* refused = std::get_if<refuse>(&cmd)) {
         co_await refuse_caller(*refused);
     }
-    else if (const auto* stored = std::get_if<replay>(&wanted)) {
+    else if (const auto* stored = std::get_if<replay>(&cmd)) {
         co_await replay_answer(*stored);
     }
-    else if (const auto* truncated = std::get_if<end_truncated>(&wanted)) {
-        co_await end_cut(*truncated);
+    else if (const auto* truncated = std::get_if<end_truncated>(&cmd)) {
+        co_await truncate_answer(*truncated);
     }
-    else if (std::holds_alternative<forget>(wanted)) {
-        co_await forget_caller();
+    else if (std::holds_alternative<forget>(cmd)) {
+        co_await end_abandoned();
     }
     else
         co_return false;
     co_return true;
 }
 
-void relay_request::way::start_attempt(const attempt_ptr& attempt)
+void relay_request::impl::start_attempt(const attempt_ptr& attempt)
 {
     if (attempt->cancelled)
         return;
-    ++m_running;
+    ++m_running_attempts;
     m_services.exported_metrics.attempt();
-    if (attempt->order.basis.sending <= 1)
+    if (attempt->send_command.basis.sending <= 1)
         m_services.exported_metrics.queued(
-            std::chrono::milliseconds{attempt->order.basis.waited_ms});
-    if (attempt->order.resume) {
+            std::chrono::milliseconds{attempt->send_command.basis.waited_ms});
+    if (attempt->send_command.resume) {
         ++m_services.counts.resumed;
         m_services.exported_metrics.resumed();
     }
@@ -169,100 +174,101 @@
                   net::bind_cancellation_slot(attempt->stop.slot(), net::detached));
 }
 
-net::awaitable<void> relay_request::way::complete_answer()
+net::awaitable<void> relay_request::impl::complete_answer()
 {
-    bool fine = true;
-    if (m_held) {
-        first_byte();
-        m_status = m_held->status;
-        fine = co_await m_exchange.begin(m_held->status, m_held->headers, m_held->body.size());
-        if (fine) {
-            fine = co_await m_exchange.write(m_held->body);
+    bool succeeded = true;
+    if (m_buffered_answer) {
+        record_first_byte();
+        m_status = m_buffered_answer->status;
+        succeeded = co_await m_exchange.begin(m_buffered_answer->status, m_buffered_answer->headers,
+                                              m_buffered_answer->body.size());
+        if (succeeded) {
+            succeeded = co_await m_exchange.write(m_buffered_answer->body);
         }
     }
-    else if (m_streaming_events && !m_asked.facts) {
-        fine = co_await m_exchange.write(done_event);
+    else if (m_streaming_events && !m_incoming.facts) {
+        succeeded = co_await m_exchange.write(done_event);
     }
-    if (fine) {
-        fine = co_await m_exchange.finish();
+    if (succeeded) {
+        succeeded = co_await m_exchange.finish();
     }
-    if (fine)
-        m_log.finished(static_cast<unsigned>(m_status), m_events, m_first_after, m_longest_pause);
+    if (succeeded)
+        m_log.finished(static_cast<unsigned>(m_status), m_event_count, m_time_to_first_byte,
+                       m_max_event_gap);
     else
-        m_log.abandoned(m_sent, m_events);
-    ended(fine ? outcome::answered : outcome::abandoned);
+        m_log.abandoned(m_any_attempt_sent, m_event_count);
+    record_outcome(succeeded ? outcome::answered : outcome::abandoned);
 }
 
-net::awaitable<void> relay_request::way::refuse_caller(const refuse& wanted)
+net::awaitable<void> relay_request::impl::refuse_caller(const refuse& cmd)
 {
-    m_services.exported_metrics.refused(wanted.failure.kind);
-    const refusal shown = shown_to_caller(wanted);
-    m_log.refused(wanted,
-                  static_cast<unsigned>(shown.status.value_or(status_of(shown.failure.kind))));
-    co_await m_exchange.refuse(shown);
-    ended(outcome::refused);
+    m_services.exported_metrics.refused(cmd.failure.kind);
+    const refusal reply = make_refusal(cmd);
+    m_log.refused(cmd, static_cast<unsigned>(reply.status.value_or(status_of(reply.failure.kind))));
+    co_await m_exchange.refuse(reply);
+    record_outcome(outcome::refused);
 }
 
-net::awaitable<void> relay_request::way::replay_answer(const replay& wanted)
+net::awaitable<void> relay_request::impl::replay_answer(const replay& cmd)
 {
     m_exchange.set("jaynotch-replayed", "1");
-    co_await m_exchange.answer(http::int_to_status(wanted.answer.status),
-                               wanted.answer.content_type, wanted.answer.body);
-    ended(outcome::replayed);
+    co_await m_exchange.answer(http::int_to_status(cmd.answer.status), cmd.answer.content_type,
+                               cmd.answer.body);
+    record_outcome(outcome::replayed);
 }
 
-net::awaitable<void> relay_request::way::end_cut(const end_truncated& wanted)
+net::awaitable<void> relay_request::impl::truncate_answer(const end_truncated& cmd)
 {
-    m_log.cut(wanted.failure, m_events);
+    m_log.cut(cmd.failure, m_event_count);
     if (m_writing) {
         m_exchange.abort();
     }
     else {
-        if (m_streaming_events && !m_asked.facts) {
-            const refusal shown{.failure = wanted.failure, .ran = ran_state::unknown};
-            const std::string last = error_event(refusal_body(shown));
+        if (m_streaming_events && !m_incoming.facts) {
+            const refusal reply{.failure = cmd.failure, .ran = ran_state::unknown};
+            const std::string last = error_event(refusal_body(reply));
             co_await m_exchange.write(last);
         }
         m_exchange.cut();
     }
-    ended(outcome::cut);
+    record_outcome(outcome::cut);
 }
 
-net::awaitable<void> relay_request::way::forget_caller()
+net::awaitable<void> relay_request::impl::end_abandoned()
 {
-    m_log.abandoned(m_sent, m_events);
-    if (!m_asked.facts && !m_exchange.begun() && m_exchange.half_closed() && !m_writing) {
-        const refusal shown{.failure = {error_kind::cancelled,
+    m_log.abandoned(m_any_attempt_sent, m_event_count);
+    if (!m_incoming.facts && !m_exchange.begun() && m_exchange.half_closed() && !m_writing) {
+        const refusal reply{.failure = {error_kind::cancelled,
                                         "the connection's sending half was closed before the "
                                         "answer came, which counts as giving up",
                                         "keep the connection open until the answer is whole"},
-                            .ran = m_sent ? ran_state::unknown : ran_state::no,
+                            .ran = m_any_attempt_sent ? ran_state::unknown : ran_state::no,
                             .status = http::status::bad_request};
         m_exchange.end_connection();
-        co_await m_exchange.refuse(shown);
+        co_await m_exchange.refuse(reply);
     }
     else {
         m_exchange.abort();
     }
-    ended(outcome::abandoned);
+    record_outcome(outcome::abandoned);
 }
 
-net::awaitable<void> relay_request::way::stop_attempts()
+net::awaitable<void> relay_request::impl::stop_attempts()
 {
     for (auto& [id, attempt] : m_attempts)
         cancel(*attempt);
-    while (m_running > 0) {
+    while (m_running_attempts > 0) {
         boost::system::error_code woken;
         co_await m_attempt_ended.async_wait(net::redirect_error(net::use_awaitable, woken));
     }
 }
 
-void relay_request::way::ended(outcome how)
+void relay_request::impl::record_outcome(outcome how)
 {
-    m_services.exported_metrics.ended(how, runtime_clock::now() - m_asked.arrived);
-    m_asked.caller.set("jaynotch.outcome", to_name(how));
-    m_asked.caller.failed = how != outcome::answered && how != outcome::replayed;
-    m_services.spans.end(std::move(m_asked.caller));
+    m_services.exported_metrics.ended(how, runtime_clock::now() - m_incoming.arrived);
+    m_incoming.server_span.set("jaynotch.outcome", to_name(how));
+    m_incoming.server_span.failed = how != outcome::answered && how != outcome::replayed;
+    m_services.spans.end(std::move(m_incoming.server_span));
     if (how == outcome::answered || how == outcome::replayed)
         ++m_services.counts.answered;
     else if (how == outcome::refused)
@@ -271,13 +277,13 @@
         ++m_services.counts.cut;
 }
 
-void relay_request::way::first_byte()
+void relay_request::impl::record_first_byte()
 {
-    m_first_after = runtime_clock::now() - m_asked.arrived;
-    m_services.exported_metrics.first_byte(m_first_after);
+    m_time_to_first_byte = runtime_clock::now() - m_incoming.arrived;
+    m_services.exported_metrics.first_byte(m_time_to_first_byte);
 }
 
-void relay_request::way::tell_slow_caller()
+void relay_request::impl::report_slow_caller()
 {
     if (!m_writing)
         return;
--- a/daemon/relay.h
+++ b/daemon/relay.h
@@ -45,30 +45,30 @@
 };
 
 /// What a caller asked for, read from its request.
-struct asked_request {
+struct incoming_request {
     request_info info;                  ///< its id is filled in by the relay
     std::optional<model_request> model; ///< chat and completion
     /// Set if the request is passed on as it came, with what its headers say.
     std::optional<call_facts> facts;
     std::string body;         ///< as received; plain, if it was kept
     bool stream_body = false; ///< plain: the body is still to be read
-    span caller;              ///< the caller's hop
+    span server_span;         ///< the caller's hop
     time_point arrived;
 };
 
 class relay_request {
 public:
-    relay_request(relay_services& services, http_exchange& exchange, asked_request asked);
+    relay_request(relay_services& services, http_exchange& exchange, incoming_request incoming);
     ~relay_request();
     relay_request(const relay_request&) = delete;
     relay_request& operator=(const relay_request&) = delete;
 
     net::awaitable<void> run();
 
-    class way;
+    class impl;
 
 private:
-    std::shared_ptr<way> m_way;
+    std::shared_ptr<impl> m_impl;
 };
 
 } // namespace jaynotch
--- a/daemon/relay_attempt.cc
+++ b/daemon/relay_attempt.cc
@@ -27,8 +27,8 @@
 
 namespace {
 
-constexpr duration drain_wait = std::chrono::seconds{1};
-constexpr duration write_poll = std::chrono::milliseconds{2};
+constexpr duration drain_timeout = std::chrono::seconds{1};
+constexpr duration write_poll_interval = std::chrono::milliseconds{2};
 
 constexpr std::string_view attempt_header = "jaynotch-attempt";
 constexpr std::string_view group_header = "jaynotch-group";
@@ -80,7 +80,7 @@
 net::awaitable<void> drain(http_stream answer)
 {
     for (;;) {
-        const result<std::string> piece = co_await answer.read(drain_wait);
+        const result<std::string> piece = co_await answer.read(drain_timeout);
         if (!piece || !piece.value().empty())
             break; // more than the mark: an engine that answers twice
         if (piece.value().empty())
@@ -91,14 +91,15 @@
 
 } // namespace
 
-net::awaitable<void> relay_request::way::run_attempt(attempt_ptr attempt)
+net::awaitable<void> relay_request::impl::run_attempt(attempt_ptr attempt)
 {
     const auto self = shared_from_this();
-    attempt->hop = m_services.spans.begin("attempt", span_kind::client, m_asked.caller.context);
-    attempt->hop.set("server.address", attempt->order.address);
-    attempt->hop.set("jaynotch.attempt", attempt->order.attempt.value());
-    if (!attempt->order.group.value().empty())
-        attempt->hop.set("jaynotch.group", attempt->order.group.value());
+    attempt->client_span =
+        m_services.spans.begin("attempt", span_kind::client, m_incoming.server_span.context);
+    attempt->client_span.set("server.address", attempt->send_command.address);
+    attempt->client_span.set("jaynotch.attempt", attempt->send_command.attempt.value());
+    if (!attempt->send_command.group.value().empty())
+        attempt->client_span.set("jaynotch.group", attempt->send_command.group.value());
     try {
         co_await send(*attempt);
     }
@@ -110,26 +111,26 @@
         }
     }
     attempt->stream = nullptr;
-    attempt->hop.failed = attempt->hop.failed || attempt->cancelled;
-    m_services.spans.end(std::move(attempt->hop));
-    --m_running;
+    attempt->client_span.failed = attempt->client_span.failed || attempt->cancelled;
+    m_services.spans.end(std::move(attempt->client_span));
+    --m_running_attempts;
     m_attempt_ended.cancel();
 }
 
-net::awaitable<std::optional<http_stream>> relay_request::way::open_answer(attempt_state& attempt,
-                                                                           http_request request)
+net::awaitable<std::optional<http_stream>> relay_request::impl::open_answer(attempt_state& attempt,
+                                                                            http_request request)
 {
-    const std::shared_ptr<http_client> client = m_services.servers.at(attempt.order.address);
+    const std::shared_ptr<http_client> client = m_services.servers.at(attempt.send_command.address);
     request.before_send = [this, &attempt] {
         if (attempt.sent) {
-            m_log.attempt_repeated(attempt.order);
+            m_log.attempt_repeated(attempt.send_command);
             m_services.exported_metrics.attempt_repeated();
         }
         attempt.sent = true;
-        m_sent = true;
-        m_services.driver.handle(attempt_sent{m_inbox->id(), attempt.order.attempt});
+        m_any_attempt_sent = true;
+        m_services.driver.handle(attempt_sent{m_inbox->id(), attempt.send_command.attempt});
     };
-    result<http_stream> opened = co_await client->open(std::move(request), longest_wait);
+    result<http_stream> opened = co_await client->open(std::move(request), max_read_wait);
     if (attempt.cancelled)
         co_return std::nullopt;
     if (!opened) {
@@ -139,13 +140,14 @@
     co_return std::move(opened).value();
 }
 
-net::awaitable<void> relay_request::way::send(attempt_state& attempt)
+net::awaitable<void> relay_request::impl::send(attempt_state& attempt)
 {
-    if (m_asked.facts) {
+    if (m_incoming.facts) {
         co_await forward(attempt);
         co_return;
     }
-    if (attempt.order.kind == pool_kind::model && !m_services.has_valid_ticket(attempt.order.group))
+    if (attempt.send_command.kind == pool_kind::model &&
+        !m_services.has_valid_ticket(attempt.send_command.group))
     {
         report_failure(attempt, attempt_failure::not_connected);
         co_return;
@@ -157,53 +159,55 @@
     http_stream& answer = *opened;
     attempt.stream = &answer;
     if (!answer.header(leaving_header).empty() && m_services.on_leaving)
-        m_services.on_leaving(attempt.order.target);
-    const bool model = attempt.order.kind == pool_kind::model;
-    const bool events = model && m_asked.info.stream && answer.status() == http::status::ok &&
+        m_services.on_leaving(attempt.send_command.target);
+    const bool model = attempt.send_command.kind == pool_kind::model;
+    const bool events = model && m_incoming.info.stream && answer.status() == http::status::ok &&
                         answer.header("Content-Type").starts_with(event_stream);
     if (events) {
         co_await relay_events(attempt, answer);
     }
     else if (model) {
-        co_await relay_whole(attempt, answer, m_services.settings.limits.answer_bytes);
+        co_await relay_buffered(attempt, answer, m_services.settings.limits.answer_bytes);
     }
-    else if (keyed()) {
-        co_await relay_whole(attempt, answer, m_services.settings.limits.keyed_body_bytes);
+    else if (has_idempotency_key()) {
+        co_await relay_buffered(attempt, answer, m_services.settings.limits.keyed_body_bytes);
     }
     else {
-        co_await relay_body(attempt, answer);
+        co_await relay_streamed_body(attempt, answer);
     }
     attempt.stream = nullptr;
 }
 
-http_request relay_request::way::build_request(const attempt_state& attempt) const
+http_request relay_request::impl::build_request(const attempt_state& attempt) const
 {
-    http_request request = attempt.order.kind == pool_kind::model ? build_model_request(attempt)
-                                                                  : build_plain_request(attempt);
+    http_request request = attempt.send_command.kind == pool_kind::model
+                               ? build_model_request(attempt)
+                               : build_plain_request(attempt);
     request.headers.push_back(
-        {std::string{attempt_header}, std::to_string(attempt.order.attempt.value())});
-    request.headers.push_back({"traceparent", attempt.hop.context.header()});
+        {std::string{attempt_header}, std::to_string(attempt.send_command.attempt.value())});
+    request.headers.push_back({"traceparent", attempt.client_span.context.header()});
     return request;
 }
 
-http_request relay_request::way::build_model_request(const attempt_state& attempt) const
+http_request relay_request::impl::build_model_request(const attempt_state& attempt) const
 {
-    const send_attempt& order = attempt.order;
+    const send_attempt& send_command = attempt.send_command;
     http_request request;
     request.method = http::verb::post;
     request.target =
-        m_asked.info.kind == request_kind::chat ? "/v1/chat/completions" : "/v1/completions";
+        m_incoming.info.kind == request_kind::chat ? "/v1/chat/completions" : "/v1/completions";
     request.headers = {
         {"Content-Type", "application/json"},
-        {std::string{group_header}, order.group.value()},
-        {std::string{fencing_header}, std::to_string(order.fencing.value())},
-        {std::string{priority_header}, std::string{to_name(order.priority)}},
+        {std::string{group_header}, send_command.group.value()},
+        {std::string{fencing_header}, std::to_string(send_command.fencing.value())},
+        {std::string{priority_header}, std::string{to_name(send_command.priority)}},
     };
-    request.body = engine_body(*m_asked.model, order.model, order.adapter, order.resume, m_given);
+    request.body = engine_body(*m_incoming.model, send_command.model, send_command.adapter,
+                               send_command.resume, m_delivered_text);
     return request;
 }
 
-http_request relay_request::way::build_plain_request(const attempt_state& /*attempt*/) const
+http_request relay_request::impl::build_plain_request(const attempt_state& /*attempt*/) const
 {
     const auto& received = m_exchange.request();
     http_request request;
@@ -215,69 +219,69 @@
             continue;
         request.headers.push_back({std::string{field.name_string()}, std::string{field.value()}});
     }
-    request.body = m_asked.body;
-    if (m_asked.stream_body) {
+    request.body = m_incoming.body;
+    if (m_incoming.stream_body) {
         request.body_length = m_exchange.content_length();
         request.body_source = [exchange = &m_exchange] { return exchange->read_some(); };
     }
     return request;
 }
 
-attempt_head relay_request::way::head_of(const attempt_state& attempt, const http_stream& answer,
-                                         answer_shape shape) const
+attempt_head relay_request::impl::make_head(const attempt_state& attempt, const http_stream& answer,
+                                            delivery_mode mode) const
 {
     attempt_head head;
-    head.whole = shape == answer_shape::whole;
+    head.whole = mode == delivery_mode::whole;
     head.request = m_inbox->id();
-    head.attempt = attempt.order.attempt;
+    head.attempt = attempt.send_command.attempt;
     head.status = static_cast<std::uint32_t>(answer.status());
     return head;
 }
 
-bool relay_request::way::report_head(attempt_state& attempt, const attempt_head& head)
+bool relay_request::impl::report_head(attempt_state& attempt, const attempt_head& head)
 {
-    attempt.hop.set("http.response.status_code", std::uint64_t{head.status});
+    attempt.client_span.set("http.response.status_code", std::uint64_t{head.status});
     m_services.driver.handle(head);
     return attempt.delivering && !attempt.cancelled;
 }
 
-void relay_request::way::count_foreign_answer()
+void relay_request::impl::count_foreign_answer()
 {
     ++m_services.counts.foreign_answers;
     m_services.exported_metrics.foreign_answer();
 }
 
-bool relay_request::way::report_engine_head(attempt_state& attempt, const http_stream& answer,
-                                            answer_shape shape)
+bool relay_request::impl::report_engine_head(attempt_state& attempt, const http_stream& answer,
+                                             delivery_mode mode)
 {
-    attempt_head head = head_of(attempt, answer, shape);
+    attempt_head head = make_head(attempt, answer, mode);
     head.echoed = echoed_attempt(answer);
     head.says_did_not_run = answer.header(ran_header) == to_name(ran_state::no);
     head.version = std::string{answer.header(version_header)};
     if (head.echoed && *head.echoed != head.attempt) {
         // The answer to another attempt: an engine mixed up its callers. It is never delivered.
         count_foreign_answer();
-        attempt.hop.failed = true;
+        attempt.client_span.failed = true;
     }
     return report_head(attempt, head);
 }
 
-void relay_request::way::report_finished(const attempt_state& attempt)
+void relay_request::impl::report_finished(const attempt_state& attempt)
 {
     m_services.driver.handle(
-        attempt_finished{m_inbox->id(), attempt.order.attempt, true, std::nullopt});
+        attempt_finished{m_inbox->id(), attempt.send_command.attempt, true, std::nullopt});
 }
 
-void relay_request::way::report_failure(attempt_state& attempt, attempt_failure reason)
+void relay_request::impl::report_failure(attempt_state& attempt, attempt_failure reason)
 {
-    attempt.hop.failed = true;
-    attempt.hop.set("jaynotch.failure", to_name(reason));
-    m_log.attempt_ended(attempt.order, to_name(reason), attempt.sent);
+    attempt.client_span.failed = true;
+    attempt.client_span.set("jaynotch.failure", to_name(reason));
+    m_log.attempt_failed(attempt.send_command, to_name(reason), attempt.sent);
     m_services.exported_metrics.attempt_failed(reason);
-    m_services.driver.handle(attempt_failed{m_inbox->id(), attempt.order.attempt, reason});
+    m_services.driver.handle(attempt_failed{m_inbox->id(), attempt.send_command.attempt, reason});
 }
 
-void relay_request::way::report_read_failure(attempt_state& attempt, const error& failure)
+void relay_request::impl::report_read_failure(attempt_state& attempt, const error& failure)
 {
     if (failure.kind == error_kind::unavailable && !attempt.sent)
         report_failure(attempt, attempt_failure::not_connected);
@@ -289,73 +293,73 @@
         report_failure(attempt, attempt_failure::cut);
 }
 
-net::awaitable<bool> relay_request::way::begin(attempt_state& attempt, http::status status,
-                                               http::fields headers,
-                                               std::optional<std::uint64_t> length)
+net::awaitable<bool> relay_request::impl::begin_answer(attempt_state& attempt, http::status status,
+                                                       http::fields headers,
+                                                       std::optional<std::uint64_t> length)
 {
-    first_byte();
-    const bool fine = co_await m_exchange.begin(status, headers, length);
-    if (!fine && !attempt.cancelled)
+    record_first_byte();
+    const bool succeeded = co_await m_exchange.begin(status, headers, length);
+    if (!succeeded && !attempt.cancelled)
         m_services.driver.handle(caller_gone{m_inbox->id()});
-    co_return fine && !attempt.cancelled;
+    co_return succeeded && !attempt.cancelled;
 }
 
-net::awaitable<bool> relay_request::way::hand_on(attempt_state& attempt, std::string_view piece)
+net::awaitable<bool> relay_request::impl::write_to_caller(attempt_state& attempt,
+                                                          std::string_view piece)
 {
     // An attempt that was given up may still be writing what it had read; its bytes count as given,
     // so the one that resumes waits for them.
     while (m_writing) {
-        timer pause{m_services.io, write_poll};
+        timer pause{m_services.io, write_poll_interval};
         co_await pause.async_wait(net::use_awaitable);
     }
     m_writing = true;
     // A caller that reads slowly must not pass for a server that stalls.
     if (!attempt.cancelled)
-        m_services.driver.handle(attempt_waits{m_inbox->id(), attempt.order.attempt});
-    const bool fine = co_await m_exchange.write(piece);
+        m_services.driver.handle(attempt_waits{m_inbox->id(), attempt.send_command.attempt});
+    const bool succeeded = co_await m_exchange.write(piece);
     m_writing = false;
-    if (!fine && !attempt.cancelled)
+    if (!succeeded && !attempt.cancelled)
         m_services.driver.handle(caller_gone{m_inbox->id()});
-    co_return fine && !attempt.cancelled;
+    co_return succeeded && !attempt.cancelled;
 }
 
-net::awaitable<bool> relay_request::way::hand_on_events(attempt_state& attempt,
-                                                        std::string_view events,
-                                                        std::uint32_t count)
+net::awaitable<bool> relay_request::impl::write_events(attempt_state& attempt,
+                                                       std::string_view events, std::uint32_t count)
 {
     if (events.empty())
         co_return true;
-    const bool fine = co_await hand_on(attempt, events);
-    if (!fine)
+    const bool succeeded = co_await write_to_caller(attempt, events);
+    if (!succeeded)
         co_return false;
     const time_point now = runtime_clock::now();
-    if (m_events > 0)
-        m_longest_pause = std::max<duration>(m_longest_pause, now - m_last_events);
-    m_last_events = now;
-    m_events += count;
+    if (m_event_count > 0)
+        m_max_event_gap = std::max<duration>(m_max_event_gap, now - m_last_events_at);
+    m_last_events_at = now;
+    m_event_count += count;
     m_services.counts.tokens_relayed += count;
     m_services.exported_metrics.tokens(count);
-    m_services.driver.handle(attempt_progress{m_inbox->id(), attempt.order.attempt, count});
+    m_services.driver.handle(attempt_progress{m_inbox->id(), attempt.send_command.attempt, count});
     co_return !attempt.cancelled;
 }
 
-net::awaitable<void> relay_request::way::relay_events(attempt_state& attempt, http_stream& answer)
+net::awaitable<void> relay_request::impl::relay_events(attempt_state& attempt, http_stream& answer)
 {
-    if (!report_engine_head(attempt, answer, answer_shape::parts))
+    if (!report_engine_head(attempt, answer, delivery_mode::streamed))
         co_return;
     if (!m_streaming_events) {
         m_streaming_events = true;
         http::fields headers;
         headers.set(http::field::content_type, event_stream);
         headers.set(http::field::cache_control, "no-cache");
-        const bool fine =
-            co_await begin(attempt, http::status::ok, std::move(headers), std::nullopt);
-        if (!fine)
+        const bool succeeded =
+            co_await begin_answer(attempt, http::status::ok, std::move(headers), std::nullopt);
+        if (!succeeded)
             co_return;
     }
-    sse_splitter events{longest_event};
+    sse_splitter events{max_event_bytes};
     for (;;) {
-        const result<std::string> piece = co_await answer.read(longest_wait);
+        const result<std::string> piece = co_await answer.read(max_read_wait);
         if (attempt.cancelled)
             co_return;
         if (!piece || piece.value().empty()) {
@@ -381,17 +385,18 @@
                 break;
             const std::string data = sse_data(*next);
             const stream_chunk chunk = data.empty() ? stream_chunk{} : read_chunk(data);
-            failed = chunk.failed || m_given.size() > m_services.settings.limits.answer_bytes;
+            failed =
+                chunk.failed || m_delivered_text.size() > m_services.settings.limits.answer_bytes;
             if (failed)
                 break;
-            m_given += chunk.text;
+            m_delivered_text += chunk.text;
             first = first == nullptr ? next->data() : first;
             length += next->size();
             ++count;
         }
-        const std::string_view whole_events{first, length};
-        const bool fine = co_await hand_on_events(attempt, whole_events, count);
-        if (!fine)
+        const std::string_view complete_events{first, length};
+        const bool succeeded = co_await write_events(attempt, complete_events, count);
+        if (!succeeded)
             co_return;
         if (failed) {
             report_failure(attempt, attempt_failure::protocol);
@@ -407,11 +412,11 @@
 }
 
 net::awaitable<std::optional<std::string>>
-relay_request::way::read_whole(attempt_state& attempt, http_stream& answer, std::size_t limit)
+relay_request::impl::read_full_body(attempt_state& attempt, http_stream& answer, std::size_t limit)
 {
     std::string body;
     for (;;) {
-        const result<std::string> piece = co_await answer.read(longest_wait);
+        const result<std::string> piece = co_await answer.read(max_read_wait);
         if (attempt.cancelled)
             co_return std::nullopt;
         if (!piece) {
@@ -429,39 +434,42 @@
     }
 }
 
-net::awaitable<void> relay_request::way::relay_whole(attempt_state& attempt, http_stream& answer,
-                                                     std::size_t limit)
+net::awaitable<void> relay_request::impl::relay_buffered(attempt_state& attempt,
+                                                         http_stream& answer, std::size_t limit)
 {
-    std::optional<std::string> read = co_await read_whole(attempt, answer, limit);
+    std::optional<std::string> read = co_await read_full_body(attempt, answer, limit);
     if (!read)
         co_return;
     std::string& body = *read;
-    const bool model = attempt.order.kind == pool_kind::model;
-    if (model && answer.status() == http::status::ok && !is_whole_completion(body)) {
+    const bool model = attempt.send_command.kind == pool_kind::model;
+    if (model && answer.status() == http::status::ok && !is_completion(body)) {
         // "200 with nothing": the head says success and the body holds no answer.
         report_failure(attempt, attempt_failure::protocol);
         co_return;
     }
-    if (!report_engine_head(attempt, answer, answer_shape::whole))
+    if (!report_engine_head(attempt, answer, delivery_mode::whole))
         co_return;
-    attempt_finished finished{m_inbox->id(), attempt.order.attempt, true, std::nullopt};
-    if (keyed())
+    attempt_finished finished{m_inbox->id(), attempt.send_command.attempt, true, std::nullopt};
+    if (has_idempotency_key())
         finished.answer = stored_answer{static_cast<std::uint32_t>(answer.status()),
                                         std::string{answer.header("Content-Type")}, body};
-    m_held = held_answer{answer.status(), forwarded_headers(answer), std::move(body)};
+    m_buffered_answer =
+        buffered_answer{answer.status(), forwarded_headers(answer), std::move(body)};
     m_services.driver.handle(std::move(finished));
 }
 
-net::awaitable<void> relay_request::way::relay_body(attempt_state& attempt, http_stream& answer)
+net::awaitable<void> relay_request::impl::relay_streamed_body(attempt_state& attempt,
+                                                              http_stream& answer)
 {
-    if (!report_engine_head(attempt, answer, answer_shape::parts))
+    if (!report_engine_head(attempt, answer, delivery_mode::streamed))
         co_return;
     const std::optional<std::uint64_t> length = answer.content_length();
-    const bool begun = co_await begin(attempt, answer.status(), forwarded_headers(answer), length);
+    const bool begun =
+        co_await begin_answer(attempt, answer.status(), forwarded_headers(answer), length);
     if (!begun)
         co_return;
     for (;;) {
-        const result<std::string> piece = co_await answer.read(longest_wait);
+        const result<std::string> piece = co_await answer.read(max_read_wait);
         if (attempt.cancelled)
             co_return;
         if (!piece) {
@@ -470,10 +478,10 @@
         }
         if (piece.value().empty())
             break;
-        const bool fine = co_await hand_on(attempt, piece.value());
-        if (!fine)
+        const bool succeeded = co_await write_to_caller(attempt, piece.value());
+        if (!succeeded)
             co_return;
-        m_services.driver.handle(attempt_progress{m_inbox->id(), attempt.order.attempt, 1});
+        m_services.driver.handle(attempt_progress{m_inbox->id(), attempt.send_command.attempt, 1});
     }
     report_finished(attempt);
 }
--- a/daemon/relay_forward.cc
+++ b/daemon/relay_forward.cc
@@ -19,9 +19,9 @@
 
 namespace {
 
-constexpr std::size_t most_foreign_answers = 2;
+constexpr std::size_t max_foreign_answers = 2;
 /// A connection that idled longer may just be closing. What can't be sent twice takes a new one.
-constexpr duration safe_idle = std::chrono::milliseconds{500};
+constexpr duration max_idle_if_not_repeatable = std::chrono::milliseconds{500};
 /// Kept back from the time after which the server says it closes an idle connection: what is on its
 /// way must arrive before.
 constexpr duration idle_margin = std::chrono::milliseconds{500};
@@ -33,45 +33,45 @@
 
 } // namespace
 
-refusal relay_request::way::shown_to_caller(const refuse& wanted) const
+refusal relay_request::impl::make_refusal(const refuse& cmd) const
 {
-    refusal shown{.failure = wanted.failure, .ran = wanted.ran, .retry_after = wanted.retry_after};
-    if (!m_asked.facts)
-        return shown;
-    shown.fractions = true;
+    refusal reply{.failure = cmd.failure, .ran = cmd.ran, .retry_after = cmd.retry_after};
+    if (!m_incoming.facts)
+        return reply;
+    reply.fractions = true;
     // 503 and 429 promise that the request never ran, whatever else the answer says.
-    const http::status usual = status_of(wanted.failure.kind);
-    const bool promises =
-        usual == http::status::service_unavailable || usual == http::status::too_many_requests;
-    if (wanted.ran == ran_state::no && usual == http::status::gateway_timeout)
-        shown.status = http::status::service_unavailable;
-    else if (wanted.ran != ran_state::no && promises)
-        shown.status = http::status::bad_gateway;
-    return shown;
+    const http::status default_status = status_of(cmd.failure.kind);
+    const bool promises_not_run = default_status == http::status::service_unavailable ||
+                                  default_status == http::status::too_many_requests;
+    if (cmd.ran == ran_state::no && default_status == http::status::gateway_timeout)
+        reply.status = http::status::service_unavailable;
+    else if (cmd.ran != ran_state::no && promises_not_run)
+        reply.status = http::status::bad_gateway;
+    return reply;
 }
 
-http_request relay_request::way::build_forwarded_request(const attempt_state& attempt) const
+http_request relay_request::impl::build_forwarded_request(const attempt_state& attempt) const
 {
     const auto& received = m_exchange.request();
-    const auto left = std::chrono::duration_cast<std::chrono::milliseconds>(attempt.order.deadline -
-                                                                            runtime_clock::now());
-    call_dress told;
-    told.left = std::max(left, std::chrono::milliseconds{1});
-    told.instance = attempt.order.instance;
-    told.workspace = attempt.order.workspace;
-    told.after_event = m_last_event ? m_last_event : m_asked.facts->after_event;
+    const auto left = std::chrono::duration_cast<std::chrono::milliseconds>(
+        attempt.send_command.deadline - runtime_clock::now());
+    call_dress outgoing;
+    outgoing.left = std::max(left, std::chrono::milliseconds{1});
+    outgoing.instance = attempt.send_command.instance;
+    outgoing.workspace = attempt.send_command.workspace;
+    outgoing.after_event = m_last_event_id ? m_last_event_id : m_incoming.facts->after_event;
     http_request request;
     request.method = received.method();
     request.target = std::string{received.target()};
-    request.headers = platform::dress(received, told);
-    request.body = m_asked.body;
-    request.repeatable = attempt.order.repeat == repeat_policy::idempotent;
+    request.headers = platform::dress(received, outgoing);
+    request.body = m_incoming.body;
+    request.repeatable = attempt.send_command.repeat == repeat_policy::idempotent;
     if (!request.repeatable)
-        request.longest_idle = safe_idle;
+        request.longest_idle = max_idle_if_not_repeatable;
     return request;
 }
 
-net::awaitable<void> relay_request::way::forward(attempt_state& attempt)
+net::awaitable<void> relay_request::impl::forward(attempt_state& attempt)
 {
     http_request request = build_forwarded_request(attempt);
     std::optional<http_stream> opened = co_await open_answer(attempt, std::move(request));
@@ -81,12 +81,12 @@
     attempt.stream = &answer;
     answer_facts facts = platform::read_answer(answer.status(), answer.headers());
     for (std::size_t skipped = 0;
-         !facts.attempt.empty() && facts.attempt != m_asked.facts->attempt &&
-         skipped < most_foreign_answers;
+         !facts.attempt.empty() && facts.attempt != m_incoming.facts->attempt &&
+         skipped < max_foreign_answers;
          ++skipped)
     {
         count_foreign_answer();
-        const bool another = co_await answer.skip(longest_wait);
+        const bool another = co_await answer.skip(max_read_wait);
         if (attempt.cancelled)
             co_return;
         if (!another) {
@@ -99,10 +99,10 @@
         answer.set_idle_limit(*facts.idle_limit - idle_margin);
     if (facts.running && !facts.did_not_run)
         m_services.driver.handle(
-            load_seen{attempt.order.target, {*facts.running, facts.waiting, 0.0}, {}});
+            load_seen{attempt.send_command.target, {*facts.running, facts.waiting, 0.0}, {}});
     note_limit(attempt, facts);
-    const bool unmarked = is_success(answer.status()) && !facts.sealed;
-    if (unmarked || !answer.header("Content-Encoding").empty()) {
+    const bool unsealed = is_success(answer.status()) && !facts.sealed;
+    if (unsealed || !answer.header("Content-Encoding").empty()) {
         report_failure(attempt, attempt_failure::protocol);
     }
     else if (answer.status() == http::status::ok &&
@@ -111,55 +111,57 @@
         co_await forward_events(attempt, answer, facts);
     }
     else {
-        co_await forward_whole(attempt, answer, facts);
+        co_await forward_buffered(attempt, answer, facts);
     }
     attempt.stream = nullptr;
 }
 
 /// Of every answer, whatever its status: what the server says of the requests that it takes.
-void relay_request::way::note_limit(const attempt_state& attempt, const answer_facts& facts)
+void relay_request::impl::note_limit(const attempt_state& attempt, const answer_facts& facts)
 {
     if (facts.wrong_instance)
         return; // another server's word
     if (!facts.unreadable_limit.empty()) {
-        log_event(log_level::warning, "server_limit_unreadable",
-                  {{"server", attempt.order.instance.value()}, {"text", facts.unreadable_limit}});
+        log_event(
+            log_level::warning, "server_limit_unreadable",
+            {{"server", attempt.send_command.instance.value()}, {"text", facts.unreadable_limit}});
         return;
     }
-    m_services.driver.handle(limit_answered{attempt.order.target, facts.rate_limit});
+    m_services.driver.handle(limit_answered{attempt.send_command.target, facts.rate_limit});
 }
 
-bool relay_request::way::report_forwarded_head(attempt_state& attempt, const http_stream& answer,
-                                               const answer_facts& facts, answer_shape shape)
+bool relay_request::impl::report_forwarded_head(attempt_state& attempt, const http_stream& answer,
+                                                const answer_facts& facts, delivery_mode mode)
 {
-    attempt_head head = head_of(attempt, answer, shape);
+    attempt_head head = make_head(attempt, answer, mode);
     head.says_did_not_run = facts.did_not_run;
     head.wrong_instance = facts.wrong_instance;
-    if (!facts.attempt.empty() && facts.attempt != m_asked.facts->attempt)
+    if (!facts.attempt.empty() && facts.attempt != m_incoming.facts->attempt)
         head.echoed = attempt_id{0}; // names none of ours
     return report_head(attempt, head);
 }
 
-net::awaitable<bool> relay_request::way::begin_forwarded(attempt_state& attempt,
-                                                         const http_stream& answer,
-                                                         const answer_facts& facts)
+net::awaitable<bool> relay_request::impl::begin_forwarded(attempt_state& attempt,
+                                                          const http_stream& answer,
+                                                          const answer_facts& facts)
 {
-    if (!report_forwarded_head(attempt, answer, facts, answer_shape::parts))
+    if (!report_forwarded_head(attempt, answer, facts, delivery_mode::streamed))
         co_return false;
     if (m_streaming_events)
         co_return true; // goes on under the head of the first server
     m_streaming_events = true;
     http::fields headers = platform::forwarded(answer.headers());
-    co_return co_await begin(attempt, answer.status(), std::move(headers), std::nullopt);
+    co_return co_await begin_answer(attempt, answer.status(), std::move(headers), std::nullopt);
 }
 
-net::awaitable<void> relay_request::way::forward_events(attempt_state& attempt, http_stream& answer,
-                                                        const answer_facts& facts)
+net::awaitable<void> relay_request::impl::forward_events(attempt_state& attempt,
+                                                         http_stream& answer,
+                                                         const answer_facts& facts)
 {
-    sse_splitter events{longest_event};
+    sse_splitter events{max_event_bytes};
     bool begun = false;
     for (;;) {
-        const result<std::string> piece = co_await answer.read(longest_wait);
+        const result<std::string> piece = co_await answer.read(max_read_wait);
         if (attempt.cancelled)
             co_return;
         if (!piece) {
@@ -178,15 +180,15 @@
             report_failure(attempt, attempt_failure::protocol);
             co_return;
         }
-        std::string fresh;
+        std::string new_events;
         std::uint32_t count = 0;
-        std::optional<std::uint64_t> last = m_last_event;
+        std::optional<std::uint64_t> last = m_last_event_id;
         while (const auto next = events.next()) {
             const std::optional<std::uint64_t> id = sse_id(*next);
             if (id && last && *id <= *last)
                 continue; // the caller has it from the server before
             last = id ? id : last;
-            fresh += *next;
+            new_events += *next;
             ++count;
         }
         if (count == 0)
@@ -196,19 +198,20 @@
             if (!begun)
                 co_return;
         }
-        m_last_event = last;
-        const bool fine = co_await hand_on_events(attempt, fresh, count);
-        if (!fine)
+        m_last_event_id = last;
+        const bool succeeded = co_await write_events(attempt, new_events, count);
+        if (!succeeded)
             co_return;
     }
     report_finished(attempt);
 }
 
-net::awaitable<void> relay_request::way::forward_whole(attempt_state& attempt, http_stream& answer,
-                                                       const answer_facts& facts)
+net::awaitable<void> relay_request::impl::forward_buffered(attempt_state& attempt,
+                                                           http_stream& answer,
+                                                           const answer_facts& facts)
 {
     std::optional<std::string> body =
-        co_await read_whole(attempt, answer, m_services.settings.limits.answer_bytes);
+        co_await read_full_body(attempt, answer, m_services.settings.limits.answer_bytes);
     if (!body)
         co_return;
     const std::optional<std::uint64_t> length = answer.content_length();
@@ -217,9 +220,10 @@
         report_failure(attempt, attempt_failure::protocol);
         co_return;
     }
-    if (!report_forwarded_head(attempt, answer, facts, answer_shape::whole))
+    if (!report_forwarded_head(attempt, answer, facts, delivery_mode::whole))
         co_return;
-    m_held = held_answer{answer.status(), platform::forwarded(answer.headers()), std::move(*body)};
+    m_buffered_answer =
+        buffered_answer{answer.status(), platform::forwarded(answer.headers()), std::move(*body)};
     report_finished(attempt);
 }
 
--- a/daemon/relay_parts_test.cc
+++ b/daemon/relay_parts_test.cc
@@ -27,7 +27,7 @@
 
 // An engine's stream reaches us in pieces of any size. However it is cut, the same events come out:
 // one lost or doubled would change the caller's text.
-Test(sse, any_cut_gives_the_same_events)
+Test(sse, any_split_gives_the_same_events)
 {
     const std::string text = "data: a\n\n: comment\n\ndata:b\r\n\r\ndata: c\rdata: d\r\rid: 7\n"
                              "data: e\n\ndata: [DONE]\n\n";
@@ -37,7 +37,7 @@
 }
 
 // An engine sends an event that never ends. The relay gives up on it instead of holding it.
-Test(sse, an_endless_event_is_refused)
+Test(sse, an_unterminated_event_is_rejected)
 {
     sse_splitter splitter{1000};
     bool refused = false;
@@ -49,7 +49,7 @@
 }
 
 // An engine reports an error inside its stream, or garbage. Neither may pass as text.
-Test(sse, errors_and_garbage_are_seen)
+Test(sse, errors_and_invalid_json_are_detected)
 {
     cr_assert(read_chunk(R"({"error":{"message":"out of memory"}})").failed);
     cr_assert(read_chunk("{\"choices\":[").failed);
@@ -60,7 +60,7 @@
 }
 
 // A caller's body is wrong in one field. The refusal names that field.
-Test(model_request, wrong_bodies_are_refused_by_field)
+Test(model_request, an_invalid_body_is_rejected_by_field)
 {
     const auto message = [](std::string_view body) {
         const result<model_request> read = read_model_request(body, request_kind::chat);
@@ -80,7 +80,7 @@
 
 // Two prompts share their beginning. Their block hashes agree up to there and nowhere after, or the
 // second would be sent to an engine that does not hold its prefix.
-Test(model_request, prefix_blocks_agree_exactly_as_far_as_the_prompts)
+Test(model_request, prefix_blocks_match_up_to_the_common_prefix)
 {
     const auto blocks = [](const std::string& prompt) {
         const std::string body = R"({"model":"m","prompt":")" + prompt + "\"}";
@@ -95,18 +95,18 @@
 }
 
 // An engine answers 200 with an empty body, an error, or half a JSON text.
-Test(model_request, only_a_completion_is_whole)
+Test(model_request, only_a_completion_is_accepted)
 {
-    cr_assert(!is_whole_completion(""));
-    cr_assert(!is_whole_completion("{}"));
-    cr_assert(!is_whole_completion(R"({"choices":[]})"));
-    cr_assert(!is_whole_completion(R"({"choices":[{"text":"a"})"));
-    cr_assert(is_whole_completion(R"({"choices":[{"text":"a"}]})"));
+    cr_assert(!is_completion(""));
+    cr_assert(!is_completion("{}"));
+    cr_assert(!is_completion(R"({"choices":[]})"));
+    cr_assert(!is_completion(R"({"choices":[{"text":"a"})"));
+    cr_assert(is_completion(R"({"choices":[{"text":"a"}]})"));
 }
 
 // A client sends a traceparent that is malformed. A trace of its own begins instead of a broken
 // one.
-Test(trace, malformed_parents_are_not_taken)
+Test(trace, malformed_traceparents_are_ignored)
 {
     const std::string good = "00-0af7651916cd43dd8448eb211c80319c-b7ad6b7169203331-01";
     cr_assert(trace_context::from_header(good).has_value());
--- a/daemon/request_driver.cc
+++ b/daemon/request_driver.cc
@@ -17,9 +17,9 @@
 constexpr duration tick_interval = std::chrono::milliseconds{10};
 
 template <class Command>
-concept concerns_request = requires(const Command& wanted)
+concept concerns_request = requires(const Command& cmd)
 {
-    wanted.request;
+    cmd.request;
 };
 
 } // namespace
@@ -28,23 +28,23 @@
     : m_id{id}, m_wake{executor, time_point::max()}
 {}
 
-void command_inbox::push(const command& wanted)
+void command_inbox::push(const command& cmd)
 {
-    if (at_once)
-        at_once(wanted);
-    m_waiting.push_back(wanted);
+    if (on_push)
+        on_push(cmd);
+    m_queue.push_back(cmd);
     m_wake.cancel();
 }
 
 net::awaitable<command> command_inbox::next()
 {
-    while (m_waiting.empty()) {
+    while (m_queue.empty()) {
         boost::system::error_code woken;
         m_wake.expires_at(time_point::max());
         co_await m_wake.async_wait(net::redirect_error(net::use_awaitable, woken));
     }
-    command first = std::move(m_waiting.front());
-    m_waiting.pop_front();
+    command first = std::move(m_queue.front());
+    m_queue.pop_front();
     co_return first;
 }
 
@@ -66,9 +66,9 @@
         }
     }
 
-    void handle(event happened)
+    void handle(event new_event)
     {
-        m_events.push_back(std::move(happened));
+        m_events.push_back(std::move(new_event));
         if (m_handling)
             return;
         m_handling = true;
@@ -77,13 +77,13 @@
             m_events.pop_front();
             m_commands.clear();
             m_core.handle(next, runtime_clock::now(), m_commands);
-            for (const command& wanted : m_commands)
-                carry_out(wanted);
+            for (const command& cmd : m_commands)
+                execute(cmd);
         }
         m_handling = false;
     }
 
-    void carry_out(const command& wanted)
+    void execute(const command& cmd)
     {
         std::visit(
             [&](const auto& one) {
@@ -91,62 +91,56 @@
                 if constexpr (concerns_request<type>) {
                     const auto found = m_inboxes.find(one.request);
                     if (found != m_inboxes.end())
-                        found->second->push(wanted);
+                        found->second->push(cmd);
                 }
                 else {
-                    carry_out_own(one);
+                    execute_global(one);
                 }
             },
-            wanted);
+            cmd);
     }
 
-    void carry_out_own(const call_kv& wanted)
-    {
-        net::co_spawn(m_io, transact(wanted), net::detached);
-    }
-    void carry_out_own(const grant_lease& wanted)
-    {
-        net::co_spawn(m_io, grant(wanted), net::detached);
-    }
-    void carry_out_own(const released& wanted)
+    void execute_global(const call_kv& cmd) { net::co_spawn(m_io, transact(cmd), net::detached); }
+    void execute_global(const grant_lease& cmd) { net::co_spawn(m_io, grant(cmd), net::detached); }
+    void execute_global(const released& cmd)
     {
         if (m_hooks.on_released)
-            m_hooks.on_released(wanted);
+            m_hooks.on_released(cmd);
     }
-    void carry_out_own(const target_silent& wanted)
+    void execute_global(const target_silent& cmd)
     {
         if (m_hooks.on_silent)
-            m_hooks.on_silent(wanted);
+            m_hooks.on_silent(cmd);
     }
-    void carry_out_own(const share_limit& wanted)
+    void execute_global(const share_limit& cmd)
     {
         if (m_hooks.on_share_limit)
-            m_hooks.on_share_limit(wanted);
+            m_hooks.on_share_limit(cmd);
     }
-    void carry_out_own(const share_demand& wanted)
+    void execute_global(const share_demand& cmd)
     {
         if (m_hooks.on_share_demand)
-            m_hooks.on_share_demand(wanted);
+            m_hooks.on_share_demand(cmd);
     }
 
-    net::awaitable<void> transact(call_kv wanted)
+    net::awaitable<void> transact(call_kv cmd)
     {
         const auto self = shared_from_this();
-        result<kv_outcome> outcome = co_await m_kv.transact(std::move(wanted.transaction));
+        result<kv_outcome> outcome = co_await m_kv.transact(std::move(cmd.transaction));
         if (!m_stopped)
-            handle(kv_result{wanted.token, std::move(outcome)});
+            handle(kv_result{cmd.token, std::move(outcome)});
     }
 
-    net::awaitable<void> grant(grant_lease wanted)
+    net::awaitable<void> grant(grant_lease cmd)
     {
         const auto self = shared_from_this();
-        const result<kv_lease> granted = co_await m_kv.grant(wanted.ttl);
+        const result<kv_lease> granted = co_await m_kv.grant(cmd.ttl);
         if (m_stopped)
             co_return;
         if (granted)
-            handle(lease_result{wanted.token, granted.value().id});
+            handle(lease_result{cmd.token, granted.value().id});
         else
-            handle(lease_result{wanted.token, granted.error()});
+            handle(lease_result{cmd.token, granted.error()});
     }
 
     net::io_context& m_io;
@@ -196,9 +190,9 @@
     m_impl->m_inboxes.erase(id);
 }
 
-void request_driver::handle(event happened)
+void request_driver::handle(event new_event)
 {
-    m_impl->handle(std::move(happened));
+    m_impl->handle(std::move(new_event));
 }
 
 const request_core& request_driver::core() const
--- a/daemon/request_driver.h
+++ b/daemon/request_driver.h
@@ -30,15 +30,15 @@
     command_inbox(const net::any_io_executor& executor, request_id id);
 
     [[nodiscard]] request_id id() const { return m_id; }
-    void push(const command& wanted);
+    void push(const command& cmd);
     net::awaitable<command> next();
     /// Sees each command the moment it is given, before the core's next event.
-    std::function<void(const command&)> at_once;
+    std::function<void(const command&)> on_push;
 
 private:
     request_id m_id;
     timer m_wake;
-    std::deque<command> m_waiting;
+    std::deque<command> m_queue;
 };
 
 /// Commands that concern no single request.
@@ -62,7 +62,7 @@
     std::shared_ptr<command_inbox> open();
     void close(request_id id);
     /// Events that arise while commands are carried out wait their turn.
-    void handle(event happened);
+    void handle(event new_event);
 
     [[nodiscard]] const request_core& core() const;
     [[nodiscard]] std::size_t open_inboxes() const;
--- a/daemon/request_log.cc
+++ b/daemon/request_log.cc
@@ -40,19 +40,19 @@
                {"after_event", facts.after_event.value_or(0)}});
 }
 
-void request_log::sent(const send_attempt& order) const
+void request_log::sent(const send_attempt& attempt) const
 {
     if (m_request.empty())
         return;
-    const pick_basis& basis = order.basis;
-    log_event(log_level::info, order.resume ? "request_resumed" : "request_sent",
+    const pick_basis& basis = attempt.basis;
+    log_event(log_level::info, attempt.resume ? "request_resumed" : "request_sent",
               {{"request", m_request},
                {"sending", basis.sending},
                {"servers_used", basis.servers_used},
                {"most_servers", basis.most_servers},
-               {"target", order.target.value()},
-               {"server", order.instance.value()},
-               {"workspace", order.workspace.value()},
+               {"target", attempt.target.value()},
+               {"server", attempt.instance.value()},
+               {"workspace", attempt.workspace.value()},
                {"route", basis.route},
                {"first_target_ms", basis.first_target.count()},
                {"pause_target_ms", basis.gap_target.count()},
@@ -64,62 +64,64 @@
                {"candidates", basis.candidates}});
 }
 
-void request_log::attempt_over(log_level level, std::string_view kind, const send_attempt& order,
-                               std::string_view reason, bool sent) const
+void request_log::log_attempt_end(log_level level, std::string_view kind,
+                                  const send_attempt& attempt, std::string_view reason,
+                                  bool sent) const
 {
     if (m_request.empty())
         return;
     log_event(level, kind,
               {{"request", m_request},
-               {"sending", order.basis.sending},
-               {"target", order.target.value()},
-               {"server", order.instance.value()},
+               {"sending", attempt.basis.sending},
+               {"target", attempt.target.value()},
+               {"server", attempt.instance.value()},
                {"reason", reason},
                {"sent", sent},
                {"age_ms", age_ms()}});
 }
 
-void request_log::attempt_ended(const send_attempt& order, std::string_view reason, bool sent) const
+void request_log::attempt_failed(const send_attempt& attempt, std::string_view reason,
+                                 bool sent) const
 {
-    attempt_over(log_level::warning, "attempt_failed", order, reason, sent);
+    log_attempt_end(log_level::warning, "attempt_failed", attempt, reason, sent);
 }
 
-void request_log::attempt_cancelled(const send_attempt& order, cancel_reason why, bool sent) const
+void request_log::attempt_cancelled(const send_attempt& attempt, cancel_reason why, bool sent) const
 {
     const bool routine = why == cancel_reason::caller_gone;
-    attempt_over(routine ? log_level::info : log_level::warning, "attempt_cancelled", order,
-                 to_name(why), sent);
+    log_attempt_end(routine ? log_level::info : log_level::warning, "attempt_cancelled", attempt,
+                    to_name(why), sent);
 }
 
-void request_log::attempt_repeated(const send_attempt& order) const
+void request_log::attempt_repeated(const send_attempt& attempt) const
 {
     if (m_request.empty())
         return;
     log_event(log_level::warning, "attempt_repeated",
               {{"request", m_request},
-               {"sending", order.basis.sending},
-               {"target", order.target.value()},
-               {"server", order.instance.value()},
+               {"sending", attempt.basis.sending},
+               {"target", attempt.target.value()},
+               {"server", attempt.instance.value()},
                {"age_ms", age_ms()}});
 }
 
-void request_log::refused(const refuse& wanted, unsigned status) const
+void request_log::refused(const refuse& cmd, unsigned status) const
 {
     if (m_request.empty())
         return;
     log_event(log_level::warning, "request_refused",
               {{"request", m_request},
-               {"route", wanted.route},
+               {"route", cmd.route},
                {"status", status},
-               {"kind_of_error", to_name(wanted.failure.kind)},
-               {"message", wanted.failure.message},
-               {"ran", to_name(wanted.ran)},
-               {"retry_after_ms", wanted.retry_after ? wanted.retry_after->count() : -1},
+               {"kind_of_error", to_name(cmd.failure.kind)},
+               {"message", cmd.failure.message},
+               {"ran", to_name(cmd.ran)},
+               {"retry_after_ms", cmd.retry_after ? cmd.retry_after->count() : -1},
                {"age_ms", age_ms()}});
 }
 
-void request_log::finished(unsigned status, std::uint64_t events, duration first_after,
-                           duration longest_pause) const
+void request_log::finished(unsigned status, std::uint64_t events, duration time_to_first_byte,
+                           duration max_event_gap) const
 {
     if (m_request.empty())
         return;
@@ -127,8 +129,8 @@
               {{"request", m_request},
                {"status", status},
                {"events", events},
-               {"first_ms", to_ms(first_after)},
-               {"pause_ms", to_ms(longest_pause)},
+               {"first_ms", to_ms(time_to_first_byte)},
+               {"pause_ms", to_ms(max_event_gap)},
                {"age_ms", age_ms()}});
 }
 
--- a/daemon/request_log.h
+++ b/daemon/request_log.h
@@ -21,23 +21,23 @@
     request_log(std::string request, time_point arrived);
 
     void admitted(const request_info& info, const call_facts& facts) const;
-    void sent(const send_attempt& order) const;
-    void attempt_ended(const send_attempt& order, std::string_view reason, bool sent) const;
+    void sent(const send_attempt& attempt) const;
+    void attempt_failed(const send_attempt& attempt, std::string_view reason, bool sent) const;
     /// The node gave the sending up.
-    void attempt_cancelled(const send_attempt& order, cancel_reason why, bool sent) const;
+    void attempt_cancelled(const send_attempt& attempt, cancel_reason why, bool sent) const;
     /// The HTTP client sent it to the same server again, since a kept connection was closed.
-    void attempt_repeated(const send_attempt& order) const;
-    void refused(const refuse& wanted, unsigned status) const;
-    /// `longest_pause`: between two parts of the answer.
-    void finished(unsigned status, std::uint64_t events, duration first_after,
-                  duration longest_pause) const;
+    void attempt_repeated(const send_attempt& attempt) const;
+    void refused(const refuse& cmd, unsigned status) const;
+    /// `max_event_gap`: between two parts of the answer.
+    void finished(unsigned status, std::uint64_t events, duration time_to_first_byte,
+                  duration max_event_gap) const;
     void cut(const error& why, std::uint64_t events) const;
     void abandoned(bool sent, std::uint64_t events) const;
 
 private:
     [[nodiscard]] std::int64_t age_ms() const;
-    void attempt_over(log_level level, std::string_view kind, const send_attempt& order,
-                      std::string_view reason, bool sent) const;
+    void log_attempt_end(log_level level, std::string_view kind, const send_attempt& attempt,
+                         std::string_view reason, bool sent) const;
 
     std::string m_request;
     time_point m_arrived;
--- a/daemon/sse.cc
+++ b/daemon/sse.cc
@@ -25,13 +25,13 @@
 
 result<void> sse_splitter::feed(std::string_view piece)
 {
-    if (m_at > 0) {
-        m_held.erase(0, m_at);
-        m_scanned -= m_at;
-        m_at = 0;
+    if (m_event_start > 0) {
+        m_buffer.erase(0, m_event_start);
+        m_scanned -= m_event_start;
+        m_event_start = 0;
     }
-    m_held += piece;
-    if (m_held.size() > m_limit + piece.size())
+    m_buffer += piece;
+    if (m_buffer.size() > m_limit + piece.size())
         return error{error_kind::protocol, "an event of the stream is too long",
                      "have the engine send shorter events"};
     return success();
@@ -39,19 +39,19 @@
 
 std::optional<std::string_view> sse_splitter::next()
 {
-    const std::string_view held{m_held};
-    for (std::size_t at = std::max(m_scanned, m_at); at < held.size(); ++at) {
-        const std::size_t first = line_end(held, at);
+    const std::string_view buffer{m_buffer};
+    for (std::size_t at = std::max(m_scanned, m_event_start); at < buffer.size(); ++at) {
+        const std::size_t first = line_end(buffer, at);
         if (first == 0)
             continue;
         // The byte after a CR decides whether it is one line end or two; wait for it.
-        if (held[at] == '\r' && at + 1 == held.size()) {
+        if (buffer[at] == '\r' && at + 1 == buffer.size()) {
             m_scanned = at;
             return std::nullopt;
         }
-        const std::size_t second = line_end(held, at + first);
+        const std::size_t second = line_end(buffer, at + first);
         if (second == 0) {
-            if (at + first == held.size()) {
+            if (at + first == buffer.size()) {
                 m_scanned = at;
                 return std::nullopt;
             }
@@ -59,12 +59,12 @@
             continue;
         }
         const std::size_t end = at + first + second;
-        const std::string_view event = held.substr(m_at, end - m_at);
-        m_at = end;
+        const std::string_view event = buffer.substr(m_event_start, end - m_event_start);
+        m_event_start = end;
         m_scanned = end;
         return event;
     }
-    m_scanned = std::max(m_scanned, held.size());
+    m_scanned = std::max(m_scanned, buffer.size());
     return std::nullopt;
 }
 
@@ -114,8 +114,8 @@
 bool is_done_event(std::string_view event)
 {
     // The mark is short; a longer event can't be it and isn't copied.
-    static constexpr std::size_t longest = 64;
-    return event.size() <= longest && sse_data(event) == done_mark;
+    static constexpr std::size_t max_mark_event_bytes = 64;
+    return event.size() <= max_mark_event_bytes && sse_data(event) == done_mark;
 }
 
 stream_chunk read_chunk(std::string_view data)
--- a/daemon/sse.h
+++ b/daemon/sse.h
@@ -26,13 +26,13 @@
     /// The next whole event with its blank line; valid until the next call of feed.
     std::optional<std::string_view> next();
     /// Whether bytes of an unfinished event are held.
-    [[nodiscard]] bool partial() const { return m_at < m_held.size(); }
+    [[nodiscard]] bool partial() const { return m_event_start < m_buffer.size(); }
 
 private:
     std::size_t m_limit;
-    std::string m_held;
-    std::size_t m_at = 0;      ///< where the next event starts
-    std::size_t m_scanned = 0; ///< no event ends before this
+    std::string m_buffer;
+    std::size_t m_event_start = 0; ///< where the next event starts
+    std::size_t m_scanned = 0;     ///< no event ends before this
 };
 
 /// The value of an event's data lines, joined; empty if it has none (a comment).
--- a/daemon/target_view.cc
+++ b/daemon/target_view.cc
@@ -9,22 +9,22 @@
 
 namespace {
 
-const pool* pool_for(const configuration& tables, const runner& row)
+const pool* find_pool(const configuration& tables, const runner& row)
 {
     for (const pool& one : tables.pools) {
-        const bool fits =
+        const bool matches =
             one.kind == pool_kind::plain ? !row.joins_groups() : one.model == row.model;
-        if (one.service == row.service && fits)
+        if (one.service == row.service && matches)
             return &one;
     }
     return nullptr;
 }
 
-target to_target(const runner& row, const pool& kind)
+target to_target(const runner& row, const pool& source)
 {
     target made;
     made.id = target_id{row.id.value() + "@" + std::to_string(row.born_ms)};
-    made.pool = kind.name;
+    made.pool = source.name;
     made.address = row.address;
     made.instance = row.id;
     made.failure_domain = row.failure_domain;
@@ -53,21 +53,22 @@
     target_lists made;
     for (const vm_id& id : registry.plain_servers()) {
         const runner& row = registry.find(id)->row;
-        if (const pool* kind = pool_for(tables, row))
-            made.servers.push_back(to_target(row, *kind));
+        if (const pool* source = find_pool(tables, row))
+            made.servers.push_back(to_target(row, *source));
     }
     for (const vm_id& id : registry.heads()) {
         const runner& row = registry.find(id)->row;
-        const pool* kind = row.group->phase == member_phase::open ? pool_for(tables, row) : nullptr;
-        if (kind == nullptr)
+        const pool* source =
+            row.group->phase == member_phase::open ? find_pool(tables, row) : nullptr;
+        if (source == nullptr)
             continue;
         const groups::group_key key = groups::key_of(*row.group);
-        target group = to_target(row, *kind);
+        target group = to_target(row, *source);
         group.id = target_id{key.first.value() + "/" + std::to_string(key.second)};
         group.group = key.first;
         group.fencing = fencing_number{key.second};
-        group.version = kind->model;
-        group.leaving = group.leaving || registry.members_of(key) < kind->replica_vms;
+        group.version = source->model;
+        group.leaving = group.leaving || registry.members_of(key) < source->replica_vms;
         made.groups.push_back(std::move(group));
     }
     return made;
--- a/daemon/trace.cc
+++ b/daemon/trace.cc
@@ -9,7 +9,7 @@
 
 namespace {
 
-constexpr std::size_t most_held = 4096;
+constexpr std::size_t max_buffered_spans = 4096;
 constexpr std::size_t trace_digits = 32;
 constexpr std::size_t span_digits = 16;
 
@@ -39,9 +39,9 @@
     return {{"key", name}, {"value", wrapped}};
 }
 
-std::string nanoseconds(std::int64_t ms, duration more)
+std::string to_unix_nanoseconds(std::int64_t ms, duration elapsed)
 {
-    return std::to_string(ms * 1'000'000 + more.count());
+    return std::to_string(ms * 1'000'000 + elapsed.count());
 }
 
 } // namespace
@@ -136,7 +136,7 @@
 {
     if (m_file == nullptr || !finished.context.sampled)
         return;
-    if (m_held.size() >= most_held) {
+    if (m_buffered_spans.size() >= max_buffered_spans) {
         ++m_dropped;
         return;
     }
@@ -148,19 +148,19 @@
         {"spanId", finished.context.span},
         {"name", finished.name},
         {"kind", static_cast<int>(finished.kind)},
-        {"startTimeUnixNano", nanoseconds(finished.started_ms, duration{0})},
+        {"startTimeUnixNano", to_unix_nanoseconds(finished.started_ms, duration{0})},
         {"endTimeUnixNano",
-         nanoseconds(finished.started_ms, runtime_clock::now() - finished.started)},
+         to_unix_nanoseconds(finished.started_ms, runtime_clock::now() - finished.started)},
         {"attributes", std::move(attributes)},
         {"status", {{"code", finished.failed ? 2 : 1}}}};
     if (!finished.parent.empty())
         rendered["parentSpanId"] = finished.parent;
-    m_held.push_back(std::move(rendered));
+    m_buffered_spans.push_back(std::move(rendered));
 }
 
 void tracer::flush()
 {
-    if (m_file == nullptr || m_held.empty())
+    if (m_file == nullptr || m_buffered_spans.empty())
         return;
     const boost::json::object line{
         {"resourceSpans",
@@ -169,12 +169,13 @@
               {{"attributes",
                 boost::json::array{attribute("service.name", "jaynotchd"),
                                    attribute("service.instance.id", boost::json::value(m_node))}}}},
-             {"scopeSpans", boost::json::array{boost::json::object{
-                                {"scope", {{"name", "jaynotch"}}}, {"spans", m_held}}}}}}}};
+             {"scopeSpans",
+              boost::json::array{boost::json::object{{"scope", {{"name", "jaynotch"}}},
+                                                     {"spans", m_buffered_spans}}}}}}}};
     const std::string text = boost::json::serialize(line) + "\n";
     std::fwrite(text.data(), 1, text.size(), m_file);
     std::fflush(m_file);
-    m_held.clear();
+    m_buffered_spans.clear();
 }
 
 } // namespace jaynotch
--- a/daemon/trace.h
+++ b/daemon/trace.h
@@ -77,7 +77,7 @@
     bool m_owned;
     std::string m_node;
     random_source m_random;
-    boost::json::array m_held; ///< finished spans, rendered
+    boost::json::array m_buffered_spans; ///< finished spans, rendered
     std::uint64_t m_dropped = 0;
 };
 
--- a/daemon/upstreams.cc
+++ b/daemon/upstreams.cc
@@ -5,7 +5,7 @@
 namespace {
 
 constexpr duration sweep_interval = std::chrono::seconds{60};
-constexpr duration keeping = std::chrono::minutes{10};
+constexpr duration retention = std::chrono::minutes{10};
 
 } // namespace
 
@@ -16,10 +16,10 @@
 std::shared_ptr<http_client> upstreams::at(const std::string& address)
 {
     const time_point now = runtime_clock::now();
-    if (now - m_swept > sweep_interval)
-        forget_unused(now);
+    if (now - m_last_sweep > sweep_interval)
+        remove_unused(now);
     row& found = m_rows[address];
-    found.used = now;
+    found.last_used = now;
     if (!found.client) {
         http_limits limits;
         limits.body_bytes = m_settings.limits.answer_bytes;
@@ -32,10 +32,11 @@
 }
 
 // VMs come and go under new addresses; without this the table would grow for ever.
-void upstreams::forget_unused(time_point now)
+void upstreams::remove_unused(time_point now)
 {
-    m_swept = now;
-    std::erase_if(m_rows, [now](const auto& entry) { return now - entry.second.used > keeping; });
+    m_last_sweep = now;
+    std::erase_if(m_rows,
+                  [now](const auto& entry) { return now - entry.second.last_used > retention; });
 }
 
 } // namespace jaynotch
--- a/daemon/upstreams.h
+++ b/daemon/upstreams.h
@@ -26,14 +26,14 @@
 private:
     struct row {
         std::shared_ptr<http_client> client;
-        time_point used;
+        time_point last_used;
     };
-    void forget_unused(time_point now);
+    void remove_unused(time_point now);
 
     boost::asio::io_context& m_io;
     const daemon_settings& m_settings;
     std::map<std::string, row> m_rows;
-    time_point m_swept{};
+    time_point m_last_sweep{};
 };
 
 } // namespace jaynotch
