--- a/daemon/forward_front.cc
+++ b/daemon/forward_front.cc
@@ -5,17 +5,17 @@
 #include <algorithm>
 #include <cctype>
 
-// The body is read whole before the request is judged: it may have to be sent a second time, and a
-// refusal that leaves half a body unread would end the caller's connection.
+// The complete body is read before the request is checked: the body may have to be sent a second
+// time, and a refusal with part of the body unread would close the caller's connection.
 
 namespace jaynotch {
 
 namespace {
 
-/// For callers who meet a node that knows no configuration yet.
+/// Retry-After of a node that is overloaded or has no configuration yet.
 constexpr std::chrono::milliseconds default_retry_after{200};
 
-/// A Host header as tables name hosts.
+/// A Host header in the form used in the tables: lower case, without the port.
 std::string normalize_host(std::string_view header)
 {
     std::string host{header.substr(0, header.find(':'))};
@@ -96,7 +96,7 @@
     if (why.kind == error_kind::unavailable || why.kind == error_kind::overloaded)
         reply.retry_after = default_retry_after;
     if (why.kind == error_kind::deadline_exceeded)
-        reply.status = http::status::request_timeout; // its body did not come
+        reply.status = http::status::request_timeout; // the request's body did not arrive in time
     co_await exchange.refuse(reply);
 }
 
--- a/daemon/forward_front.h
+++ b/daemon/forward_front.h
@@ -1,7 +1,8 @@
-// What callers may ask where requests are passed on as they come: any path that a route takes.
+// HTTP handler of callers' requests for daemons that pass requests on unchanged. It serves any path
+// for which there is a route.
 //
-//   forward_front calls{services, state};
-//   http_server::open(io, listen, settings, [&](http_exchange& e) { return calls.serve(e); });
+//   forward_front handler{services, state};
+//   http_server::open(io, listen, settings, [&](http_exchange& e) { return handler.serve(e); });
 #pragma once
 
 #include "daemon/front.h"
@@ -18,8 +19,10 @@
     net::awaitable<void> serve(http_exchange& exchange);
 
 private:
+    /// Fills `incoming` from the exchange. `tables`: null until a configuration is in force.
     net::awaitable<result<void>> read_request(http_exchange& exchange, incoming_request& incoming,
                                               const configuration* tables);
+    /// Refuses a request that the request core has not seen.
     net::awaitable<void> reject(http_exchange& exchange, const error& why);
 
     relay_services& m_services;
--- a/daemon/front.cc
+++ b/daemon/front.cc
@@ -2,15 +2,15 @@
 
 #include <charconv>
 
-// What can be refused before the request core sees it is refused here, always as "did not run":
-// nothing has been sent yet.
+// Reads and checks callers' requests. A request that is refused here has not reached the request
+// core and nothing has been sent, so it is always reported as not run.
 
 namespace jaynotch {
 
 namespace {
 
-constexpr std::size_t max_buffered_plain_bytes =
-    256 * 1024; // of a plain body, for sending it again
+/// The body of a request to a plain service is buffered up to this size, so that it can be resent.
+constexpr std::size_t max_buffered_plain_bytes = 256 * 1024;
 constexpr std::size_t max_key_bytes = 256;
 constexpr std::size_t max_workspace_bytes = 128;
 constexpr std::string_view default_workspace = "default";
@@ -218,7 +218,7 @@
         exchange.has_body() &&
         exchange.content_length().value_or(max_buffered_plain_bytes + 1) > max_buffered_plain_bytes;
     if (!model && !key && long_body) {
-        // Passed on as it comes, so it can't be sent a second time.
+        // The body is streamed and not kept, so the request can't be sent a second time.
         incoming.stream_body = true;
         info.body_kept = false;
         co_return success();
--- a/daemon/front.h
+++ b/daemon/front.h
@@ -1,8 +1,8 @@
-// What callers may ask: the OpenAI API, the outcome of a keyed call, health, and any other path by
-// the routes to plain services.
+// HTTP handler of callers' requests: the OpenAI API, the outcome of requests with an idempotency
+// key, health and readiness, and the plain services on any other path that has a route.
 //
-//   front calls{services, state};
-//   http_server::open(io, listen, settings, [&](http_exchange& e) { return calls.serve(e); });
+//   front handler{services, state};
+//   http_server::open(io, listen, settings, [&](http_exchange& e) { return handler.serve(e); });
 #pragma once
 
 #include "daemon/relay.h"
@@ -12,11 +12,11 @@
 
 namespace jaynotch {
 
-/// How the daemon stands, asked for at each request.
+/// The daemon's state, queried for each request.
 struct front_state {
-    std::shared_ptr<const configuration> tables; ///< null until one is in force
+    std::shared_ptr<const configuration> tables; ///< null until a configuration is in force
     bool stopping = false;
-    bool warming_up = false; ///< just started, no complete group heard of yet
+    bool warming_up = false; ///< just started, and no complete group is known yet
 };
 
 class front {
@@ -26,12 +26,14 @@
     net::awaitable<void> serve(http_exchange& exchange);
 
 private:
+    /// Serves the paths that the daemon answers itself; false for any other path.
     net::awaitable<bool> serve_builtin(http_exchange& exchange);
     net::awaitable<void> serve_ready(http_exchange& exchange);
     net::awaitable<void> serve_models(http_exchange& exchange);
     net::awaitable<void> serve_outcome(http_exchange& exchange);
     net::awaitable<void> serve_request(http_exchange& exchange, request_kind kind);
     net::awaitable<result<void>> read_request(http_exchange& exchange, incoming_request& incoming);
+    /// Refuses a request that the request core has not seen.
     net::awaitable<void>
     reject(http_exchange& exchange, const error& why,
            std::optional<std::chrono::milliseconds> retry_after = std::nullopt);
--- a/daemon/http_server_fuzz.cc
+++ b/daemon/http_server_fuzz.cc
@@ -1,4 +1,5 @@
-// Any bytes of a caller, over a real socket: the server answers or closes, and goes on.
+// Sends arbitrary bytes to the HTTP server over a socket, as a caller could. The server must answer
+// or close the connection, and must release it once the caller has closed its side.
 #include "daemon/model_request.h"
 #include "http/http_server.h"
 
@@ -38,6 +39,6 @@
         io.run_one_for(std::chrono::milliseconds{5});
     while (server->connections() > 0 && std::chrono::steady_clock::now() < until);
     if (server->connections() > 0)
-        std::abort(); // a caller that has left still holds its connection
+        std::abort(); // the connection was not released
     return 0;
 }
--- a/daemon/key_relay_driver.h
+++ b/daemon/key_relay_driver.h
@@ -1,11 +1,12 @@
-// Drives the relay of keys that a few nodes watch and all need (peers/key_relay.h): keeps it told
-// of the members and carries out what it decides. The feeds add where keys come from and go to.
+// Runs the core that relays keys which a few nodes watch and all nodes need (peers/key_relay.h):
+// updates its list of members and executes its commands. The feeds (record_feed, registry_feed)
+// pass in the keys that this node reads and consume the ones that arrive.
 //
 //   key_relay_driver relay{settings, peers, "records", {on_key, on_watch}};
-//   relay.tick();                  // a few times a second
-//   relay.learned(entry);          // read, watched or written by this node
-//   relay.noticed(notice);         // a rumor
-//   relay.heard(message);          // of a peer
+//   relay.tick();                       // a few times a second
+//   relay.key_changed(entry);           // read, watched or written by this node
+//   relay.notice_received(notice);      // a rumor
+//   relay.message_received(message);    // from a peer
 #pragma once
 
 #include "base/base.h"
@@ -20,21 +21,21 @@
 namespace jaynotch {
 
 struct key_relay_hooks {
-    /// A value that this node did not have, each revision once and rising.
+    /// A value that is new to this node. A key's revisions arrive in rising order, each once.
     std::function<void(const kv_entry&)> on_key;
-    /// This node has become a watcher.
+    /// This node has become a watcher of the platform's keys.
     std::function<void()> on_watch;
-    /// Live members of the own failure domain, this node among them, whenever they change.
+    /// The live members of this node's failure domain, including this node, when they change.
     std::function<void(const std::vector<node_id>&)> on_neighbours = {};
-    /// A neighbour watches the platform, which answered it so long ago, and this node has all that
-    /// it had then.
+    /// A neighbour that watches the platform got an answer from it `store_age` ago, and this node
+    /// has everything that the neighbour had then.
     std::function<void(const node_id&, duration store_age)> on_fresh = {};
 };
 
 class key_relay_driver {
 public:
-    /// `name` chooses the watchers, differently for each relay. `settings` and `peers` must outlive
-    /// the driver.
+    /// The watchers are chosen by a hash over `name`, so that each relay has different ones.
+    /// `settings` and `peers` must outlive the driver.
     key_relay_driver(const daemon_settings& settings, peer_service& peers, std::string name,
                      key_relay_hooks hooks);
     key_relay_driver(const key_relay_driver&) = delete;
@@ -42,10 +43,11 @@
 
     void tick();
     void learned(const kv_entry& entry);
-    /// One of everything that the platform has, which the others most likely have too.
+    /// One entry of a complete read of the platform's keys. It isn't announced or pushed, as most
+    /// other nodes have it already.
     void read(const kv_entry& entry);
-    /// Tells the own failure domain at once what was learned since the last push, or that nothing
-    /// was, and that the platform answered `store_age` ago.
+    /// Sends the keys that changed since the last push, if any, to all nodes of this failure domain
+    /// at once, with the time since the platform answered.
     void push(duration store_age);
     void stop_pushing() { m_core.stop_pushing(); }
     void noticed(const key_notice& notice);
--- a/daemon/plain_watch.cc
+++ b/daemon/plain_watch.cc
@@ -5,9 +5,10 @@
 #include <boost/asio/redirect_error.hpp>
 #include <boost/asio/use_awaitable.hpp>
 
-// That a server leaves is believed at once, from anyone; that it has come back only from a probe
-// of one's own or from silence: while a server leaves its watchers repeat it, so silence for
-// several of their periods means that it has ceased to.
+// A report that a server is leaving takes effect at once, whoever sends it. A server counts as back
+// only after a probe by this node, or when reports have ceased: the watchers of a leaving server
+// repeat their report every publish_interval, so none during leaving_ttl, which is several of these
+// intervals, means that the server is no longer leaving.
 
 namespace jaynotch {
 
--- a/daemon/plain_watch.h
+++ b/daemon/plain_watch.h
@@ -1,11 +1,12 @@
-// Watches the plain services' servers for their own word that they are leaving (503 from
-// GET /healthz): two daemons look at each server, chosen by rendezvous hashing over the live ones,
-// and tell the rest through the peers.
+// Detects which servers of plain services are leaving. A server announces this by answering
+// GET /healthz with 503 or with a jaynotch-leaving header. Each server is probed by two daemons,
+// chosen by rendezvous hashing over the live ones, which inform the others through the peers.
 //
-//   plain_watch watch{io, self, hooks};
+//   plain_watch watch{io, servers, self, hooks};
 //   watch.install(tables);
 //   watch.start();
-//   watch.heard("10.2.0.4:8000");     // a peer, the VM list or an answer's header says so
+//   watch.reported("10.2.0.4:8000");      // by a peer, the VM list or an engine
+//   watch.announced("10.2.0.4:8000");     // by a header of the server's answer to a request
 #pragma once
 
 #include "base/base.h"
@@ -23,11 +24,11 @@
 namespace jaynotch {
 
 struct plain_watch_hooks {
-    /// The servers that take part now, this node included.
+    /// The names of the live daemons, including this node.
     std::function<std::vector<std::string>()> live_nodes;
-    /// A server began or ceased to leave.
+    /// A server has started to leave, or is back.
     std::function<void(const std::string& server, bool leaving)> on_leaving;
-    /// To be told to the peers; again while it lasts.
+    /// Publishes to the peers that a server is leaving. Repeated while the server keeps leaving.
     std::function<void(const std::string& server)> publish;
 };
 
@@ -40,12 +41,13 @@
     plain_watch& operator=(const plain_watch&) = delete;
 
     void start();
-    /// Ends the loops; calls under way end by themselves.
+    /// Ends the loop of probes; running probes end by themselves.
     void stop();
+    /// Watches the servers of `tables` from now on; what is known of the ones that stay is kept.
     void install(const configuration& tables);
-    /// A server said of itself, here, that it is leaving.
+    /// A server has announced to this node that it is leaving; the peers are informed.
     void announced(const std::string& server);
-    /// Others say that a server is leaving.
+    /// A peer, the VM list or an engine's report says that a server is leaving.
     void reported(const std::string& server);
     [[nodiscard]] bool leaving(const std::string& server) const;
     [[nodiscard]] std::vector<std::string> servers() const;
--- a/daemon/proxy_bench.cc
+++ b/daemon/proxy_bench.cc
@@ -1,8 +1,8 @@
-// What the relay costs: the same requests to the same stand-in, direct and through one daemon, in
-// one run; tokens a second through one node; memory of idle connections and streams.
+// Costs of the relay: added latency, from the same requests to the same server sent directly and
+// through one daemon in one run; tokens per second through one node; memory per idle connection.
 //
-// The daemon, the servers and the callers each have a thread of their own, so that the daemon's
-// processor time can be told apart (thread clock).
+// The daemon, the servers and the callers run on separate threads, so that the daemon's CPU time
+// can be measured with its thread clock.
 #include "daemon/daemon.h"
 #include "daemon/sse.h"
 #include "standins/standins.h"
@@ -42,7 +42,7 @@
     return static_cast<double>(now.tv_sec) + static_cast<double>(now.tv_nsec) * 1e-9;
 }
 
-/// A thread that runs one io_context; its processor time can be asked for.
+/// A thread that runs one io_context and can report its CPU time.
 class worker {
 public:
     asio::io_context io{1};
@@ -52,7 +52,7 @@
     worker(const worker&) = delete;
     worker& operator=(const worker&) = delete;
 
-    /// Runs `work` on the thread and waits for it.
+    /// Runs `work` on the thread and returns its result.
     template <class Work>
     auto on(Work work)
     {
@@ -60,7 +60,7 @@
         asio::post(io, [&] { done.set_value(work()); });
         return done.get_future().get();
     }
-    /// Ends the thread; what its coroutines hold stays until the io_context goes.
+    /// Ends the thread. Objects owned by its coroutines live until the io_context is destroyed.
     void stop()
     {
         io.stop();
@@ -74,7 +74,7 @@
     std::thread m_thread;
 };
 
-/// Server of the smallest plain answer, and of model streams as fast as the socket takes them.
+/// Plain server with a minimal answer to every request.
 class fast_server {
 public:
     explicit fast_server(asio::io_context& io)
@@ -116,8 +116,8 @@
     tcp::acceptor m_acceptor;
 };
 
-/// An engine as the daemon sees one, that is always loaded and gives each stream a token at each
-/// beat, one write a token, whatever the number of streams.
+/// Stand-in for an engine. It reports its model as loaded as soon as it is assigned, and sends each
+/// stream one token per interval, one write per token, whatever the number of streams.
 class paced_engine {
 public:
     paced_engine(asio::io_context& io, std::string name, duration token_interval)
@@ -217,7 +217,7 @@
     duration m_token_interval;
 };
 
-/// Sends `count` requests one after the other over one connection; latencies in seconds.
+/// Sends `count` requests one after another over one connection. Latencies are in seconds.
 asio::awaitable<void> send_sequentially(std::uint16_t port, std::size_t count,
                                         std::shared_ptr<std::vector<double>> latencies,
                                         std::shared_ptr<std::atomic<std::size_t>> finished)
@@ -269,7 +269,7 @@
             static_cast<double>(joined.size()) / took.count()};
 }
 
-/// Platform on one thread, daemon on another, callers on a third.
+/// A platform with its servers, a daemon and callers, each on a thread of its own.
 class bench_fleet {
 public:
     explicit bench_fleet(duration token_interval = 10ms)
@@ -309,7 +309,7 @@
                 return;
             std::this_thread::sleep_for(10ms);
         }
-        throw std::runtime_error{"no complete groups"};
+        throw std::runtime_error{"no complete groups after 20 s"};
     }
     ~bench_fleet()
     {
@@ -370,7 +370,7 @@
     }
 };
 
-/// Added latency and requests a second of a core, as ratios to direct calls in the same run.
+/// Latency added to direct calls in the same run, and requests per second and per core.
 void added_latency(benchmark::State& state)
 {
     bench_fleet fleet;
@@ -394,7 +394,7 @@
 }
 BENCHMARK(added_latency)->Arg(1)->Arg(32)->Iterations(1)->Unit(benchmark::kMillisecond);
 
-/// Reads one stream to its end, counting events.
+/// Reads one stream to its end, and counts it in `complete` if it has its terminal mark.
 asio::awaitable<void> read_stream(std::uint16_t port, std::uint32_t tokens,
                                   std::shared_ptr<std::atomic<std::size_t>> complete,
                                   std::shared_ptr<std::atomic<std::size_t>> finished)
@@ -426,8 +426,8 @@
     ++*finished;
 }
 
-/// Streams at once through one node, each given a token every beat: tokens a second delivered, and
-/// how busy the daemon's thread was. Offered are streams / beat.
+/// Tokens per second through one node with many concurrent streams, and the utilisation of the
+/// threads. The offered rate is streams / token interval.
 void tokens_through_one_node(benchmark::State& state)
 {
     const std::chrono::milliseconds token_interval{state.range(1)};
@@ -473,8 +473,8 @@
     return now.uordblks + now.hblkhd;
 }
 
-/// Bytes of this process's heap for one idle connection; the sockets of both ends are counted, the
-/// caller's being a bare socket.
+/// Heap bytes per idle connection. Both ends are in this process and counted; the caller's end is a
+/// plain socket.
 void idle_connection_bytes(benchmark::State& state)
 {
     bench_fleet fleet;
--- a/daemon/relay.cc
+++ b/daemon/relay.cc
@@ -9,14 +9,15 @@
 #include <boost/asio/redirect_error.hpp>
 #include <boost/asio/use_awaitable.hpp>
 
-// The request's own coroutine takes the core's commands in their order; each attempt is a coroutine
-// besides. What an attempt reads reaches the caller only while the core has it deliver, and the
-// request ends only after every attempt of it has ended, so that nothing writes to an exchange that
-// is gone.
+// One coroutine per request executes the core's commands in order; each attempt runs in a coroutine
+// of its own. An attempt's answer reaches the caller only after the core has commanded its
+// delivery. run() returns only after all attempts have ended, so no attempt can write to a
+// destroyed exchange.
 //
-// A caller that closes its sending half while an answer of a model is awaited is taken for gone,
-// since that is how a client that gives up looks and the engine's time is scarce; a refusal that
-// says so is sent in case it still reads. Plain services are left to finish.
+// A caller that half-closes its connection while a model's answer or the answer to a forwarded
+// request is pending counts as disconnected: a client that gives up looks like this, and engine
+// time is scarce. A caller of a model is then sent a refusal that gives this reason, in case it
+// still reads. Other requests to plain services are completed.
 
 namespace jaynotch {
 
@@ -28,7 +29,7 @@
                                       attempt_id attempt)
 {
     engine_client engine{executor, std::move(address), cancel_timeout};
-    // If this fails the closed connection tells the engine as well.
+    // A failure is ignored: the engine also notices that the attempt's connection is closed.
     (void)co_await engine.cancel(attempt);
 }
 
@@ -123,7 +124,7 @@
     if (attempt.stream != nullptr)
         attempt.stream->cancel();
     else
-        attempt.stop.emit(net::cancellation_type::terminal);
+        attempt.cancel_signal.emit(net::cancellation_type::terminal);
     if (attempt.sent && attempt.send_command.kind == pool_kind::model && !m_incoming.facts)
         net::co_spawn(m_services.io,
                       cancel_at_engine(m_services.io.get_executor(), attempt.send_command.address,
@@ -171,7 +172,7 @@
         m_services.exported_metrics.resumed();
     }
     net::co_spawn(m_services.io, run_attempt(attempt),
-                  net::bind_cancellation_slot(attempt->stop.slot(), net::detached));
+                  net::bind_cancellation_slot(attempt->cancel_signal.slot(), net::detached));
 }
 
 net::awaitable<void> relay_request::impl::complete_answer()
--- a/daemon/relay.h
+++ b/daemon/relay.h
@@ -1,8 +1,8 @@
-// One request on its way: carries out what the request core decides for it, from the caller's side
-// to the backend servers' and back.
+// Relays one request: executes the request core's commands for it, sends it to backend servers and
+// passes the answer back to the caller.
 //
-//   relay_request way{services, exchange, std::move(asked)};
-//   co_await way.run();       // the exchange has been answered, refused or cut
+//   relay_request relay{services, exchange, std::move(incoming)};
+//   co_await relay.run();     // afterwards the exchange has been answered, refused, cut or aborted
 #pragma once
 
 #include "base/base.h"
@@ -27,7 +27,7 @@
 
 namespace jaynotch {
 
-/// What requests share.
+/// Objects shared by all requests of a daemon.
 struct relay_services {
     net::io_context& io;
     const daemon_settings& settings;
@@ -36,23 +36,24 @@
     tracer& spans;
     metrics& exported_metrics;
     daemon_counts& counts;
-    /// A backend server said of itself that it is leaving.
+    /// Called when the header of a backend server's answer announces that the server is leaving.
     std::function<void(const target_id&)> on_leaving;
-    /// Whether a group's completeness ticket holds at this moment.
+    /// Whether the group's completeness ticket is valid now.
     std::function<bool(const group_id&)> has_valid_ticket;
-    /// Called each second for every request; one whose caller takes no bytes says so to the core.
+    /// One function per running request, by the request's address; all are called every second.
+    /// Each tells the core if the request is waiting for its caller to read.
     std::unordered_map<const void*, std::function<void()>> slow_caller_checks;
 };
 
-/// What a caller asked for, read from its request.
+/// A caller's request as the front has read it.
 struct incoming_request {
-    request_info info;                  ///< its id is filled in by the relay
-    std::optional<model_request> model; ///< chat and completion
-    /// Set if the request is passed on as it came, with what its headers say.
+    request_info info;                  ///< the relay fills in the id
+    std::optional<model_request> model; ///< set for chat and completion requests
+    /// Set if the request is passed on unchanged: what its headers state.
     std::optional<call_facts> facts;
-    std::string body;         ///< as received; plain, if it was kept
-    bool stream_body = false; ///< plain: the body is still to be read
-    span server_span;         ///< the caller's hop
+    std::string body;         ///< plain services: as received, if it was buffered
+    bool stream_body = false; ///< plain services: the relay reads the body while sending
+    span server_span;         ///< of this node serving the request
     time_point arrived;
 };
 
--- a/daemon/relay_attempt.cc
+++ b/daemon/relay_attempt.cc
@@ -9,19 +9,19 @@
 
 #include <charconv>
 
-// One sending of a request. Three shapes of answer:
+// One attempt of a request. An answer is relayed in one of three ways:
 //
-// - events: a model's stream, handed on event by event as they come; those that one read brings
-//   go out in one write, which is what keeps up under load. The terminal mark is kept back until
-//   the core says that the answer is whole.
-// - whole: a model's answer that is not streamed, and any answer of a keyed call, is held within a
-//   bound and handed on only once it is known to be whole, so that it can still be asked for
-//   elsewhere if it turns out cut or empty.
-// - body: any other answer of a plain service, piece by piece with back-pressure: nothing is read
-//   while the caller takes nothing.
+// - relay_events(): a model's stream. Only complete events are passed on; all events from one read
+//   go out in one write, which is needed for throughput under load. The terminal mark is held back
+//   until the core declares the answer complete.
+// - relay_buffered(): a model's answer that is not streamed, and any answer to a request with an
+//   idempotency key. It is buffered up to a size limit and delivered only when complete, so that
+//   the request can still be retried on another backend server if the answer is cut off or empty.
+// - relay_streamed_body(): any other answer of a plain service. It is passed on piece by piece with
+//   back-pressure: nothing is read while the caller doesn't read.
 //
-// The core's timeouts cancel an attempt; the ones here are longer and only bound what a defect
-// could hold.
+// The request core's timeouts cancel attempts. The timeouts here are longer and only bound how long
+// a defect could hold resources.
 
 namespace jaynotch {
 
@@ -58,13 +58,13 @@
         return std::nullopt;
     std::uint64_t number = 0;
     const auto [end, failed] = std::from_chars(text.data(), text.data() + text.size(), number);
-    // One that is no number names no attempt of ours; 0 is never given out.
+    // Text that is not a number can't be an attempt of this node; 0 is never used as an id.
     if (failed != std::errc{} || end != text.data() + text.size())
         return attempt_id{0};
     return attempt_id{number};
 }
 
-/// The answer's headers without those that are only for this node.
+/// The answer's headers without the jaynotch- headers, which are meant for this node.
 http::fields forwarded_headers(const http_stream& answer)
 {
     http::fields kept;
@@ -75,14 +75,14 @@
     return kept;
 }
 
-/// Reads what follows the terminal mark so that the connection can be used again; one that does
-/// not end soon is closed with the stream.
+/// Reads to the end of the answer after the terminal mark, so that the connection can be reused. If
+/// more data follows or the end doesn't come within the timeout, the connection is closed.
 net::awaitable<void> drain(http_stream answer)
 {
     for (;;) {
         const result<std::string> piece = co_await answer.read(drain_timeout);
         if (!piece || !piece.value().empty())
-            break; // more than the mark: an engine that answers twice
+            break; // data after the terminal mark: the engine answered twice
         if (piece.value().empty())
             co_return;
     }
@@ -104,7 +104,8 @@
         co_await send(*attempt);
     }
     catch (const std::exception& thrown) {
-        // A cancelled wait throws; anything else is reported so that the request goes on.
+        // A cancelled wait throws too. Any other exception is reported as a failure, so that the
+        // core can retry the request.
         if (!attempt->cancelled) {
             log_event(log_level::error, "attempt_failed", {{"message", thrown.what()}});
             report_failure(*attempt, attempt_failure::cut);
@@ -259,7 +260,8 @@
     head.says_did_not_run = answer.header(ran_header) == to_name(ran_state::no);
     head.version = std::string{answer.header(version_header)};
     if (head.echoed && *head.echoed != head.attempt) {
-        // The answer to another attempt: an engine mixed up its callers. It is never delivered.
+        // The answer belongs to another attempt: the engine has mixed up its requests. The core
+        // never has such an answer delivered.
         count_foreign_answer();
         attempt.client_span.failed = true;
     }
@@ -307,14 +309,15 @@
 net::awaitable<bool> relay_request::impl::write_to_caller(attempt_state& attempt,
                                                           std::string_view piece)
 {
-    // An attempt that was given up may still be writing what it had read; its bytes count as given,
-    // so the one that resumes waits for them.
+    // A cancelled attempt may still be writing what it has read. These bytes count as delivered, so
+    // the attempt that resumes the stream waits until they are written.
     while (m_writing) {
         timer pause{m_services.io, write_poll_interval};
         co_await pause.async_wait(net::use_awaitable);
     }
     m_writing = true;
-    // A caller that reads slowly must not pass for a server that stalls.
+    // Tells the core that the caller is waited for, so that a caller that reads slowly isn't
+    // mistaken for a stalled backend server.
     if (!attempt.cancelled)
         m_services.driver.handle(attempt_waits{m_inbox->id(), attempt.send_command.attempt});
     const bool succeeded = co_await m_exchange.write(piece);
@@ -363,7 +366,8 @@
         if (attempt.cancelled)
             co_return;
         if (!piece || piece.value().empty()) {
-            // The end of the body without the terminal mark is a cut, whatever the framing says.
+            // A stream that ends without the terminal mark was cut off, even if the HTTP framing is
+            // complete.
             if (piece)
                 report_failure(attempt, attempt_failure::cut);
             else
@@ -443,7 +447,7 @@
     std::string& body = *read;
     const bool model = attempt.send_command.kind == pool_kind::model;
     if (model && answer.status() == http::status::ok && !is_completion(body)) {
-        // "200 with nothing": the head says success and the body holds no answer.
+        // A 200 whose body holds no completion is a failure of the engine.
         report_failure(attempt, attempt_failure::protocol);
         co_return;
     }
--- a/daemon/relay_forward.cc
+++ b/daemon/relay_forward.cc
@@ -4,26 +4,28 @@
 
 #include <boost/asio/use_awaitable.hpp>
 
-// A request that is passed on as it came: its body is not read, what matters stands in its headers.
+// Requests that are passed on unchanged: the body is not interpreted, all that routing needs is in
+// the headers.
 //
-// - events: a stream with increasing ids. Nothing is handed on before the first whole event, so
-//   that a server that fails until then costs the caller nothing. When a stream goes on from
-//   another server, events that the caller has are dropped by their ids.
-// - whole: any other answer is held until it is known to be whole.
+// - forward_events(): a stream of events with increasing ids. Nothing is passed on before the first
+//   complete event, so that the request can still be retried elsewhere if the server fails earlier.
+//   When another server resumes the stream, events that the caller already has are dropped by id.
+// - forward_buffered(): any other answer is buffered and delivered only when complete.
 //
-// An answer that names another attempt is an earlier request's, sent late: it is passed over, and
-// the one that follows on the connection is ours. A success without the server's own mark is
-// nobody's answer and is never handed on.
+// An answer that names another attempt is a late answer to an earlier request on the same
+// connection. It is skipped, and the next answer on the connection is read instead. A success
+// without the server's seal can't be attributed to that server and is never delivered.
 
 namespace jaynotch {
 
 namespace {
 
 constexpr std::size_t max_foreign_answers = 2;
-/// A connection that idled longer may just be closing. What can't be sent twice takes a new one.
+/// A connection that has been idle longer may be closing on the server's side. Requests that can't
+/// be repeated don't use it.
 constexpr duration max_idle_if_not_repeatable = std::chrono::milliseconds{500};
-/// Kept back from the time after which the server says it closes an idle connection: what is on its
-/// way must arrive before.
+/// Subtracted from the idle limit that the server announces, so that a request sent at the last
+/// moment arrives before the server closes the connection.
 constexpr duration idle_margin = std::chrono::milliseconds{500};
 
 bool is_success(http::status status)
@@ -39,7 +41,8 @@
     if (!m_incoming.facts)
         return reply;
     reply.fractions = true;
-    // 503 and 429 promise that the request never ran, whatever else the answer says.
+    // Callers take 503 and 429 to mean that the request did not run, so these are used only if that
+    // is certain.
     const http::status default_status = status_of(cmd.failure.kind);
     const bool promises_not_run = default_status == http::status::service_unavailable ||
                                   default_status == http::status::too_many_requests;
@@ -116,11 +119,11 @@
     attempt.stream = nullptr;
 }
 
-/// Of every answer, whatever its status: what the server says of the requests that it takes.
+/// Reports the rate limit that an answer of any status states, or that it states none.
 void relay_request::impl::note_limit(const attempt_state& attempt, const answer_facts& facts)
 {
     if (facts.wrong_instance)
-        return; // another server's word
+        return; // the limit is of another server
     if (!facts.unreadable_limit.empty()) {
         log_event(
             log_level::warning, "server_limit_unreadable",
@@ -137,7 +140,7 @@
     head.says_did_not_run = facts.did_not_run;
     head.wrong_instance = facts.wrong_instance;
     if (!facts.attempt.empty() && facts.attempt != m_incoming.facts->attempt)
-        head.echoed = attempt_id{0}; // names none of ours
+        head.echoed = attempt_id{0}; // an id that no attempt has
     return report_head(attempt, head);
 }
 
@@ -148,7 +151,7 @@
     if (!report_forwarded_head(attempt, answer, facts, delivery_mode::streamed))
         co_return false;
     if (m_streaming_events)
-        co_return true; // goes on under the head of the first server
+        co_return true; // the caller has the head of an earlier server's answer
     m_streaming_events = true;
     http::fields headers = platform::forwarded(answer.headers());
     co_return co_await begin_answer(attempt, answer.status(), std::move(headers), std::nullopt);
@@ -170,7 +173,8 @@
         }
         const bool ended = piece.value().empty();
         if (ended && (!begun || events.partial())) {
-            // Nothing at all, or half an event: the server broke off, whatever the framing says.
+            // No event or an incomplete one: the stream was cut off, even if the HTTP framing is
+            // complete.
             report_failure(attempt, attempt_failure::cut);
             co_return;
         }
@@ -186,7 +190,7 @@
         while (const auto next = events.next()) {
             const std::optional<std::uint64_t> id = sse_id(*next);
             if (id && last && *id <= *last)
-                continue; // the caller has it from the server before
+                continue; // the caller already has this event from an earlier server
             last = id ? id : last;
             new_events += *next;
             ++count;
--- a/daemon/relay_parts_test.cc
+++ b/daemon/relay_parts_test.cc
@@ -25,8 +25,8 @@
 
 } // namespace
 
-// An engine's stream reaches us in pieces of any size. However it is cut, the same events come out:
-// one lost or doubled would change the caller's text.
+// An engine's stream arrives in pieces of any size. The splitter must return the same events
+// however the bytes are split: a lost or repeated event would change the caller's text.
 Test(sse, any_split_gives_the_same_events)
 {
     const std::string text = "data: a\n\n: comment\n\ndata:b\r\n\r\ndata: c\rdata: d\r\rid: 7\n"
@@ -36,7 +36,8 @@
         cr_assert(split(text, piece) == whole, "pieces of %zu bytes", piece);
 }
 
-// An engine sends an event that never ends. The relay gives up on it instead of holding it.
+// An engine sends an event that never ends. The splitter must reject it instead of buffering it
+// without limit.
 Test(sse, an_unterminated_event_is_rejected)
 {
     sse_splitter splitter{1000};
@@ -48,7 +49,7 @@
     cr_assert_leq(fed, 12U);
 }
 
-// An engine reports an error inside its stream, or garbage. Neither may pass as text.
+// An engine sends an error or invalid JSON within its stream. Neither may be taken for text.
 Test(sse, errors_and_invalid_json_are_detected)
 {
     cr_assert(read_chunk(R"({"error":{"message":"out of memory"}})").failed);
@@ -59,7 +60,7 @@
     cr_assert(!good.failed && good.finished && good.text == "hei");
 }
 
-// A caller's body is wrong in one field. The refusal names that field.
+// A caller's body has one invalid field. The error message must name that field.
 Test(model_request, an_invalid_body_is_rejected_by_field)
 {
     const auto message = [](std::string_view body) {
@@ -78,8 +79,8 @@
     cr_assert(message(R"({"model":"m","messages":[{}],"stream":null})").empty());
 }
 
-// Two prompts share their beginning. Their block hashes agree up to there and nowhere after, or the
-// second would be sent to an engine that does not hold its prefix.
+// Two prompts share a prefix. Their block hashes must match within it and differ after it;
+// otherwise a request would be routed to an engine that doesn't have its prefix cached.
 Test(model_request, prefix_blocks_match_up_to_the_common_prefix)
 {
     const auto blocks = [](const std::string& prompt) {
@@ -94,7 +95,8 @@
     cr_assert_eq(blocks(std::string(100'000, 'x')).size(), most_prefix_blocks);
 }
 
-// An engine answers 200 with an empty body, an error, or half a JSON text.
+// An engine answers 200 with an empty body, without choices, or with truncated JSON. None of these
+// may be delivered as a completion.
 Test(model_request, only_a_completion_is_accepted)
 {
     cr_assert(!is_completion(""));
@@ -104,8 +106,8 @@
     cr_assert(is_completion(R"({"choices":[{"text":"a"}]})"));
 }
 
-// A client sends a traceparent that is malformed. A trace of its own begins instead of a broken
-// one.
+// A client sends a malformed traceparent header. It must be ignored, so that a new trace is started
+// instead of a broken one being continued.
 Test(trace, malformed_traceparents_are_ignored)
 {
     const std::string good = "00-0af7651916cd43dd8448eb211c80319c-b7ad6b7169203331-01";
--- a/daemon/relay_way.h
+++ b/daemon/relay_way.h
@@ -1,4 +1,6 @@
-// The state of one request on its way; private to relay.cc, relay_attempt.cc and relay_forward.cc.
+// Implementation class of relay_request: the state of one request while it is relayed. Private to
+// relay.cc (lifecycle and commands), relay_attempt.cc (one attempt) and relay_forward.cc (requests
+// that are passed on unchanged).
 #pragma once
 
 #include "daemon/daemon.h"
@@ -9,29 +11,30 @@
 
 namespace jaynotch {
 
-/// Of a read; the core's timeouts are shorter, this one only bounds what a defect could hold.
+/// Timeout of one read from a backend server. The request core cancels an attempt much earlier;
+/// this only bounds how long a defect could hold a connection.
 constexpr duration max_read_wait = std::chrono::hours{1};
-constexpr std::size_t max_event_bytes = 1024 * 1024; ///< bytes, of a stream
+constexpr std::size_t max_event_bytes = 1024 * 1024; ///< of one event of a stream
 constexpr std::string_view event_stream = "text/event-stream";
 
-/// How an answer is handed on.
+/// How an answer's body is passed to the caller.
 enum class delivery_mode {
-    streamed, ///< as it comes
-    whole,    ///< held until it is known to be whole
+    streamed, ///< piece by piece, as it arrives
+    whole,    ///< only after it has been read completely
 };
 
-/// One sending of the request.
+/// One attempt: the request sent to one backend server.
 struct attempt_state {
     send_attempt send_command;
     span client_span;
-    boost::asio::cancellation_signal stop;
-    http_stream* stream = nullptr; ///< while its answer is read
-    bool sent = false;
+    boost::asio::cancellation_signal cancel_signal; ///< until `stream` is set
+    http_stream* stream = nullptr;                  ///< the answer, while its body is read
+    bool sent = false;                              ///< a byte of it may have left
     bool cancelled = false;
-    bool delivering = false;
+    bool delivering = false; ///< the core has chosen its answer for the caller
 };
 
-/// An answer held whole until the core says that it is the one.
+/// A complete answer, kept until the core decides that the caller gets it.
 struct buffered_answer {
     http::status status = http::status::unknown;
     http::fields headers;
@@ -43,17 +46,20 @@
     impl(relay_services& services, http_exchange& exchange, incoming_request incoming);
 
     net::awaitable<void> run();
-    /// Tells the core that the request stands still for its caller's sake, not the engine's.
+    /// If a write to the caller is pending, reports progress to the core, so that a caller that
+    /// reads slowly isn't mistaken for a stalled backend server.
     void report_slow_caller();
 
 private:
     using attempt_ptr = std::shared_ptr<attempt_state>;
 
     // relay.cc
+    /// The part of a command that takes effect before the core handles its next event.
     void apply_immediately(const command& cmd);
+    /// The rest of the command, in the request's coroutine. True if the request has ended.
     net::awaitable<bool> execute(const command& cmd);
     void start_attempt(const attempt_ptr& attempt);
-    /// As the core decided; cancel() alone leaves no line.
+    /// Cancels an attempt by the core's command: logs and counts it, which cancel() doesn't.
     void cancel_on_command(attempt_state& attempt, cancel_reason why);
     void cancel(attempt_state& attempt);
     net::awaitable<void> complete_answer();
@@ -68,17 +74,17 @@
     // relay_attempt.cc
     net::awaitable<void> run_attempt(attempt_ptr attempt);
     net::awaitable<void> send(attempt_state& attempt);
-    /// The head of the backend server's answer. Nothing if the attempt was cancelled or came to
-    /// nothing, which has been reported then.
+    /// Sends the request and reads the head of the answer. nullopt if the attempt was cancelled or
+    /// failed; a failure has been reported to the core.
     net::awaitable<std::optional<http_stream>> open_answer(attempt_state& attempt,
                                                            http_request request);
     http_request build_request(const attempt_state& attempt) const;
     http_request build_model_request(const attempt_state& attempt) const;
     http_request build_plain_request(const attempt_state& attempt) const;
-    /// What every head says.
+    /// The fields common to all answers.
     [[nodiscard]] attempt_head make_head(const attempt_state& attempt, const http_stream& answer,
                                          delivery_mode mode) const;
-    /// Tells the core; true if the answer is to be handed on.
+    /// Reports the head to the core; true if the core has the answer delivered to the caller.
     bool report_head(attempt_state& attempt, const attempt_head& head);
     bool report_engine_head(attempt_state& attempt, const http_stream& answer, delivery_mode mode);
     void count_foreign_answer();
@@ -88,8 +94,8 @@
     net::awaitable<void> relay_events(attempt_state& attempt, http_stream& answer);
     net::awaitable<bool> write_events(attempt_state& attempt, std::string_view events,
                                       std::uint32_t count);
-    /// A body of at most `limit` bytes. Nothing if the attempt was cancelled or came to nothing,
-    /// which has been reported then.
+    /// Reads a body of at most `limit` bytes. nullopt if the attempt was cancelled or failed; a
+    /// failure has been reported to the core.
     net::awaitable<std::optional<std::string>>
     read_full_body(attempt_state& attempt, http_stream& answer, std::size_t limit);
     net::awaitable<void> relay_buffered(attempt_state& attempt, http_stream& answer,
@@ -120,23 +126,23 @@
     relay_services& m_services;
     http_exchange& m_exchange;
     incoming_request m_incoming;
-    std::optional<span> m_admission_span; ///< until the core's first decision on the request
+    std::optional<span> m_admission_span; ///< until the core's first command for it
     std::shared_ptr<command_inbox> m_inbox;
     std::map<attempt_id, attempt_ptr> m_attempts;
-    std::string m_delivered_text; ///< text of the stream that the caller has been given
+    std::string m_delivered_text; ///< of a model's stream, to resume it
     std::optional<buffered_answer> m_buffered_answer;
     timer m_attempt_ended;
     std::size_t m_running_attempts = 0;
-    std::optional<std::uint64_t> m_last_event_id; ///< given to the caller, of a forwarded stream
+    std::optional<std::uint64_t> m_last_event_id; ///< sent to the caller, of a forwarded stream
     request_log m_log;
-    http::status m_status = http::status::ok; ///< of the answer begun
-    std::uint64_t m_event_count = 0;          ///< handed to the caller
-    duration m_time_to_first_byte{0};         ///< from the arrival to the first byte
-    time_point m_last_events_at;              ///< when some were handed on
-    duration m_max_event_gap{0};              ///< between two handings on
-    bool m_streaming_events = false;
-    bool m_writing = false;
-    bool m_any_attempt_sent = false; ///< some attempt may have reached a backend server
+    http::status m_status = http::status::ok; ///< of the answer to the caller
+    std::uint64_t m_event_count = 0;          ///< events written to the caller
+    duration m_time_to_first_byte{0};         ///< since the request arrived
+    time_point m_last_events_at;              ///< when events were last written
+    duration m_max_event_gap{0};              ///< between two writes of events
+    bool m_streaming_events = false;          ///< the head of a stream has been sent
+    bool m_writing = false;                   ///< a write to the caller is pending
+    bool m_any_attempt_sent = false;          ///< some attempt may have reached a backend server
 };
 
 } // namespace jaynotch
--- a/daemon/request_driver.cc
+++ b/daemon/request_driver.cc
@@ -7,8 +7,9 @@
 
 #include <type_traits>
 
-// The core wants the commands of one event carried out before it sees the next. A command may give
-// rise to an event at once (a cancelled attempt), so events queue while one is being handled.
+// The core requires that the commands of one event are executed before it is given the next. As
+// executing a command can cause an event at once (for example when an attempt is cancelled), events
+// that arise while one is being handled are queued.
 
 namespace jaynotch {
 
--- a/daemon/request_driver.h
+++ b/daemon/request_driver.h
@@ -1,5 +1,5 @@
-// Drives the request core: hands it events one at a time, carries its commands out or passes them
-// to the request that they concern, and gives it time.
+// Runs the request core: passes events to it one at a time, and a tick event regularly. Commands
+// for a request go to that request's inbox; the others are executed here or passed to the hooks.
 //
 //   request_driver driver{io, std::move(core), kv, hooks};
 //   driver.start();
@@ -24,7 +24,7 @@
 
 namespace net = boost::asio;
 
-/// The commands that concern one request, in their order.
+/// Queue of the core's commands for one request, in order.
 class command_inbox {
 public:
     command_inbox(const net::any_io_executor& executor, request_id id);
@@ -32,7 +32,7 @@
     [[nodiscard]] request_id id() const { return m_id; }
     void push(const command& cmd);
     net::awaitable<command> next();
-    /// Sees each command the moment it is given, before the core's next event.
+    /// Called with each command when the core issues it, before the core handles its next event.
     std::function<void(const command&)> on_push;
 
 private:
@@ -41,7 +41,7 @@
     std::deque<command> m_queue;
 };
 
-/// Commands that concern no single request.
+/// Handlers of commands that don't belong to one request.
 struct driver_hooks {
     std::function<void(const released&)> on_released;
     std::function<void(const share_demand&)> on_share_demand;
@@ -57,11 +57,12 @@
     request_driver& operator=(const request_driver&) = delete;
 
     void start();
-    /// Ends the loops; calls under way end by themselves.
+    /// Stops the ticks; running calls to the key-value service end by themselves, without an event.
     void stop();
+    /// Makes an inbox with a new request id.
     std::shared_ptr<command_inbox> open();
     void close(request_id id);
-    /// Events that arise while commands are carried out wait their turn.
+    /// Events that arise while commands are being executed are queued.
     void handle(event new_event);
 
     [[nodiscard]] const request_core& core() const;
--- a/daemon/request_log.cc
+++ b/daemon/request_log.cc
@@ -2,8 +2,8 @@
 
 #include <cmath>
 
-// Refusals, cuts and failed sendings are warnings: they are what an engineer looks for, and they
-// are kept when routine lines have to be dropped.
+// Refusals, truncated answers and failed attempts are logged as warnings: these are what one looks
+// for during an incident, and warnings are kept when routine lines have to be dropped.
 
 namespace jaynotch {
 
--- a/daemon/request_log.h
+++ b/daemon/request_log.h
@@ -1,9 +1,9 @@
-// The log's lines of one forwarded request: one for each decision that touches it, under the name
-// that its caller gave it.
+// Log lines about one forwarded request: one line for each decision, with the caller's name for the
+// request.
 //
-//   request_log lines{facts.attempt};
-//   lines.sent(order);            // where to, and what that rested on
-//   lines.refused(wanted);        // why, and whether it may have run
+//   request_log log{facts.attempt, arrived};
+//   log.sent(attempt);            // the target, and what the choice was based on
+//   log.refused(cmd, status);     // the reason, and whether the request may have run
 #pragma once
 
 #include "base/base.h"
@@ -17,18 +17,19 @@
 
 class request_log {
 public:
-    /// Writes nothing for requests without a name.
+    /// `request`: the caller's name for the request. If it is empty, nothing is logged.
     request_log(std::string request, time_point arrived);
 
     void admitted(const request_info& info, const call_facts& facts) const;
     void sent(const send_attempt& attempt) const;
     void attempt_failed(const send_attempt& attempt, std::string_view reason, bool sent) const;
-    /// The node gave the sending up.
+    /// The node has cancelled the attempt.
     void attempt_cancelled(const send_attempt& attempt, cancel_reason why, bool sent) const;
-    /// The HTTP client sent it to the same server again, since a kept connection was closed.
+    /// The HTTP client has sent the request to the same server again, because the server had closed
+    /// a kept-alive connection.
     void attempt_repeated(const send_attempt& attempt) const;
     void refused(const refuse& cmd, unsigned status) const;
-    /// `max_event_gap`: between two parts of the answer.
+    /// `max_event_gap`: the longest time between two writes of events.
     void finished(unsigned status, std::uint64_t events, duration time_to_first_byte,
                   duration max_event_gap) const;
     void cut(const error& why, std::uint64_t events) const;
--- a/daemon/sse.cc
+++ b/daemon/sse.cc
@@ -2,14 +2,15 @@
 
 #include <charconv>
 
-// Only the framing is read here; the JSON of an event is left to Boost.JSON. A line may end in LF,
-// CRLF or CR; an event ends at the first empty line. Each byte is looked at once.
+// The splitter reads only the framing; the JSON in an event is parsed by Boost.JSON. A line may end
+// in LF, CRLF or CR; an event ends at the first empty line. m_scanned ensures that the search
+// doesn't start over with each piece.
 
 namespace jaynotch {
 
 namespace {
 
-/// The length of the line end at `at`, 0 if there is none.
+/// The length of the line ending at position `at`; 0 if there is none.
 std::size_t line_end(std::string_view text, std::size_t at)
 {
     if (at >= text.size())
@@ -44,7 +45,8 @@
         const std::size_t first = line_end(buffer, at);
         if (first == 0)
             continue;
-        // The byte after a CR decides whether it is one line end or two; wait for it.
+        // The next byte decides whether this CR is a line ending of its own or part of a CRLF, so
+        // the search waits for it.
         if (buffer[at] == '\r' && at + 1 == buffer.size()) {
             m_scanned = at;
             return std::nullopt;
@@ -113,7 +115,7 @@
 
 bool is_done_event(std::string_view event)
 {
-    // The mark is short; a longer event can't be it and isn't copied.
+    // The terminal mark is short. Longer events are excluded without copying their data.
     static constexpr std::size_t max_mark_event_bytes = 64;
     return event.size() <= max_mark_event_bytes && sse_data(event) == done_mark;
 }
@@ -132,7 +134,7 @@
     const auto* choices = object->if_contains("choices");
     const auto* list = choices == nullptr ? nullptr : choices->if_array();
     if (list == nullptr || list->empty())
-        return chunk; // a chunk of usage figures has no choices
+        return chunk; // a chunk with usage statistics has no choices
     const auto* choice = list->front().if_object();
     if (choice == nullptr) {
         chunk.failed = true;
--- a/daemon/sse_fuzz.cc
+++ b/daemon/sse_fuzz.cc
@@ -1,4 +1,5 @@
-// Any bytes of an engine: the splitter holds at most its bound, and what comes out is what went in.
+// Feeds arbitrary bytes to the splitter, as an engine could send them, in pieces of arbitrary size.
+// No event may be empty, and no parser of events may crash.
 #include "daemon/sse.h"
 
 #include <cstdlib>
--- a/daemon/target_view.cc
+++ b/daemon/target_view.cc
@@ -1,6 +1,6 @@
-// A head opens only when every member was ready under the same name, epoch and list, which its
-// manager sees to. So a group whose head says that it is open was whole; what is left to judge here
-// is whether it still is.
+// The group's manager opens the head only when every member is ready with the same group name,
+// epoch and member list. So a group whose head is open was complete at that time, and it only has
+// to be checked here whether it still is.
 #include "daemon/target_view.h"
 
 #include <algorithm>
--- a/daemon/target_view.h
+++ b/daemon/target_view.h
@@ -1,4 +1,4 @@
-// Who of the registry may be sent requests, as targets of the request core.
+// The targets of the request core, as derived from the registry of backend servers.
 //
 //   const target_lists now = targets_of(registry, tables);
 #pragma once
@@ -19,8 +19,8 @@
     [[nodiscard]] bool same(const target_lists& other) const;
 };
 
-/// Heads of serving groups, and plain servers. A group that lacks a member by the registry's word
-/// stands still or soon will: it finishes what it has and gets nothing new.
+/// The heads of open groups, and the plain servers. A group with fewer members in the registry than
+/// its pool requires has stopped or soon will; it is marked as leaving, so it gets no new requests.
 target_lists targets_of(const groups::runner_registry& registry, const configuration& tables);
 
 } // namespace jaynotch
--- a/daemon/trace.cc
+++ b/daemon/trace.cc
@@ -2,8 +2,8 @@
 
 #include <algorithm>
 
-// Spans are kept until the next flush and written in one line. The buffer is bounded: under a
-// flood spans are dropped and counted, the requests go on.
+// Finished spans are buffered until the next flush, which writes them in one line. The buffer is
+// bounded: when it is full, spans are dropped and counted, and requests are not delayed.
 
 namespace jaynotch {
 
@@ -31,7 +31,8 @@
     if (value.is_bool())
         wrapped["boolValue"] = value;
     else if (value.is_int64() || value.is_uint64())
-        wrapped["intValue"] = boost::json::serialize(value); // OTLP/JSON: 64-bit numbers as text
+        wrapped["intValue"] =
+            boost::json::serialize(value); // OTLP/JSON has 64-bit integers as strings
     else if (value.is_double())
         wrapped["doubleValue"] = value;
     else
--- a/daemon/trace.h
+++ b/daemon/trace.h
@@ -1,12 +1,12 @@
-// Traces: one span for each hop of a request, W3C trace context in and out, written as lines of
-// OTLP/JSON.
+// Tracing: one span for each hop of a request. The context is read from and sent in W3C traceparent
+// headers; spans are written as lines of OTLP/JSON.
 //
-//   tracer spans{io, "-", node};
-//   span caller = spans.begin("caller", trace_context::from_header(traceparent));
-//   span attempt = spans.begin("attempt", caller.context);
+//   std::unique_ptr<tracer> spans = tracer::open("-", node, seed).value();
+//   span server = spans->begin("request", span_kind::server, trace_context::from_header(header));
+//   span attempt = spans->begin("attempt", span_kind::client, server.context);
 //   send("traceparent", attempt.context.header());
 //   attempt.set("target", address);
-//   spans.end(std::move(attempt));
+//   spans->end(std::move(attempt));
 #pragma once
 
 #include "base/base.h"
@@ -28,7 +28,7 @@
     std::string span;  ///< 16 hexadecimal digits
     bool sampled = true;
 
-    /// None if the header is absent or malformed; then a new trace begins.
+    /// nullopt if the header is missing or malformed; a new trace is started then.
     static std::optional<trace_context> from_header(std::string_view traceparent);
     [[nodiscard]] std::string header() const;
 };
@@ -46,7 +46,7 @@
     std::string parent; ///< span id, empty for a root
     span_kind kind = span_kind::internal;
     time_point started;
-    std::int64_t started_ms = 0; ///< since 1970
+    std::int64_t started_ms = 0; ///< Unix time
     std::vector<span_attribute> attributes;
     bool failed = false;
 
@@ -56,7 +56,7 @@
 
 class tracer {
 public:
-    /// `file`: "-" for standard error, empty for no spans (contexts are passed on all the same).
+    /// `file`: "-" for standard error; empty to write no spans (contexts are still passed on).
     static result<std::unique_ptr<tracer>> open(const std::string& file, const node_id& node,
                                                 std::uint64_t seed);
     ~tracer();
@@ -65,7 +65,7 @@
 
     span begin(std::string_view name, span_kind kind, const std::optional<trace_context>& parent);
     void end(span finished);
-    /// Writes what is held; the daemon's tick calls it.
+    /// Writes the buffered spans; the daemon calls it every second.
     void flush();
     [[nodiscard]] std::uint64_t dropped() const { return m_dropped; }
 
--- a/daemon/upstreams.cc
+++ b/daemon/upstreams.cc
@@ -31,7 +31,7 @@
     return found.client;
 }
 
-// VMs come and go under new addresses; without this the table would grow for ever.
+// Replaced VMs have new addresses, so without this the table would grow without limit.
 void upstreams::remove_unused(time_point now)
 {
     m_last_sweep = now;
--- a/daemon/upstreams.h
+++ b/daemon/upstreams.h
@@ -1,7 +1,7 @@
-// HTTP clients of backend servers, one for each address, made when first needed.
+// HTTP clients for backend servers: one per address, created on first use and removed when unused.
 //
-//   upstreams servers{io, limits, timeouts};
-//   http_client& client = servers.at("10.1.0.7:9000");
+//   upstreams servers{io, settings};
+//   std::shared_ptr<http_client> client = servers.at("10.1.0.7:9000");
 #pragma once
 
 #include "base/base.h"
@@ -20,7 +20,7 @@
 public:
     upstreams(boost::asio::io_context& io, const daemon_settings& settings);
 
-    /// Holds the client while a call on it runs.
+    /// The caller must keep the pointer while a call on the client runs.
     std::shared_ptr<http_client> at(const std::string& address);
 
 private:
