--- a/daemon/http_server_fuzz.cc
+++ b/daemon/http_server_fuzz.cc
@@ -1,5 +1,5 @@
 // Sends arbitrary bytes to the HTTP server over a socket, as a caller could. The server must answer
-// or close the connection, and must release it once the caller has closed its side.
+// or close the connection, and must release it within 2 s after the caller has closed its side.
 #include "daemon/model_request.h"
 #include "http/http_server.h"
 
--- a/daemon/proxy_bench.cc
+++ b/daemon/proxy_bench.cc
@@ -274,20 +274,20 @@
 public:
     explicit bench_fleet(duration token_interval = 10ms)
     {
-        platform.on([this, token_interval] {
+        platform_worker.on([this, token_interval] {
             standin_fleet_settings settings;
             settings.engines = 0;
             settings.fabric_domains = 1;
-            fleet = standin_fleet::start(platform.io.get_executor(), settings).value();
-            plain = std::make_unique<fast_server>(platform.io);
+            fleet = standin_fleet::start(platform_worker.io.get_executor(), settings).value();
+            plain = std::make_unique<fast_server>(platform_worker.io);
             for (int index = 0; index < 2; ++index) {
                 engines.push_back(std::make_unique<paced_engine>(
-                    platform.io, "vm-" + std::to_string(index), token_interval));
+                    platform_worker.io, "vm-" + std::to_string(index), token_interval));
                 fleet->vms().put(engines.back()->entry());
             }
             return true;
         });
-        entry.on([this] {
+        daemon_worker.on([this] {
             daemon_settings made;
             made.node = node_id{"bench"};
             made.failure_domain = failure_domain_id{"a"};
@@ -297,7 +297,7 @@
             made.vm_list = fleet->vms().address();
             made.timeouts.order_horizon = 1200ms;
             made.admission = false;
-            node = daemon::create(entry.io, made).value();
+            node = daemon::create(daemon_worker.io, made).value();
             node->start();
             port = node->listen_port();
             admin = node->admin_port();
@@ -305,7 +305,7 @@
         });
         apply();
         for (int round = 0; round < 2000; ++round) {
-            if (entry.on([this] { return node->complete_groups() == 2; }))
+            if (daemon_worker.on([this] { return node->complete_groups() == 2; }))
                 return;
             std::this_thread::sleep_for(10ms);
         }
@@ -313,13 +313,13 @@
     }
     ~bench_fleet()
     {
-        entry.on([this] {
+        daemon_worker.on([this] {
             node.reset();
             return true;
         });
-        callers.stop();
-        entry.stop();
-        platform.stop();
+        caller_worker.stop();
+        daemon_worker.stop();
+        platform_worker.stop();
     }
     bench_fleet(const bench_fleet&) = delete;
     bench_fleet& operator=(const bench_fleet&) = delete;
@@ -329,9 +329,9 @@
         return parse_endpoint(plain->address()).value().port();
     }
 
-    worker platform;
-    worker entry;
-    worker callers;
+    worker platform_worker;
+    worker daemon_worker;
+    worker caller_worker;
     std::shared_ptr<standin_fleet> fleet;
     std::unique_ptr<fast_server> plain;
     std::vector<std::unique_ptr<paced_engine>> engines;
@@ -376,12 +376,12 @@
     bench_fleet fleet;
     const auto connections = static_cast<std::size_t>(state.range(0));
     constexpr std::size_t each = 2'000;
-    measure(fleet.callers, fleet.port, connections, each / 10);
+    measure(fleet.caller_worker, fleet.port, connections, each / 10);
     for (auto _ : state) {
-        const latency direct = measure(fleet.callers, fleet.direct_port(), connections, each);
-        const double before = fleet.entry.seconds();
-        const latency relayed = measure(fleet.callers, fleet.port, connections, each);
-        const double cpu_seconds = fleet.entry.seconds() - before;
+        const latency direct = measure(fleet.caller_worker, fleet.direct_port(), connections, each);
+        const double before = fleet.daemon_worker.seconds();
+        const latency relayed = measure(fleet.caller_worker, fleet.port, connections, each);
+        const double cpu_seconds = fleet.daemon_worker.seconds() - before;
         const auto count = static_cast<double>(connections * each);
         state.counters["direct_median_us"] = direct.median * 1e6;
         state.counters["added_median_us"] = (relayed.median - direct.median) * 1e6;
@@ -436,28 +436,30 @@
     for (auto _ : state) {
         const auto complete = std::make_shared<std::atomic<std::size_t>>(0);
         const auto finished = std::make_shared<std::atomic<std::size_t>>(0);
-        const double before = fleet.entry.seconds();
-        const double standin_before = fleet.platform.seconds();
-        const double callers_before = fleet.callers.seconds();
+        const double before = fleet.daemon_worker.seconds();
+        const double standin_before = fleet.platform_worker.seconds();
+        const double callers_before = fleet.caller_worker.seconds();
         const auto began = std::chrono::steady_clock::now();
         for (std::size_t index = 0; index < streams; ++index)
-            asio::co_spawn(fleet.callers.io,
+            asio::co_spawn(fleet.caller_worker.io,
                            read_stream(fleet.port, bench_tokens, complete, finished),
                            asio::detached);
         while (finished->load() < streams)
             std::this_thread::sleep_for(1ms);
         const std::chrono::duration<double> took = std::chrono::steady_clock::now() - began;
-        const double cpu_seconds = fleet.entry.seconds() - before;
+        const double cpu_seconds = fleet.daemon_worker.seconds() - before;
         const auto count = static_cast<double>(
-            fleet.entry.on([&] { return fleet.node->counts().tokens_relayed; }));
+            fleet.daemon_worker.on([&] { return fleet.node->counts().tokens_relayed; }));
         state.counters["offered_s"] =
             static_cast<double>(streams) / std::chrono::duration<double>{token_interval}.count();
         state.counters["whole"] = static_cast<double>(complete->load());
         state.counters["tokens_s"] = count / took.count();
         state.counters["tokens_s_per_core"] = count / cpu_seconds;
         state.counters["daemon_busy"] = cpu_seconds / took.count();
-        state.counters["engines_busy"] = (fleet.platform.seconds() - standin_before) / took.count();
-        state.counters["callers_busy"] = (fleet.callers.seconds() - callers_before) / took.count();
+        state.counters["engines_busy"] =
+            (fleet.platform_worker.seconds() - standin_before) / took.count();
+        state.counters["callers_busy"] =
+            (fleet.caller_worker.seconds() - callers_before) / took.count();
     }
 }
 BENCHMARK(tokens_through_one_node)
--- a/daemon/relay.cc
+++ b/daemon/relay.cc
@@ -97,15 +97,15 @@
         m_log.sent(*send_command);
         m_attempts.emplace(send_command->attempt, attempt);
     }
-    else if (const auto* order_deliver = std::get_if<deliver>(&cmd)) {
-        const auto found = m_attempts.find(order_deliver->attempt);
+    else if (const auto* deliver_command = std::get_if<deliver>(&cmd)) {
+        const auto found = m_attempts.find(deliver_command->attempt);
         if (found != m_attempts.end())
             found->second->delivering = true;
     }
-    else if (const auto* order_cancel = std::get_if<cancel_attempt>(&cmd)) {
-        const auto found = m_attempts.find(order_cancel->attempt);
+    else if (const auto* cancel_command = std::get_if<cancel_attempt>(&cmd)) {
+        const auto found = m_attempts.find(cancel_command->attempt);
         if (found != m_attempts.end())
-            cancel_on_command(*found->second, order_cancel->reason);
+            cancel_on_command(*found->second, cancel_command->reason);
     }
 }
 
--- a/daemon/relay_attempt.cc
+++ b/daemon/relay_attempt.cc
@@ -82,7 +82,7 @@
     for (;;) {
         const result<std::string> piece = co_await answer.read(drain_timeout);
         if (!piece || !piece.value().empty())
-            break; // data after the terminal mark: the engine answered twice
+            break; // an error, or data after the terminal mark: an engine that answers twice
         if (piece.value().empty())
             co_return;
     }
--- a/daemon/relay_forward.cc
+++ b/daemon/relay_forward.cc
@@ -103,7 +103,7 @@
     if (facts.running && !facts.did_not_run)
         m_services.driver.handle(
             load_seen{attempt.send_command.target, {*facts.running, facts.waiting, 0.0}, {}});
-    note_limit(attempt, facts);
+    report_limit(attempt, facts);
     const bool unsealed = is_success(answer.status()) && !facts.sealed;
     if (unsealed || !answer.header("Content-Encoding").empty()) {
         report_failure(attempt, attempt_failure::protocol);
@@ -120,7 +120,7 @@
 }
 
 /// Reports the rate limit that an answer of any status states, or that it states none.
-void relay_request::impl::note_limit(const attempt_state& attempt, const answer_facts& facts)
+void relay_request::impl::report_limit(const attempt_state& attempt, const answer_facts& facts)
 {
     if (facts.wrong_instance)
         return; // the limit is of another server
--- a/daemon/relay_way.h
+++ b/daemon/relay_way.h
@@ -27,7 +27,7 @@
 struct attempt_state {
     send_attempt send_command;
     span client_span;
-    boost::asio::cancellation_signal cancel_signal; ///< until `stream` is set
+    boost::asio::cancellation_signal cancel_signal; ///< cancels it while `stream` is null
     http_stream* stream = nullptr;                  ///< the answer, while its body is read
     bool sent = false;                              ///< a byte of it may have left
     bool cancelled = false;
@@ -108,7 +108,7 @@
     // relay_forward.cc
     net::awaitable<void> forward(attempt_state& attempt);
     http_request build_forwarded_request(const attempt_state& attempt) const;
-    void note_limit(const attempt_state& attempt, const answer_facts& facts);
+    void report_limit(const attempt_state& attempt, const answer_facts& facts);
     bool report_forwarded_head(attempt_state& attempt, const http_stream& answer,
                                const answer_facts& facts, delivery_mode mode);
     net::awaitable<void> forward_events(attempt_state& attempt, http_stream& answer,
@@ -140,9 +140,9 @@
     duration m_time_to_first_byte{0};         ///< since the request arrived
     time_point m_last_events_at;              ///< when events were last written
     duration m_max_event_gap{0};              ///< between two writes of events
-    bool m_streaming_events = false;          ///< the head of a stream has been sent
-    bool m_writing = false;                   ///< a write to the caller is pending
-    bool m_any_attempt_sent = false;          ///< some attempt may have reached a backend server
+    bool m_streaming_events = false; ///< the answer to the caller is a stream, and has begun
+    bool m_writing = false;          ///< a write to the caller is pending
+    bool m_any_attempt_sent = false; ///< some attempt may have reached a backend server
 };
 
 } // namespace jaynotch
