--- a/daemon/plain_watch.cc
+++ b/daemon/plain_watch.cc
@@ -5,19 +5,20 @@
 #include <boost/asio/redirect_error.hpp>
 #include <boost/asio/use_awaitable.hpp>
 
-// That a server leaves is believed at once, from anyone; that it has come back only from a probe
-// of one's own or from silence: while a server leaves its watchers repeat it, so silence for
-// several of their periods means that it has ceased to.
+// A report that a server is leaving takes effect at once, whoever sends it. A server counts as back
+// only after a probe by this node, or when reports have ceased: the watchers of a leaving server
+// repeat their report every publish_interval, so none during leaving_ttl, which is several of these
+// intervals, means that the server is no longer leaving.
 
 namespace jaynotch {
 
 namespace {
 
-constexpr duration period = std::chrono::seconds{1};
+constexpr duration probe_interval = std::chrono::seconds{1};
 constexpr duration probe_timeout = std::chrono::milliseconds{800};
-constexpr duration repeat_after = std::chrono::seconds{4};
-constexpr duration believed_for = std::chrono::seconds{20};
-constexpr std::size_t watchers = 2;
+constexpr duration publish_interval = std::chrono::seconds{4};
+constexpr duration leaving_ttl = std::chrono::seconds{20};
+constexpr std::size_t watchers_per_server = 2;
 
 } // namespace
 
@@ -25,8 +26,8 @@
 public:
     struct row {
         bool leaving = false;
-        time_point last_word{};
-        time_point last_told{};
+        time_point last_report{};
+        time_point last_published{};
         bool probing = false;
     };
 
@@ -39,25 +40,25 @@
     {
         const auto self = shared_from_this();
         while (!m_stopped) {
-            look();
+            probe_assigned();
             boost::system::error_code ignored;
-            m_timer.expires_after(period);
+            m_timer.expires_after(probe_interval);
             co_await m_timer.async_wait(
                 boost::asio::redirect_error(boost::asio::use_awaitable, ignored));
         }
     }
 
-    void look()
+    void probe_assigned()
     {
         const std::vector<std::string> nodes = m_hooks.live_nodes();
         const time_point now = runtime_clock::now();
         for (auto& [server, known] : m_rows) {
-            if (known.leaving && now - known.last_word > believed_for)
-                set(server, known, false);
-            bool mine = false;
-            for (const std::size_t index : rendezvous(server, nodes, watchers))
-                mine = mine || nodes[index] == m_self.value();
-            if (!mine || known.probing)
+            if (known.leaving && now - known.last_report > leaving_ttl)
+                set_leaving(server, known, false);
+            bool assigned = false;
+            for (const std::size_t index : rendezvous(server, nodes, watchers_per_server))
+                assigned = assigned || nodes[index] == m_self.value();
+            if (!assigned || known.probing)
                 continue;
             known.probing = true;
             boost::asio::co_spawn(m_io, probe(server), boost::asio::detached);
@@ -79,38 +80,38 @@
         found->second.probing = false;
         if (!answer)
             co_return;
-        const bool says =
+        const bool is_leaving =
             answer.value().status == boost::beast::http::status::service_unavailable ||
             !answer.value().header("jaynotch-leaving").empty();
-        if (says)
-            said(server);
+        if (is_leaving)
+            announced(server);
         else
-            set(server, found->second, false);
+            set_leaving(server, found->second, false);
     }
 
-    void said(const std::string& server)
+    void announced(const std::string& server)
     {
         const auto found = m_rows.find(server);
         if (found == m_rows.end())
             return;
         const time_point now = runtime_clock::now();
-        if (!found->second.leaving || now - found->second.last_told > repeat_after) {
-            found->second.last_told = now;
+        if (!found->second.leaving || now - found->second.last_published > publish_interval) {
+            found->second.last_published = now;
             m_hooks.publish(server);
         }
-        heard(server);
+        reported(server);
     }
 
-    void heard(const std::string& server)
+    void reported(const std::string& server)
     {
         const auto found = m_rows.find(server);
         if (found == m_rows.end())
             return;
-        found->second.last_word = runtime_clock::now();
-        set(server, found->second, true);
+        found->second.last_report = runtime_clock::now();
+        set_leaving(server, found->second, true);
     }
 
-    void set(const std::string& server, row& known, bool leaving)
+    void set_leaving(const std::string& server, row& known, bool leaving)
     {
         if (known.leaving == leaving)
             return;
@@ -162,14 +163,14 @@
     m_impl->m_rows = std::move(next);
 }
 
-void plain_watch::said(const std::string& server)
+void plain_watch::announced(const std::string& server)
 {
-    m_impl->said(server);
+    m_impl->announced(server);
 }
 
-void plain_watch::heard(const std::string& server)
+void plain_watch::reported(const std::string& server)
 {
-    m_impl->heard(server);
+    m_impl->reported(server);
 }
 
 bool plain_watch::leaving(const std::string& server) const
