--- a/daemon/admin.cc
+++ b/daemon/admin.cc
@@ -11,16 +11,16 @@
 
 namespace {
 
-constexpr std::size_t longest_apply = 8 * 1024 * 1024;
+constexpr std::size_t max_apply_bytes = 8 * 1024 * 1024;
 
-std::string text_of(const boost::json::object& body, std::string_view name)
+std::string string_field(const boost::json::object& body, std::string_view name)
 {
     const auto* value = body.if_contains(name);
     return value != nullptr && value->is_string() ? std::string{value->get_string()}
                                                   : std::string{};
 }
 
-result<change_request> read_change(std::string_view text)
+result<change_request> parse_change_request(std::string_view text)
 {
     boost::system::error_code failed;
     const boost::json::value parsed =
@@ -31,11 +31,11 @@
                      "\"change_id\"}"};
     const boost::json::object& body = parsed.get_object();
     change_request change;
-    change.routes_toml = text_of(body, "routes");
-    change.pools_toml = text_of(body, "pools");
-    change.author = text_of(body, "author");
-    change.message = text_of(body, "message");
-    change.change_id = text_of(body, "change_id");
+    change.routes_toml = string_field(body, "routes");
+    change.pools_toml = string_field(body, "pools");
+    change.author = string_field(body, "author");
+    change.message = string_field(body, "message");
+    change.change_id = string_field(body, "change_id");
     const auto* base = body.if_contains("base_revision");
     if (base != nullptr && base->is_int64())
         change.base = config_revision{base->get_int64()};
@@ -114,12 +114,12 @@
 
 net::awaitable<void> admin_pages::apply(http_exchange& exchange)
 {
-    const result<std::string> body = co_await exchange.read_body(longest_apply);
+    const result<std::string> body = co_await exchange.read_body(max_apply_bytes);
     if (!body) {
         co_await answer_error(exchange, body.error());
         co_return;
     }
-    result<change_request> change = read_change(body.value());
+    result<change_request> change = parse_change_request(body.value());
     if (!change) {
         co_await answer_error(exchange, change.error());
         co_return;
@@ -137,7 +137,7 @@
     co_await answer_json(exchange, page);
 }
 
-net::awaitable<result<configuration>> admin_pages::tables_at(std::string revision)
+net::awaitable<result<configuration>> admin_pages::configuration_at(std::string revision)
 {
     if (revision.empty()) {
         const std::shared_ptr<const configuration> now = m_sources.config.current();
@@ -160,7 +160,7 @@
 
 net::awaitable<void> admin_pages::show_config(http_exchange& exchange)
 {
-    const result<configuration> tables = co_await tables_at(exchange.query("revision"));
+    const result<configuration> tables = co_await configuration_at(exchange.query("revision"));
     if (!tables) {
         co_await answer_error(exchange, tables.error());
         co_return;
@@ -196,8 +196,8 @@
 
 net::awaitable<void> admin_pages::show_diff(http_exchange& exchange)
 {
-    const result<configuration> from = co_await tables_at(exchange.query("from"));
-    const result<configuration> to = co_await tables_at(exchange.query("to"));
+    const result<configuration> from = co_await configuration_at(exchange.query("from"));
+    const result<configuration> to = co_await configuration_at(exchange.query("to"));
     if (!from || !to) {
         co_await answer_error(exchange, from ? to.error() : from.error());
         co_return;
@@ -249,7 +249,7 @@
 boost::json::object admin_pages::groups_page() const
 {
     boost::json::array rows;
-    for (const known_group& one : m_sources.groups.known()) {
+    for (const assigned_group& one : m_sources.groups.assigned_groups()) {
         boost::json::array members;
         for (const groups::member& vm : one.assigned.members)
             members.push_back(boost::json::object{{"vm", vm.vm.value()},
--- a/daemon/admin.h
+++ b/daemon/admin.h
@@ -39,7 +39,7 @@
     net::awaitable<void> show_config(http_exchange& exchange);
     net::awaitable<void> show_history(http_exchange& exchange);
     net::awaitable<void> show_diff(http_exchange& exchange);
-    net::awaitable<result<configuration>> tables_at(std::string revision);
+    net::awaitable<result<configuration>> configuration_at(std::string revision);
     [[nodiscard]] boost::json::object status_page() const;
     [[nodiscard]] boost::json::object nodes_page() const;
     [[nodiscard]] boost::json::object groups_page() const;
--- a/daemon/daemon.cc
+++ b/daemon/daemon.cc
@@ -19,7 +19,7 @@
 
 constexpr duration second = std::chrono::seconds{1};
 /// Within it the tickets of complete groups have come round from the peers.
-constexpr duration longest_warm_up = std::chrono::seconds{10};
+constexpr duration max_warm_up = std::chrono::seconds{10};
 
 etcd_settings key_value_settings(const daemon_settings& settings)
 {
@@ -40,11 +40,11 @@
 
 result<void> daemon::impl::open()
 {
-    const std::uint64_t seed = drawn_seed(settings);
+    const std::uint64_t seed = seed_or_random(settings);
     BOOST_OUTCOME_TRY(spans, tracer::open(settings.trace_file, settings.node, seed ^ 1U));
     BOOST_OUTCOME_TRY(peers, peer_service::create(io, peer_settings_of(settings, seed ^ 2U)));
     BOOST_OUTCOME_TRY(open_cores(seed));
-    tie_together();
+    connect_parts();
     return open_ports();
 }
 
@@ -63,7 +63,7 @@
     hooks.on_released = [](const released& gone) {
         log_event(log_level::info, "target_released", {{"target", gone.target.value()}});
     };
-    hooks.on_share_demand = [this](const share_demand& own) { tell_demand(own); };
+    hooks.on_share_demand = [this](const share_demand& own) { publish_demand(own); };
     requests = std::make_unique<request_driver>(io, std::move(core), kv, std::move(hooks));
     return success();
 }
@@ -74,7 +74,7 @@
                                      settings.caller_tls};
     BOOST_OUTCOME_TRY(caller_server, http_server::open(io, settings.listen, for_callers,
                                                        [this](http_exchange& exchange) {
-                                                           return calls->serve(exchange);
+                                                           return caller_front->serve(exchange);
                                                        }));
     http_server_settings for_operators{settings.timeouts.http, settings.limits.http,
                                        settings.admin_tls};
@@ -125,7 +125,7 @@
     const auto is_model = [](const pool& row) { return row.kind == pool_kind::model; };
     const bool groups_wanted =
         tables && std::any_of(tables->pools.begin(), tables->pools.end(), is_model);
-    return groups_wanted && m_pushed.empty() && runtime_clock::now() - m_started < longest_warm_up;
+    return groups_wanted && m_pushed.empty() && runtime_clock::now() - m_started < max_warm_up;
 }
 
 net::awaitable<void> daemon::impl::stop()
@@ -134,19 +134,19 @@
     if (m_stopping)
         co_return;
     m_stopping = true;
-    const time_point until = runtime_clock::now() + settings.timeouts.longest_stop;
+    const time_point until = runtime_clock::now() + settings.timeouts.max_stop_time;
     log_event(log_level::info, "daemon_stopping", {{"in_flight", counts.in_flight}});
     caller_server->wind_down();
-    co_await sleep_for(io, settings.timeouts.balancer);
-    co_await finish_callers(io, *caller_server, counts, until);
-    const std::uint64_t cut_off = counts.in_flight;
+    co_await sleep_for(io, settings.timeouts.balancer_wait);
+    co_await drain_callers(io, *caller_server, counts, until);
+    const std::uint64_t unfinished = counts.in_flight;
     config->stop();
     co_await peers->leave();
     m_stopped = true;
     m_timer.cancel();
     admin_server->stop_accepting();
-    log_event(cut_off == 0 ? log_level::info : log_level::error, "daemon_stopped",
-              {{"in_flight", cut_off}});
+    log_event(unfinished == 0 ? log_level::info : log_level::error, "daemon_stopped",
+              {{"in_flight", unfinished}});
     abort();
 }
 
@@ -179,7 +179,7 @@
 daemon::~daemon()
 {
     m_impl->abort();
-    keep_for_calls(m_impl->io, m_impl);
+    keep_alive_for_pending_calls(m_impl->io, m_impl);
 }
 
 result<std::unique_ptr<daemon>> daemon::create(net::io_context& io, const daemon_settings& settings)
--- a/daemon/daemon.h
+++ b/daemon/daemon.h
@@ -72,14 +72,14 @@
 
 /// Reads flags and environment variables (JAYNOTCH_<FLAG>; a flag wins). `check_only` is set by
 /// --check-settings. Only `jaynotchd` calls it.
-struct started_with {
+struct startup_settings {
     daemon_settings settings;
     bool check_only = false;
 };
-result<started_with> settings_from_flags(int argc, char** argv);
+result<startup_settings> settings_from_flags(int argc, char** argv);
 
 /// Reads the platform's settings file again, for a daemon that was started with one. The flags hold
 /// on: they are parsed once in a process.
-result<daemon_settings> settings_read_again(daemon_settings running);
+result<daemon_settings> reload_settings(daemon_settings running);
 
 } // namespace jaynotch
--- a/daemon/daemon_events.cc
+++ b/daemon/daemon_events.cc
@@ -26,7 +26,7 @@
 
 } // namespace
 
-void daemon::impl::tie_together()
+void daemon::impl::connect_parts()
 {
     group_hooks for_groups;
     for_groups.on_changed = [this] { push_groups(); };
@@ -61,7 +61,7 @@
                                       [this](const target_id& id) { plain->said(id.value()); },
                                       [this](const group_id& group) { return may_get(group); },
                                       {}});
-    calls = std::make_unique<front>(*services, [this] {
+    caller_front = std::make_unique<front>(*services, [this] {
         return front_state{config->current(), m_stopping, warming_up()};
     });
     admin.reset(new admin_pages{admin_sources{
@@ -70,8 +70,8 @@
 
     config->on_installed(
         [this](std::shared_ptr<const configuration> tables) { install(std::move(tables)); });
-    peers->on_rumor([this](const rumor& heard) { take_rumor(heard); });
-    peers->on_member([this](const member& changed) { take_member(changed); });
+    peers->on_rumor([this](const rumor& heard) { handle_rumor(heard); });
+    peers->on_member([this](const member& changed) { handle_member_change(changed); });
     peers->on_superseded([this] {
         log_event(log_level::error, "daemon_superseded",
                   {{"remedy", "give each daemon its own --node"}});
@@ -116,19 +116,19 @@
     return found != m_valid_until.end() && runtime_clock::now() < found->second;
 }
 
-void daemon::impl::take_rumor(const rumor& heard)
+void daemon::impl::handle_rumor(const rumor& heard)
 {
     if (const auto* ticket = std::get_if<ticket_digest>(&heard))
-        groups->take_ticket(*ticket);
+        groups->handle_ticket(*ticket);
     else if (const auto* newer = std::get_if<key_notice>(&heard))
-        groups->take_notice(*newer);
+        groups->handle_key_notice(*newer);
     else if (const auto* wanted = std::get_if<demand>(&heard))
-        take_demand(*wanted);
+        handle_demand(*wanted);
     else if (const auto* gone = std::get_if<leaving>(&heard))
         plain->heard(gone->server);
 }
 
-void daemon::impl::take_demand(const demand& heard)
+void daemon::impl::handle_demand(const demand& heard)
 {
     const auto pool_name = m_pools_by_key.find(heard.pool);
     const auto workspace = m_workspaces_by_key.find(heard.workspace);
@@ -151,7 +151,7 @@
     }
 }
 
-void daemon::impl::tell_demand(const share_demand& own)
+void daemon::impl::publish_demand(const share_demand& own)
 {
     for (const demand_row& row : own.rows) {
         demand told;
@@ -162,7 +162,7 @@
     }
 }
 
-void daemon::impl::take_member(const member& changed)
+void daemon::impl::handle_member_change(const member& changed)
 {
     if (changed.live() || changed.node == settings.node)
         return;
--- a/daemon/daemon_impl.h
+++ b/daemon/daemon_impl.h
@@ -53,7 +53,7 @@
     std::unique_ptr<group_driver> groups;
     std::unique_ptr<plain_watch> plain;
     std::unique_ptr<relay_services> services;
-    std::unique_ptr<front> calls;
+    std::unique_ptr<front> caller_front;
     std::unique_ptr<admin_pages> admin;
     std::unique_ptr<http_server> caller_server;
     std::unique_ptr<http_server> admin_server;
@@ -66,23 +66,23 @@
     net::awaitable<void> housekeeping();
 
     // daemon_events.cc
-    void tie_together();
+    void connect_parts();
     void install(std::shared_ptr<const configuration> tables);
     void push_groups();
-    void take_rumor(const rumor& heard);
-    void take_demand(const demand& heard);
-    void tell_demand(const share_demand& own);
-    void take_member(const member& changed);
+    void handle_rumor(const rumor& heard);
+    void handle_demand(const demand& heard);
+    void publish_demand(const share_demand& own);
+    void handle_member_change(const member& changed);
     [[nodiscard]] bool may_get(const group_id& group) const;
     [[nodiscard]] std::string metrics_page();
 
-    struct peer_rows {
+    struct peer_demand_rows {
         std::map<std::pair<pool_id, workspace_id>, std::pair<demand_row, time_point>> rows;
     };
 
     std::vector<groups::complete_group> m_pushed;
     std::unordered_map<group_id, time_point> m_valid_until;
-    std::unordered_map<node_id, peer_rows> m_demand;
+    std::unordered_map<node_id, peer_demand_rows> m_demand;
     std::unordered_map<std::uint32_t, pool_id> m_pools_by_key;
     std::unordered_map<std::uint32_t, workspace_id> m_workspaces_by_key;
     time_point m_started;
--- a/daemon/daemon_setup.cc
+++ b/daemon/daemon_setup.cc
@@ -9,12 +9,12 @@
 
 namespace {
 
-constexpr duration longest_call = std::chrono::seconds{5};
-constexpr duration stop_poll = std::chrono::milliseconds{20};
+constexpr duration max_call_time = std::chrono::seconds{5};
+constexpr duration drain_poll_interval = std::chrono::milliseconds{20};
 
 } // namespace
 
-std::uint64_t drawn_seed(const daemon_settings& settings)
+std::uint64_t seed_or_random(const daemon_settings& settings)
 {
     if (settings.seed != 0)
         return settings.seed;
@@ -55,12 +55,12 @@
     co_await pause.async_wait(net::redirect_error(net::use_awaitable, ignored));
 }
 
-net::awaitable<void> finish_callers(net::io_context& io, http_server& server,
-                                    const daemon_counts& counts, time_point until)
+net::awaitable<void> drain_callers(net::io_context& io, http_server& server,
+                                   const daemon_counts& counts, time_point until)
 {
     server.stop_accepting();
     while ((counts.in_flight > 0 || server.connections() > 0) && runtime_clock::now() < until) {
-        co_await sleep_for(io, stop_poll);
+        co_await sleep_for(io, drain_poll_interval);
     }
 }
 
@@ -73,9 +73,9 @@
         ask();
 }
 
-void keep_for_calls(net::io_context& io, std::shared_ptr<const void> parts)
+void keep_alive_for_pending_calls(net::io_context& io, std::shared_ptr<const void> parts)
 {
-    const auto pause = std::make_shared<timer>(io, longest_call);
+    const auto pause = std::make_shared<timer>(io, max_call_time);
     pause->async_wait([kept = std::move(parts), pause](boost::system::error_code) {});
 }
 
--- a/daemon/daemon_setup.h
+++ b/daemon/daemon_setup.h
@@ -18,19 +18,19 @@
 namespace jaynotch {
 
 /// The setting, or drawn anew if it is 0.
-std::uint64_t drawn_seed(const daemon_settings& settings);
+std::uint64_t seed_or_random(const daemon_settings& settings);
 peer_settings peer_settings_of(const daemon_settings& settings, std::uint64_t seed);
 core_settings core_settings_of(const daemon_settings& settings, std::uint64_t incarnation);
 
 net::awaitable<void> sleep_for(net::io_context& io, duration time);
 /// Takes no new connections and waits until those that are open have ended, `until` at the latest.
-net::awaitable<void> finish_callers(net::io_context& io, http_server& server,
-                                    const daemon_counts& counts, time_point until);
+net::awaitable<void> drain_callers(net::io_context& io, http_server& server,
+                                   const daemon_counts& counts, time_point until);
 /// Every request whose caller takes no bytes says so to the core; to be called each second.
 void ask_slow_callers(const relay_services& services);
 /// Calls under way use the parts until they end: keeps them for longer than any of them takes once
 /// every connection is closed, or until the io_context goes.
-void keep_for_calls(net::io_context& io, std::shared_ptr<const void> parts);
+void keep_alive_for_pending_calls(net::io_context& io, std::shared_ptr<const void> parts);
 
 /// What a daemon of any form can tell; the rest of the fields is the caller's.
 gauges common_gauges(const daemon_counts& counts, const http_server& callers,
--- a/daemon/daemon_test.cc
+++ b/daemon/daemon_test.cc
@@ -63,12 +63,12 @@
 
 // The whole path: an operator applies two tables, groups form and load, a caller gets the whole
 // streamed answer to its own prompt.
-Test(daemon, a_streamed_answer_comes_through_whole, .timeout = 60)
+Test(daemon, a_streamed_answer_arrives_complete, .timeout = 60)
 {
     served_fleet fleet;
     const caller_answer answer = fleet.ask(0, chat("which ducts", 20));
     cr_assert_eq(answer.status, 200, "%d %s", answer.status, answer.body.c_str());
-    cr_assert(answer.whole && answer.done(), "%s", answer.body.c_str());
+    cr_assert(answer.complete && answer.done(), "%s", answer.body.c_str());
     const caller_answer again = fleet.ask(1, chat("which ducts", 20));
     cr_assert(!answer.text().empty());
     cr_assert_eq(answer.text(), again.text());
@@ -77,10 +77,10 @@
 
 // An engine's connection breaks in the middle of a stream. The caller sees one answer without a
 // seam: the rest comes from the other group, byte for byte what the first would have said.
-Test(daemon, a_stream_cut_short_goes_on_from_the_other_group, .timeout = 60)
+Test(daemon, a_broken_stream_continues_on_the_other_group, .timeout = 60)
 {
     served_fleet fleet;
-    const std::string whole = fleet.ask(0, chat("which ducts", 40)).text();
+    const std::string complete = fleet.ask(0, chat("which ducts", 40)).text();
     for (std::size_t index = 0; index < 4; ++index)
         fleet.platform().engine(index).apply({.cut_after = 7});
     auto pending = fleet.begin_at(0, chat("which ducts", 40));
@@ -89,20 +89,21 @@
         fleet.platform().engine(index).apply({.cut_after = 0});
     cr_assert(fleet.run_until([&] { return *pending.ended; }, 20s));
     cr_assert_eq(fleet.node(0).counts().resumed, 1U);
-    cr_assert(pending.answer->whole && pending.answer->done(), "%s", pending.answer->body.c_str());
-    cr_assert_eq(pending.answer->text(), whole);
+    cr_assert(pending.answer->complete && pending.answer->done(), "%s",
+              pending.answer->body.c_str());
+    cr_assert_eq(pending.answer->text(), complete);
 }
 
 // Every engine cuts every stream. The caller must be able to tell that its answer is not whole: an
 // error event, no terminal mark, no last chunk.
-Test(daemon, a_stream_that_can_t_go_on_is_not_taken_for_whole, .timeout = 60)
+Test(daemon, a_stream_that_cannot_continue_ends_as_incomplete, .timeout = 60)
 {
     served_fleet fleet;
     for (std::size_t index = 0; index < 4; ++index)
         fleet.platform().engine(index).apply({.cut_after = 3});
     const caller_answer answer = fleet.ask(0, chat("which ducts", 60));
     cr_assert_eq(answer.status, 200);
-    cr_assert(!answer.whole && !answer.done());
+    cr_assert(!answer.complete && !answer.done());
     cr_assert(answer.body.find("\"error\"") != std::string::npos, "%s", answer.body.c_str());
     cr_assert_eq(fleet.node(0).counts().cut, 1U);
 }
@@ -110,7 +111,7 @@
 // Engines answer twice, send wrong lengths, bytes that are no HTTP, nothing at all, or refuse. A
 // caller gets the whole right answer or a refusal, never anything between; and once the engines
 // are well the next request is served.
-Test(daemon, engines_that_misbehave_never_reach_the_caller, .timeout = 100)
+Test(daemon, faulty_engine_answers_never_reach_the_caller, .timeout = 100)
 {
     served_fleet fleet;
     const std::string right = fleet.ask(0, chat("which ducts", 10)).text();
@@ -125,9 +126,9 @@
             fleet.platform().engine(index).apply(on);
         for (const bool stream : {true, false}) {
             const caller_answer answer = fleet.ask(0, chat("which ducts", 10, stream));
-            const bool fine = answer.whole && answer.status == 200;
-            const bool refused = answer.whole && answer.status >= 400 && !answer.ran.empty();
-            const bool told = !answer.whole && !answer.done();
+            const bool fine = answer.complete && answer.status == 200;
+            const bool refused = answer.complete && answer.status >= 400 && !answer.ran.empty();
+            const bool told = !answer.complete && !answer.done();
             cr_assert(fine || refused || told, "%d %s", answer.status, answer.body.c_str());
             if (fine && stream)
                 cr_assert_eq(answer.text(), right);
@@ -142,7 +143,7 @@
 
 // An engine accepts a stream and then stalls. The request goes on elsewhere, or ends truthfully;
 // it does not hang.
-Test(daemon, a_stalled_engine_does_not_hold_its_caller, .timeout = 60)
+Test(daemon, a_stalled_engine_does_not_block_its_caller, .timeout = 60)
 {
     fixture_settings settings = two_groups();
     settings.adjust = [](daemon_settings& one) { one.timeouts.stream_stall = 500ms; };
@@ -161,13 +162,13 @@
 
 // A caller goes away in the middle of its stream, as a foreman who loses the signal does. The
 // engine stops generating for nobody.
-Test(daemon, a_caller_that_leaves_frees_the_engine, .timeout = 60)
+Test(daemon, a_disconnected_caller_frees_the_engine, .timeout = 60)
 {
     served_fleet fleet;
     caller_request request = chat("which ducts", 2000);
-    request.leave_after = 400;
+    request.disconnect_after = 400;
     const caller_answer answer = fleet.ask(0, request);
-    cr_assert(!answer.whole);
+    cr_assert(!answer.complete);
     const auto busy = [&] {
         std::uint32_t running = 0;
         for (std::size_t index = 0; index < 4; ++index)
@@ -180,7 +181,7 @@
 
 // An operator stops one entry VM while an answer streams through it. The caller gets all of it; the
 // balancer is told; then the daemon ends.
-Test(daemon, a_graceful_stop_cuts_nothing, .timeout = 60)
+Test(daemon, a_graceful_stop_truncates_no_answer, .timeout = 60)
 {
     served_fleet fleet;
     auto pending = fleet.begin_at(0, chat("which ducts", 200));
@@ -192,17 +193,17 @@
     cr_assert(!fleet.node(0).ready());
     cr_assert(fleet.run_until([&] { return stopped; }, 20s));
     fleet.run_for(20ms);
-    cr_assert(*pending.ended && pending.answer->whole && pending.answer->done(), "%s",
+    cr_assert(*pending.ended && pending.answer->complete && pending.answer->done(), "%s",
               pending.answer->body.c_str());
     cr_assert_eq(fleet.ask(1, chat("which ducts", 200)).text(), pending.answer->text());
 }
 
 // Both entry VMs are restarted one after the other under load, as at an update. Callers use
 // whichever is ready, as a balancer does; none of them is cut or refused.
-Test(daemon, a_rolling_restart_under_load_cuts_nobody, .timeout = 100)
+Test(daemon, a_rolling_restart_under_load_truncates_no_answer, .timeout = 100)
 {
     fixture_settings settings = two_groups();
-    settings.adjust = [](daemon_settings& one) { one.timeouts.balancer = 300ms; };
+    settings.adjust = [](daemon_settings& one) { one.timeouts.balancer_wait = 300ms; };
     served_fleet fleet{settings};
     std::vector<fleet_fixture::pending_call> calls;
     bool loading = true;
@@ -237,7 +238,7 @@
         30s));
     std::size_t bad = 0;
     for (const auto& one : calls)
-        bad += one.answer->whole && one.answer->done() ? 0 : 1;
+        bad += one.answer->complete && one.answer->done() ? 0 : 1;
     cr_assert_gt(calls.size(), 50U);
     cr_assert_eq(bad, 0U, "%zu of %zu", bad, calls.size());
 }
@@ -274,7 +275,7 @@
 // A plain server answers another's request, closes early, sends a wrong length, no HTTP, or two
 // answers at once. A call that may not be repeated is sent once and its caller told the truth; the
 // second of two answers reaches nobody.
-Test(daemon, a_plain_server_that_misbehaves_is_told_truthfully, .timeout = 100)
+Test(daemon, faulty_plain_server_answers_are_reported_correctly, .timeout = 100)
 {
     const std::string head = "HTTP/1.1 200 OK\r\n";
     const std::vector<std::string> bad{
@@ -287,18 +288,18 @@
     };
     served_fleet fleet;
     for (const std::string& bytes : bad) {
-        odd_server server{fleet.io(), bytes, false};
+        fixed_reply_server server{fleet.io(), bytes, false};
         cr_assert(fleet.apply(fixture_routes(), fixture_pools(2, 2, {server.address()})));
         fleet.run_for(300ms);
         const caller_answer answer = fleet.ask(0, {.target = "/never/1", .body = "once"});
         const bool told = answer.status >= 500 && answer.ran == "unknown";
-        const bool cut = answer.status == 200 && !answer.whole;
+        const bool cut = answer.status == 200 && !answer.complete;
         cr_assert(told || cut, "%s: %d %s", bytes.c_str(), answer.status, answer.body.c_str());
         cr_assert(answer.body.find("alien") == std::string::npos || cut);
         cr_assert_eq(server.requests(), 1U);
     }
     const std::string one = head + "Content-Length: 3\r\n\r\n";
-    odd_server twice{fleet.io(), one + "one" + one + "two", true};
+    fixed_reply_server twice{fleet.io(), one + "one" + one + "two", true};
     cr_assert(fleet.apply(fixture_routes(), fixture_pools(2, 2, {twice.address()})));
     fleet.run_for(300ms);
     for (int round = 0; round < 4; ++round)
@@ -326,11 +327,11 @@
                        .headers = {{"jaynotch-deadline-ms", "soon"}}},
                       400));
     const caller_answer fine = fleet.ask(0, chat("a", 3));
-    cr_assert(fine.whole && fine.done());
+    cr_assert(fine.complete && fine.done());
 }
 
 // An archive is uploaded through the node, larger than it would hold, and a head is asked for.
-Test(daemon, plain_http_goes_through_in_full, .timeout = 60)
+Test(daemon, plain_http_is_relayed_completely, .timeout = 60)
 {
     served_fleet fleet;
     const std::string large(6'000'000, 'a');
@@ -344,7 +345,7 @@
 }
 
 // A plain server says that it is leaving. Within two seconds no node sends it anything new.
-Test(daemon, a_leaving_server_gets_nothing_new, .timeout = 60)
+Test(daemon, a_leaving_server_gets_no_new_requests, .timeout = 60)
 {
     served_fleet fleet;
     fleet.platform().plain(0).apply({.leaving = true});
--- a/daemon/flags.cc
+++ b/daemon/flags.cc
@@ -76,8 +76,8 @@
     timeouts.stream_stall = ms(FLAGS_stream_stall_ms);
     timeouts.upstream_idle = ms(FLAGS_upstream_idle_ms);
     timeouts.order_horizon = ms(FLAGS_order_horizon_ms);
-    timeouts.balancer = ms(FLAGS_balancer_wait_ms);
-    timeouts.longest_stop = ms(FLAGS_longest_stop_ms);
+    timeouts.balancer_wait = ms(FLAGS_balancer_wait_ms);
+    timeouts.max_stop_time = ms(FLAGS_longest_stop_ms);
     return timeouts;
 }
 
@@ -96,19 +96,19 @@
 }
 
 /// What a flag says, or what the settings file says if the flag was left at its default.
-std::string flag_or(const absl::Flag<std::string>& flag, const std::string& usual,
+std::string flag_or(const absl::Flag<std::string>& flag, const std::string& default_value,
                     const std::string& from_file)
 {
-    std::string said = absl::GetFlag(flag);
-    return said == usual ? from_file : said;
+    std::string given = absl::GetFlag(flag);
+    return given == default_value ? from_file : given;
 }
 
 /// Fills in what the platform's settings file says of this VM; flags go before it.
 result<void> read_site(const std::string& path, daemon_settings& chosen)
 {
-    constexpr std::string_view usual_admin_port = ":9464";
+    constexpr std::string_view default_admin_port = ":9464";
     BOOST_OUTCOME_TRY(const site_settings site, platform::read_settings(path));
-    chosen.form = source_form::registry;
+    chosen.source = source_kind::registry;
     chosen.node = node_id{flag_or(FLAGS_node, "", site.node.value())};
     chosen.failure_domain =
         failure_domain_id{flag_or(FLAGS_failure_domain, "", site.failure_domain.value())};
@@ -116,8 +116,8 @@
     chosen.listen = flag_or(FLAGS_listen, "127.0.0.1:8080", site.listen);
     chosen.peer_listen = flag_or(FLAGS_peer_listen, "127.0.0.1:8081", site.peer_listen);
     chosen.ready_listen = flag_or(FLAGS_ready_listen, "", site.ready_listen);
-    chosen.admin_listen =
-        flag_or(FLAGS_admin_listen, "127.0.0.1:8082", site.bind_ip + std::string{usual_admin_port});
+    chosen.admin_listen = flag_or(FLAGS_admin_listen, "127.0.0.1:8082",
+                                  site.bind_ip + std::string{default_admin_port});
     if (chosen.key_value.empty())
         chosen.key_value = {site.store};
     if (chosen.seed_peers.empty())
@@ -126,17 +126,17 @@
     chosen.site = site.bounds;
     // The kill comes at the bound: what is still in flight shortly before is cut in order.
     constexpr std::chrono::milliseconds before_kill{500};
-    chosen.timeouts.longest_stop =
-        std::min(chosen.timeouts.longest_stop, site.bounds.stop - before_kill);
+    chosen.timeouts.max_stop_time =
+        std::min(chosen.timeouts.max_stop_time, site.bounds.stop - before_kill);
     // Servers are a millisecond away; one that is dark costs its caller this much.
-    constexpr std::chrono::milliseconds longest_connect{400};
-    chosen.timeouts.connect = std::min(chosen.timeouts.connect, longest_connect);
+    constexpr std::chrono::milliseconds max_connect_time{400};
+    chosen.timeouts.connect = std::min(chosen.timeouts.connect, max_connect_time);
     return success();
 }
 
 } // namespace
 
-result<started_with> settings_from_flags(int argc, char** argv)
+result<startup_settings> settings_from_flags(int argc, char** argv)
 {
     absl::SetProgramUsageMessage(
         "jaynotchd: the daemon of one entry VM. Every flag may also be set as the environment "
@@ -148,7 +148,7 @@
     if (rest.size() > 1)
         return error{error_kind::invalid_argument, std::string{"unknown word "} + rest[1],
                      "write settings as --flag=value; `jaynotchd --help` lists them"};
-    started_with started;
+    startup_settings started;
     started.check_only = absl::GetFlag(FLAGS_check_settings);
     daemon_settings& chosen = started.settings;
     chosen.node = node_id{absl::GetFlag(FLAGS_node)};
@@ -180,7 +180,7 @@
     return started;
 }
 
-result<daemon_settings> settings_read_again(daemon_settings running)
+result<daemon_settings> reload_settings(daemon_settings running)
 {
     const std::string site_file = absl::GetFlag(FLAGS_settings);
     running.key_value.clear();
--- a/daemon/fleet_fixture.h
+++ b/daemon/fleet_fixture.h
@@ -36,12 +36,12 @@
 
 /// What a caller saw.
 struct caller_answer {
-    int status = 0;       ///< 0 if no header came
-    bool whole = false;   ///< by HTTP's framing
-    bool garbled = false; ///< bytes came that are no answer, by HTTP's framing
-    std::string body;     ///< as far as it came
-    std::string ran;      ///< the header jaynotch-ran
-    std::string headers;  ///< all of them, as text
+    int status = 0;         ///< 0 if no header came
+    bool complete = false;  ///< by HTTP's framing
+    bool malformed = false; ///< bytes came that are no answer, by HTTP's framing
+    std::string body;       ///< as far as it came
+    std::string ran;        ///< the header jaynotch-ran
+    std::string headers;    ///< all of them, as text
 
     /// The text of a chat stream; `done` if its terminal mark came.
     [[nodiscard]] std::string text() const
@@ -64,7 +64,7 @@
     std::string target;
     std::string body = {};
     std::vector<http_header> headers = {};
-    std::size_t leave_after = 0; ///< bytes of the body after which the caller goes; 0: stays
+    std::size_t disconnect_after = 0; ///< bytes of the body after which the caller goes; 0: stays
 };
 
 /// Sends one request over a connection of its own and reads its answer as far as it comes.
@@ -101,14 +101,14 @@
     while (!failed && !parser.is_done()) {
         co_await http::async_read_some(socket, buffer, parser,
                                        asio::redirect_error(asio::use_awaitable, failed));
-        if (request.leave_after > 0 && parser.get().body().size() >= request.leave_after)
+        if (request.disconnect_after > 0 && parser.get().body().size() >= request.disconnect_after)
             break;
     }
-    answer->whole = !failed && parser.is_done();
+    answer->complete = !failed && parser.is_done();
     const bool ended_early = failed == http::error::partial_message ||
                              failed == http::error::end_of_stream ||
                              failed == asio::error::connection_reset;
-    answer->garbled = failed && !ended_early;
+    answer->malformed = failed && !ended_early;
     answer->body = parser.get().body();
     answer->ran = std::string{parser.get()["jaynotch-ran"]};
     for (const auto& field : parser.get())
@@ -216,7 +216,7 @@
         made.vm_list = m_platform->vms().address();
         made.weight_store = m_platform->weights().address();
         made.timeouts.order_horizon = std::chrono::milliseconds{1200};
-        made.timeouts.balancer = std::chrono::milliseconds{50};
+        made.timeouts.balancer_wait = std::chrono::milliseconds{50};
         for (const auto& one : m_daemons) {
             if (one)
                 made.seed_peers.push_back("127.0.0.1:" + std::to_string(one->peer_port()));
@@ -234,10 +234,10 @@
 };
 
 /// A server that answers every request with given bytes, whatever they are worth.
-class odd_server {
+class fixed_reply_server {
 public:
     /// `hold`: the connection stays open after the bytes.
-    odd_server(boost::asio::io_context& io, std::string bytes, bool hold)
+    fixed_reply_server(boost::asio::io_context& io, std::string bytes, bool hold)
         : m_acceptor{io, {boost::asio::ip::make_address("127.0.0.1"), 0}}
     {
         boost::asio::co_spawn(io, run(m_acceptor, std::move(bytes), hold, m_requests),
--- a/daemon/formation_driver.cc
+++ b/daemon/formation_driver.cc
@@ -26,7 +26,7 @@
 /// Nodes asked for their word on a silent runner. Some cuts leave a tenth of the nodes on its side;
 /// six miss such a cut in one of two cases, and then the rule for heads that may live is not
 /// applied.
-constexpr std::size_t most_asked = 6;
+constexpr std::size_t max_peers_asked = 6;
 
 } // namespace
 
@@ -42,10 +42,10 @@
     {
         outage_hooks hooks;
         hooks.on_confirmed = [this](const failure_domain_id& domain, time_point asked) {
-            tell_domain(domain, groups::outage_confirmed{asked});
+            dispatch_to_domain(domain, groups::outage_confirmed{asked});
         };
-        hooks.on_conceded = [this](const failure_domain_id& domain) {
-            tell_domain(domain, groups::outage_conceded{});
+        hooks.on_outage_reported = [this](const failure_domain_id& domain) {
+            dispatch_to_domain(domain, groups::outage_conceded{});
         };
         hooks.manages = [this](const failure_domain_id& domain) {
             const auto found = managers.find(domain);
@@ -54,27 +54,27 @@
         outage = std::make_shared<outage_inquiry>(io, settings, kv, peers, std::move(hooks));
     }
 
-    void tell(const groups::formation_event& happened)
+    void dispatch(const groups::formation_event& event)
     {
         for (auto& [domain, manager] : managers)
-            tell_one(domain, manager, happened);
+            dispatch_to(domain, manager, event);
     }
 
-    void tell_one(const failure_domain_id& domain, groups::formation& manager,
-                  const groups::formation_event& happened)
+    void dispatch_to(const failure_domain_id& domain, groups::formation& manager,
+                     const groups::formation_event& event)
     {
-        if (stopped || given_up.contains(domain))
+        if (stopped || resigned.contains(domain))
             return;
-        const groups::formation_commands wanted = manager.handle(happened, runtime_clock::now());
+        const groups::formation_commands wanted = manager.handle(event, runtime_clock::now());
         for (const groups::formation_command& command : wanted)
-            std::visit([&](const auto& one) { carry_out(domain, one); }, command);
+            std::visit([&](const auto& one) { execute(domain, one); }, command);
     }
 
-    void tell_domain(const failure_domain_id& domain, const groups::formation_event& happened)
+    void dispatch_to_domain(const failure_domain_id& domain, const groups::formation_event& event)
     {
         const auto found = managers.find(domain);
         if (found != managers.end())
-            tell_one(domain, found->second, happened);
+            dispatch_to(domain, found->second, event);
     }
 
     /// A domain's manager is made when its first runner shows itself.
@@ -90,15 +90,15 @@
         chosen.domain = domain;
         groups::formation& made =
             managers.emplace(domain, groups::formation{std::move(chosen), registry}).first->second;
-        tell_one(domain, made, groups::model_pools_seen{pools});
-        tell_one(domain, made, current);
-        tell_one(domain, made, groups::peers_seen{peer_rows()});
+        dispatch_to(domain, made, groups::model_pools_seen{pools});
+        dispatch_to(domain, made, current);
+        dispatch_to(domain, made, groups::peers_seen{peer_rows()});
         if (traffic)
-            tell_one(domain, made, groups::traffic_begun{});
+            dispatch_to(domain, made, groups::traffic_begun{});
         const auto key = keys.find(groups::formation_key(settings.deployment, domain));
-        tell_one(domain, made,
-                 groups::manager_key_seen{key == keys.end() ? std::optional<kv_entry>{}
-                                                            : std::optional{key->second}});
+        dispatch_to(domain, made,
+                    groups::manager_key_seen{key == keys.end() ? std::optional<kv_entry>{}
+                                                               : std::optional{key->second}});
     }
 
     std::vector<groups::peer_row> peer_rows() const
@@ -112,18 +112,18 @@
     }
 
     /// Another node asks, or says what we asked.
-    void take_message(const server_message& message)
+    void handle_message(const server_message& message)
     {
         if (!stopped)
-            std::visit([&](const auto& body) { take(message.from, body); }, message.body);
+            std::visit([&](const auto& body) { receive(message.from, body); }, message.body);
     }
 
     /// What the registry can't tell now: a runner's own word, its group changed. One that is of
     /// another start than the registry's entry is passed over.
-    void install_word(const runner_word& word)
+    void apply_runner_word(const runner_word& word)
     {
-        if (registry.tell(word, runtime_clock::now()) && on_word)
-            on_word();
+        if (registry.tell(word, runtime_clock::now()) && on_group_changed)
+            on_group_changed();
     }
 
     net::io_context& io;
@@ -135,106 +135,106 @@
     std::map<failure_domain_id, groups::formation> managers;
     std::map<std::string, kv_entry> keys;
     std::vector<pool> pools;
-    std::function<bool(const vm_id&)> hears;
-    std::function<void()> on_word;
+    std::function<bool(const vm_id&)> responded_recently;
+    std::function<void()> on_group_changed;
     std::shared_ptr<outage_inquiry> outage;
     std::uint64_t members_version = 0;
     groups::registry_current current;
     bool traffic = false;
-    std::set<failure_domain_id> given_up; ///< on a planned stop
+    std::set<failure_domain_id> resigned; ///< on a planned stop
     bool stopping = false;
     bool stopped = false;
 
 private:
-    void take(const node_id& from, const server_question& asked)
+    void receive(const node_id& from, const server_question& asked)
     {
         net::co_spawn(io, answer_peer(from, asked), net::detached);
     }
-    void take(const node_id& from, const store_question& asked)
+    void receive(const node_id& from, const store_question& asked)
     {
         // What this node has given up on its way out it never manages again.
-        if (given_up.contains(asked.domain))
-            outage->concede(from, asked);
+        if (resigned.contains(asked.domain))
+            outage->confirm_without_check(from, asked);
         else
-            outage->take(from, asked);
+            outage->receive(from, asked);
     }
-    void take(const node_id& from, const store_answer& told) { outage->take(from, told); }
-    void take(const node_id& /*from*/, const runner_word& word)
+    void receive(const node_id& from, const store_answer& told) { outage->receive(from, told); }
+    void receive(const node_id& /*from*/, const runner_word& word)
     {
         // Whoever reaches the store knows better.
-        if (outage->conceded())
-            install_word(word);
+        if (outage->recently_reported_outage())
+            apply_runner_word(word);
     }
-    void take(const node_id& from, const server_answer& answer)
+    void receive(const node_id& from, const server_answer& answer)
     {
-        const auto found = m_asked.find(answer.vm);
-        if (found == m_asked.end() || found->second.erase(from) == 0)
+        const auto found = m_awaited_answers.find(answer.vm);
+        if (found == m_awaited_answers.end() || found->second.erase(from) == 0)
             return;
         // One that is answered settles it; that nobody is takes the word of everyone asked.
         if (!answer.answers && !found->second.empty())
             return;
         log_event(log_level::info, "peers_word",
                   {{"vm", answer.vm.value()}, {"answers", answer.answers}});
-        m_asked.erase(found);
-        tell(groups::peers_word{answer.vm, answer.answers});
+        m_awaited_answers.erase(found);
+        dispatch(groups::peers_word{answer.vm, answer.answers});
     }
 
-    void carry_out(const failure_domain_id& domain, const groups::kv_call& wanted)
+    void execute(const failure_domain_id& domain, const groups::kv_call& wanted)
     {
         net::co_spawn(io, transact(domain, wanted), net::detached);
     }
-    void carry_out(const failure_domain_id& domain, const groups::lease_grant& wanted)
+    void execute(const failure_domain_id& domain, const groups::lease_grant& wanted)
     {
         net::co_spawn(io, grant(domain, wanted), net::detached);
     }
-    void carry_out(const failure_domain_id& domain, const groups::lease_renew& wanted)
+    void execute(const failure_domain_id& domain, const groups::lease_renew& wanted)
     {
         net::co_spawn(io, renew(domain, wanted), net::detached);
     }
-    void carry_out(const failure_domain_id& /*domain*/, const groups::lease_end& wanted)
+    void execute(const failure_domain_id& /*domain*/, const groups::lease_end& wanted)
     {
         net::co_spawn(io, end_lease(wanted.lease), net::detached);
     }
-    void carry_out(const failure_domain_id& domain, const groups::send_order& wanted)
+    void execute(const failure_domain_id& domain, const groups::send_order& wanted)
     {
         net::co_spawn(io, send(domain, wanted), net::detached);
     }
-    void carry_out(const failure_domain_id& domain, const groups::probe_member& wanted)
+    void execute(const failure_domain_id& domain, const groups::probe_member& wanted)
     {
         net::co_spawn(io, probe(domain, wanted), net::detached);
     }
-    void carry_out(const failure_domain_id& /*domain*/, const groups::ask_peers& wanted)
+    void execute(const failure_domain_id& /*domain*/, const groups::ask_peers& wanted)
     {
-        std::set<node_id>& asked = m_asked[wanted.vm];
+        std::set<node_id>& asked = m_awaited_answers[wanted.vm];
         asked.clear();
         for (const member& one : peers.members()) {
             if (one.node == settings.node || one.state != member_state::alive)
                 continue;
-            if (asked.size() >= most_asked)
+            if (asked.size() >= max_peers_asked)
                 break;
             asked.insert(one.node);
             peers.send_server(one.node, server_question{wanted.vm, wanted.address});
         }
         if (asked.empty())
-            m_asked.erase(wanted.vm);
+            m_awaited_answers.erase(wanted.vm);
     }
-    void carry_out(const failure_domain_id& domain, const groups::ask_about_outage& /*wanted*/)
+    void execute(const failure_domain_id& domain, const groups::ask_about_outage& /*wanted*/)
     {
-        outage->ask(domain);
+        outage->start_round(domain);
     }
-    void carry_out(const failure_domain_id& domain, const groups::ask_runner& wanted)
+    void execute(const failure_domain_id& domain, const groups::ask_runner& wanted)
     {
         net::co_spawn(io, ask_runner(domain, wanted), net::detached);
     }
-    void carry_out(const failure_domain_id& /*domain*/, const groups::share_runner& wanted)
+    void execute(const failure_domain_id& /*domain*/, const groups::share_runner& wanted)
     {
         for (const member& one : peers.members()) {
             if (one.node != settings.node && one.live())
                 peers.send_server(one.node, wanted.word);
         }
-        install_word(wanted.word);
+        apply_runner_word(wanted.word);
     }
-    void carry_out(const failure_domain_id& domain, const groups::notice& wanted)
+    void execute(const failure_domain_id& domain, const groups::notice& wanted)
     {
         log_event(
             wanted.level, wanted.kind,
@@ -245,7 +245,7 @@
     {
         const auto self = shared_from_this();
         // Requests may still reach a runner that takes no orders any more.
-        bool answers = hears && hears(asked.vm);
+        bool answers = responded_recently && responded_recently(asked.vm);
         if (!answers) {
             answers = co_await orders.answers(asked.address, probe_timeout);
         }
@@ -257,7 +257,7 @@
     {
         const auto self = shared_from_this();
         result<kv_outcome> outcome = co_await kv.transact(std::move(wanted.transaction));
-        tell_domain(domain, groups::kv_result{wanted.token, std::move(outcome)});
+        dispatch_to_domain(domain, groups::kv_result{wanted.token, std::move(outcome)});
     }
 
     net::awaitable<void> grant(failure_domain_id domain, groups::lease_grant wanted)
@@ -266,7 +266,7 @@
         const result<kv_lease> granted = co_await kv.grant(wanted.ttl);
         const result<lease_id> told =
             granted ? result<lease_id>{granted.value().id} : result<lease_id>{granted.error()};
-        tell_domain(domain, groups::lease_result{wanted.token, told});
+        dispatch_to_domain(domain, groups::lease_result{wanted.token, told});
     }
 
     net::awaitable<void> renew(failure_domain_id domain, groups::lease_renew wanted)
@@ -275,7 +275,7 @@
         const result<kv_lease> kept = co_await kv.keep_alive(wanted.lease);
         const result<lease_id> told =
             kept ? result<lease_id>{kept.value().id} : result<lease_id>{kept.error()};
-        tell_domain(domain, groups::lease_result{wanted.token, told});
+        dispatch_to_domain(domain, groups::lease_result{wanted.token, told});
     }
 
     net::awaitable<void> end_lease(lease_id lease)
@@ -293,7 +293,7 @@
         if (reply != order_reply::begun && reply != order_reply::holds)
             log_event(log_level::warning, "order_not_taken",
                       {{"vm", wanted.vm.value()}, {"reply", to_name(reply)}});
-        tell_domain(domain, groups::order_answered{wanted.token, wanted.vm, reply});
+        dispatch_to_domain(domain, groups::order_answered{wanted.token, wanted.vm, reply});
     }
 
     net::awaitable<void> ask_runner(failure_domain_id domain, groups::ask_runner wanted)
@@ -302,7 +302,7 @@
         const result<runner_report> report =
             co_await orders.report(wanted.vm, wanted.address, probe_timeout);
         if (report)
-            tell_domain(domain, groups::runner_reported{report.value()});
+            dispatch_to_domain(domain, groups::runner_reported{report.value()});
         else
             log_event(log_level::warning, "runner_report_missing",
                       {{"vm", wanted.vm.value()}, {"reason", report.error().message}});
@@ -314,10 +314,11 @@
         const bool answers = co_await orders.answers(wanted.address, probe_timeout);
         if (!answers)
             log_event(log_level::warning, "runner_silent", {{"vm", wanted.vm.value()}});
-        tell_domain(domain, groups::member_probed{wanted.vm, answers});
+        dispatch_to_domain(domain, groups::member_probed{wanted.vm, answers});
     }
 
-    std::map<vm_id, std::set<node_id>> m_asked; ///< whose word on a runner is still awaited
+    std::map<vm_id, std::set<node_id>>
+        m_awaited_answers; ///< whose word on a runner is still awaited
 };
 
 formation_driver::formation_driver(net::io_context& io, const daemon_settings& settings,
@@ -329,7 +330,7 @@
     m_impl->start();
     peers.on_servers([weak = std::weak_ptr{m_impl}](const server_message& message) {
         if (const auto self = weak.lock())
-            self->take_message(message);
+            self->handle_message(message);
     });
 }
 
@@ -338,14 +339,14 @@
     stop();
 }
 
-void formation_driver::on_asked(std::function<bool(const vm_id&)> hears)
+void formation_driver::set_response_check(std::function<bool(const vm_id&)> responded_recently)
 {
-    m_impl->hears = std::move(hears);
+    m_impl->responded_recently = std::move(responded_recently);
 }
 
-void formation_driver::on_word(std::function<void()> handler)
+void formation_driver::on_group_changed(std::function<void()> handler)
 {
-    m_impl->on_word = std::move(handler);
+    m_impl->on_group_changed = std::move(handler);
 }
 
 void formation_driver::stop()
@@ -360,7 +361,7 @@
         if (row.kind == pool_kind::model)
             m_impl->pools.push_back(row);
     }
-    m_impl->tell(groups::model_pools_seen{m_impl->pools});
+    m_impl->dispatch(groups::model_pools_seen{m_impl->pools});
 }
 
 void formation_driver::runner_seen(const runner& row)
@@ -368,15 +369,15 @@
     if (!row.joins_groups())
         return;
     m_impl->add_domain(row.failure_domain);
-    m_impl->tell_domain(row.failure_domain, groups::runner_seen{row});
+    m_impl->dispatch_to_domain(row.failure_domain, groups::runner_seen{row});
 }
 
 void formation_driver::runner_gone(const vm_id& vm)
 {
-    m_impl->tell(groups::runner_gone{vm});
+    m_impl->dispatch(groups::runner_gone{vm});
 }
 
-void formation_driver::key_seen(const kv_entry& entry, bool there)
+void formation_driver::store_key_updated(const kv_entry& entry, bool there)
 {
     if (there)
         m_impl->keys[entry.key] = entry;
@@ -384,7 +385,7 @@
         m_impl->keys.erase(entry.key);
     for (auto& [domain, manager] : m_impl->managers) {
         if (groups::formation_key(m_impl->settings.deployment, domain) == entry.key)
-            m_impl->tell_one(
+            m_impl->dispatch_to(
                 domain, manager,
                 groups::manager_key_seen{there ? std::optional{entry} : std::optional<kv_entry>{}});
     }
@@ -393,29 +394,29 @@
 void formation_driver::set_current(bool current, std::size_t rank)
 {
     m_impl->current = {current, rank};
-    m_impl->tell(m_impl->current);
+    m_impl->dispatch(m_impl->current);
 }
 
 void formation_driver::traffic_begun()
 {
     if (std::exchange(m_impl->traffic, true))
         return;
-    m_impl->tell(groups::traffic_begun{});
+    m_impl->dispatch(groups::traffic_begun{});
 }
 
-void formation_driver::silent(const vm_id& head)
+void formation_driver::report_unresponsive_head(const vm_id& head)
 {
-    m_impl->tell(groups::group_silent{head});
+    m_impl->dispatch(groups::group_silent{head});
 }
 
 void formation_driver::tick()
 {
     if (m_impl->members_version != m_impl->peers.members_version()) {
         m_impl->members_version = m_impl->peers.members_version();
-        m_impl->tell(groups::peers_seen{m_impl->peer_rows()});
+        m_impl->dispatch(groups::peers_seen{m_impl->peer_rows()});
     }
-    m_impl->outage->note_members();
-    m_impl->tell(groups::formation_tick{});
+    m_impl->outage->update_members();
+    m_impl->dispatch(groups::formation_tick{});
 }
 
 net::awaitable<void> formation_driver::resign(resignation which)
@@ -425,14 +426,14 @@
     std::vector<lease_id> leases;
     for (auto& [domain, manager] : kept->managers) {
         const bool nobody_else = manager.status(runtime_clock::now()).dark;
-        if (kept->given_up.contains(domain) ||
+        if (kept->resigned.contains(domain) ||
             (nobody_else && which == resignation::where_possible))
             continue;
         for (const groups::formation_command& command : manager.resign()) {
             if (const auto* end = std::get_if<groups::lease_end>(&command))
                 leases.push_back(end->lease);
         }
-        kept->given_up.insert(domain);
+        kept->resigned.insert(domain);
     }
     kept->stopped = which == resignation::all;
     for (const lease_id lease : leases) {
--- a/daemon/formation_driver.h
+++ b/daemon/formation_driver.h
@@ -42,17 +42,17 @@
     void runner_seen(const runner& row);
     void runner_gone(const vm_id& vm);
     /// A key of the store that may be a manager's.
-    void key_seen(const kv_entry& entry, bool there);
+    void store_key_updated(const kv_entry& entry, bool there);
     /// Whether this node's registry is up to date by its own word with the store, and its place
     /// among the nodes of its failure domain that see to that.
     void set_current(bool current, std::size_t rank);
     void traffic_begun();
     /// A group's head is silent towards this node.
-    void silent(const vm_id& head);
+    void report_unresponsive_head(const vm_id& head);
     /// How this node knows whether requests reach a runner, for other nodes that ask.
-    void on_asked(std::function<bool(const vm_id&)> hears);
+    void set_response_check(std::function<bool(const vm_id&)> responded_recently);
     /// A runner's group changed while the registry could not tell.
-    void on_word(std::function<void()> handler);
+    void on_group_changed(std::function<void()> handler);
     void tick();
     /// Gives failure domains up, on a planned stop.
     boost::asio::awaitable<void> resign(resignation which);
--- a/daemon/group_calls.cc
+++ b/daemon/group_calls.cc
@@ -62,72 +62,68 @@
 
 } // namespace
 
-void group_driver::impl::tell_managers(const groups::manager_event& happened)
+void group_driver::impl::dispatch_to_managers(const groups::manager_event& event)
 {
     for (const auto& [domain, manager] : managers)
-        tell_manager(domain, happened);
+        dispatch_to_manager(domain, event);
 }
 
-void group_driver::impl::tell_manager(const fabric_domain_id& domain,
-                                      const groups::manager_event& happened)
+void group_driver::impl::dispatch_to_manager(const fabric_domain_id& domain,
+                                             const groups::manager_event& event)
 {
     const auto found = managers.find(domain);
     if (found == managers.end())
         return;
-    for (const groups::manager_command& wanted :
-         found->second.handle(happened, runtime_clock::now()))
-        std::visit([&](const auto& one) { carry_out(domain, one); }, wanted);
+    for (const groups::manager_command& wanted : found->second.handle(event, runtime_clock::now()))
+        std::visit([&](const auto& one) { execute(domain, one); }, wanted);
 }
 
-void group_driver::impl::tell_board(const groups::board_event& happened)
+void group_driver::impl::dispatch_to_board(const groups::board_event& event)
 {
-    for (const groups::board_command& wanted : board.handle(happened, runtime_clock::now())) {
+    for (const groups::board_command& wanted : board.handle(event, runtime_clock::now())) {
         if (const auto* ask = std::get_if<groups::probe>(&wanted))
-            carry_out(fabric_domain_id{}, *ask);
+            execute(fabric_domain_id{}, *ask);
         else if (const auto* ticket = std::get_if<groups::ticket_changed>(&wanted))
-            carry_out(*ticket);
+            execute(*ticket);
         else if (const auto* line = std::get_if<groups::notice>(&wanted))
-            carry_out(fabric_domain_id{}, *line);
+            execute(fabric_domain_id{}, *line);
     }
 }
 
-void group_driver::impl::carry_out(const fabric_domain_id& domain, const groups::kv_call& wanted)
+void group_driver::impl::execute(const fabric_domain_id& domain, const groups::kv_call& wanted)
 {
     net::co_spawn(io, transact(domain, wanted), net::detached);
 }
 
-void group_driver::impl::carry_out(const fabric_domain_id& domain,
-                                   const groups::lease_grant& wanted)
+void group_driver::impl::execute(const fabric_domain_id& domain, const groups::lease_grant& wanted)
 {
     net::co_spawn(io, grant(domain, wanted), net::detached);
 }
 
-void group_driver::impl::carry_out(const fabric_domain_id& domain,
-                                   const groups::lease_renew& wanted)
+void group_driver::impl::execute(const fabric_domain_id& domain, const groups::lease_renew& wanted)
 {
     net::co_spawn(io, renew(domain, wanted), net::detached);
 }
 
-void group_driver::impl::carry_out(const fabric_domain_id& /*domain*/, const groups::probe& wanted)
+void group_driver::impl::execute(const fabric_domain_id& /*domain*/, const groups::probe& wanted)
 {
     // The manager and the board may ask for the same VM; one answer serves both.
     if (probing.insert(wanted.vm).second)
-        net::co_spawn(io, ask_report(wanted), net::detached);
+        net::co_spawn(io, request_report(wanted), net::detached);
 }
 
-void group_driver::impl::carry_out(const fabric_domain_id& domain,
-                                   const groups::order_assign& wanted)
+void group_driver::impl::execute(const fabric_domain_id& domain, const groups::order_assign& wanted)
 {
     net::co_spawn(io, assign(domain, wanted), net::detached);
 }
 
-void group_driver::impl::carry_out(const fabric_domain_id& domain,
-                                   const groups::order_release& wanted)
+void group_driver::impl::execute(const fabric_domain_id& domain,
+                                 const groups::order_release& wanted)
 {
     net::co_spawn(io, release(domain, wanted), net::detached);
 }
 
-void group_driver::impl::carry_out(const fabric_domain_id& domain, const groups::notice& wanted)
+void group_driver::impl::execute(const fabric_domain_id& domain, const groups::notice& wanted)
 {
     log_event(wanted.level, wanted.kind,
               {{"domain", domain.value()}, {"subject", wanted.subject}, {"detail", wanted.detail}});
@@ -136,7 +132,7 @@
 /// Watchers tell the others; so does the domain's manager, who probes every VM anyway. Otherwise a
 /// group whose watchers were just replaced would lapse everywhere until the new ones have seen its
 /// members for the settling time.
-bool group_driver::impl::publishes(const groups::complete_group& group) const
+bool group_driver::impl::should_publish(const groups::complete_group& group) const
 {
     const auto manager = managers.find(group.fabric_domain);
     const bool leads =
@@ -144,10 +140,10 @@
     return leads || board.watches(group.group);
 }
 
-void group_driver::impl::carry_out(const groups::ticket_changed& wanted)
+void group_driver::impl::execute(const groups::ticket_changed& wanted)
 {
     const time_point now = runtime_clock::now();
-    if (publishes(wanted.group)) {
+    if (should_publish(wanted.group)) {
         ticket_digest told;
         told.group = wire_key(wanted.group.group.value());
         told.fencing = wanted.group.fencing;
@@ -171,18 +167,18 @@
 }
 
 /// What this node has written it need not wait to watch: its peers hear of it at once.
-void group_driver::impl::spread_writes(const std::vector<kv_operation>& writes,
-                                       std::int64_t revision)
+void group_driver::impl::relay_writes(const std::vector<kv_operation>& writes,
+                                      std::int64_t revision)
 {
     for (const kv_operation& write : writes) {
         const auto* put = std::get_if<kv_put>(&write);
         if (put == nullptr)
             continue;
-        kv_entry written;
-        written.key = put->key;
-        written.value = put->value;
-        written.mod_revision = revision;
-        records->written(written);
+        kv_entry record_written;
+        record_written.key = put->key;
+        record_written.value = put->value;
+        record_written.mod_revision = revision;
+        records->record_written(record_written);
     }
 }
 
@@ -194,8 +190,8 @@
     if (stopped)
         co_return;
     if (outcome && outcome.value().succeeded)
-        spread_writes(writes, outcome.value().revision);
-    tell_manager(domain, groups::kv_result{wanted.token, std::move(outcome)});
+        relay_writes(writes, outcome.value().revision);
+    dispatch_to_manager(domain, groups::kv_result{wanted.token, std::move(outcome)});
 }
 
 net::awaitable<void> group_driver::impl::grant(fabric_domain_id domain, groups::lease_grant wanted)
@@ -209,7 +205,7 @@
         told.lease = granted.value().id;
     else
         told.lease = granted.error();
-    tell_manager(domain, told);
+    dispatch_to_manager(domain, told);
 }
 
 net::awaitable<void> group_driver::impl::renew(fabric_domain_id domain, groups::lease_renew wanted)
@@ -223,10 +219,10 @@
         told.lease = renewed.value().id;
     else
         told.lease = renewed.error();
-    tell_manager(domain, told);
+    dispatch_to_manager(domain, told);
 }
 
-net::awaitable<void> group_driver::impl::ask_report(groups::probe wanted)
+net::awaitable<void> group_driver::impl::request_report(groups::probe wanted)
 {
     const auto self = shared_from_this();
     engine_client engine{io.get_executor(), wanted.address, probe_timeout};
@@ -236,18 +232,18 @@
     if (stopped)
         co_return;
     if (told) {
-        take_report(wanted, told.value(), sent_at);
+        handle_report(wanted, told.value(), sent_at);
         co_return;
     }
     reports.erase(wanted.vm);
     const auto domain = domain_of.find(wanted.vm);
     if (domain != domain_of.end())
-        tell_manager(domain->second, groups::report_failed{wanted.vm});
-    tell_board(groups::report_failed{wanted.vm});
+        dispatch_to_manager(domain->second, groups::report_failed{wanted.vm});
+    dispatch_to_board(groups::report_failed{wanted.vm});
 }
 
-void group_driver::impl::take_report(const groups::probe& asked, const engine_report& told,
-                                     time_point sent_at)
+void group_driver::impl::handle_report(const groups::probe& asked, const engine_report& told,
+                                       time_point sent_at)
 {
     const groups::report_seen seen{asked.vm, to_report(told), sent_at};
     reports[asked.vm] = seen.report;
@@ -255,8 +251,8 @@
         hooks.on_leaving(asked.address);
     const auto domain = domain_of.find(asked.vm);
     if (domain != domain_of.end())
-        tell_manager(domain->second, seen);
-    tell_board(seen);
+        dispatch_to_manager(domain->second, seen);
+    dispatch_to_board(seen);
 }
 
 net::awaitable<void> group_driver::impl::assign(fabric_domain_id domain,
@@ -278,7 +274,8 @@
     order.adapters = wanted.adapters;
     const result<void> taken = co_await engine.assign(std::move(order));
     if (!stopped)
-        tell_manager(domain, groups::order_result{wanted.token, wanted.vm, to_answer(taken)});
+        dispatch_to_manager(domain,
+                            groups::order_result{wanted.token, wanted.vm, to_answer(taken)});
 }
 
 net::awaitable<void> group_driver::impl::release(fabric_domain_id domain,
@@ -292,7 +289,8 @@
     const engine_order_release order{wanted.order, wanted.fencing, wanted.group};
     const result<void> taken = co_await engine.release(order);
     if (!stopped)
-        tell_manager(domain, groups::order_result{wanted.token, wanted.vm, to_answer(taken)});
+        dispatch_to_manager(domain,
+                            groups::order_result{wanted.token, wanted.vm, to_answer(taken)});
 }
 
 } // namespace jaynotch
--- a/daemon/group_driver.cc
+++ b/daemon/group_driver.cc
@@ -73,7 +73,7 @@
     : m_impl{std::make_shared<impl>(io, settings, kv, peers, std::move(hooks))}
 {
     m_impl->records.emplace(io, settings, kv, peers, [driver = m_impl.get()](const kv_entry& read) {
-        driver->take_record(read);
+        driver->handle_record(read);
     });
 }
 
@@ -99,14 +99,14 @@
     m_impl->install(std::move(tables));
 }
 
-void group_driver::take_notice(const key_notice& heard)
+void group_driver::handle_key_notice(const key_notice& heard)
 {
     m_impl->records->noticed(heard);
 }
 
-void group_driver::take_ticket(const ticket_digest& heard)
+void group_driver::handle_ticket(const ticket_digest& heard)
 {
-    m_impl->take_ticket(heard);
+    m_impl->handle_ticket(heard);
 }
 
 std::vector<groups::complete_group> group_driver::complete() const
@@ -114,9 +114,9 @@
     return m_impl->board.complete(runtime_clock::now());
 }
 
-std::vector<known_group> group_driver::known() const
+std::vector<assigned_group> group_driver::assigned_groups() const
 {
-    return m_impl->known();
+    return m_impl->assigned_groups();
 }
 
 std::string group_driver::state_of(const vm_id& vm) const
@@ -155,32 +155,32 @@
 void group_driver::impl::install(std::shared_ptr<const configuration> next)
 {
     tables = std::move(next);
-    tell_managers(groups::tables_installed{tables});
-    tell_board(groups::tables_installed{tables});
+    dispatch_to_managers(groups::tables_installed{tables});
+    dispatch_to_board(groups::tables_installed{tables});
 }
 
 net::awaitable<void> group_driver::impl::run_ticks()
 {
     const auto self = shared_from_this();
     while (!stopped) {
-        tell_peers();
+        update_peers();
         records->tick();
-        tell_managers(groups::tick{});
-        tell_board(groups::tick{});
+        dispatch_to_managers(groups::tick{});
+        dispatch_to_board(groups::tick{});
         hooks.on_changed();
         co_await pause(tick_timer, tick_interval);
     }
 }
 
-void group_driver::impl::tell_peers()
+void group_driver::impl::update_peers()
 {
     groups::peers_seen seen;
     for (const member& one : peers.members()) {
         if (one.live())
             seen.peers.push_back({one.node, one.failure_domain});
     }
-    tell_managers(seen);
-    tell_board(seen);
+    dispatch_to_managers(seen);
+    dispatch_to_board(seen);
 }
 
 net::awaitable<void> group_driver::impl::run_vm_list()
@@ -193,7 +193,7 @@
         if (stopped)
             break;
         if (seen)
-            take_vm_list(seen.value());
+            apply_vm_list(seen.value());
         if (lost == seen.has_value()) {
             lost = !seen;
             log_event(lost ? log_level::warning : log_level::info,
@@ -204,7 +204,7 @@
     }
 }
 
-void group_driver::impl::take_vm_list(const vm_list& seen)
+void group_driver::impl::apply_vm_list(const vm_list& seen)
 {
     groups::vms_seen event;
     event.age =
@@ -220,15 +220,15 @@
         managers.emplace(entry.fabric_domain,
                          groups::domain_manager{manager_settings(settings, entry.fabric_domain)});
         if (tables)
-            tell_manager(entry.fabric_domain, groups::tables_installed{tables});
+            dispatch_to_manager(entry.fabric_domain, groups::tables_installed{tables});
     }
-    tell_managers(event);
+    dispatch_to_managers(event);
 }
 
-void group_driver::impl::take_record(const kv_entry& entry)
+void group_driver::impl::handle_record(const kv_entry& entry)
 {
-    tell_managers(groups::record_seen{entry});
-    tell_board(groups::record_seen{entry});
+    dispatch_to_managers(groups::record_seen{entry});
+    dispatch_to_board(groups::record_seen{entry});
     const result<groups::domain_record> parsed = groups::parse_record(entry);
     if (!parsed)
         return; // the board has logged it
@@ -240,11 +240,11 @@
         const std::uint32_t key = wire_key(group.group.value());
         keys.push_back(key);
         by_wire_key[key] =
-            known_group{group, parsed.value().domain, fencing_number{entry.mod_revision}};
+            assigned_group{group, parsed.value().domain, fencing_number{entry.mod_revision}};
     }
 }
 
-void group_driver::impl::take_ticket(const ticket_digest& heard)
+void group_driver::impl::handle_ticket(const ticket_digest& heard)
 {
     const auto found = by_wire_key.find(heard.group);
     if (found == by_wire_key.end() || found->second.assigned.members.empty())
@@ -270,24 +270,25 @@
             group.load.running =
                 static_cast<std::uint32_t>(heard.load / per_mille * row.max_in_flight_per_replica);
     }
-    tell_board(seen);
+    dispatch_to_board(seen);
     if (!heard.complete)
         hooks.on_changed();
 }
 
-std::vector<known_group> group_driver::impl::known() const
+std::vector<assigned_group> group_driver::impl::assigned_groups() const
 {
-    std::unordered_set<group_id> whole;
+    std::unordered_set<group_id> complete_ids;
     for (const groups::complete_group& group : board.complete(runtime_clock::now()))
-        whole.insert(group.group);
-    std::vector<known_group> rows;
+        complete_ids.insert(group.group);
+    std::vector<assigned_group> rows;
     for (const auto& [key, row] : by_wire_key) {
         rows.push_back(row);
-        rows.back().complete = whole.contains(row.assigned.group);
+        rows.back().complete = complete_ids.contains(row.assigned.group);
     }
-    std::sort(rows.begin(), rows.end(), [](const known_group& left, const known_group& right) {
-        return left.assigned.group < right.assigned.group;
-    });
+    std::sort(rows.begin(), rows.end(),
+              [](const assigned_group& left, const assigned_group& right) {
+                  return left.assigned.group < right.assigned.group;
+              });
     return rows;
 }
 
--- a/daemon/group_driver.h
+++ b/daemon/group_driver.h
@@ -33,7 +33,7 @@
 };
 
 /// A group as the record of its fabric domain names it, for status pages.
-struct known_group {
+struct assigned_group {
     groups::group_assignment assigned;
     fabric_domain_id domain;
     fencing_number fencing;
@@ -52,11 +52,11 @@
     /// Ends the loops; calls under way end by themselves.
     void stop();
     void install(std::shared_ptr<const configuration> tables);
-    void take_ticket(const ticket_digest& heard);
-    void take_notice(const key_notice& heard);
+    void handle_ticket(const ticket_digest& heard);
+    void handle_key_notice(const key_notice& heard);
 
     [[nodiscard]] std::vector<groups::complete_group> complete() const;
-    [[nodiscard]] std::vector<known_group> known() const;
+    [[nodiscard]] std::vector<assigned_group> assigned_groups() const;
     /// State of a VM as its last report here says; empty if it has not been probed from here.
     [[nodiscard]] std::string state_of(const vm_id& vm) const;
     [[nodiscard]] std::vector<fabric_domain_id> managed() const;
--- a/daemon/group_driver_impl.h
+++ b/daemon/group_driver_impl.h
@@ -27,16 +27,16 @@
     // group_driver.cc
     net::awaitable<void> run_ticks();
     net::awaitable<void> run_vm_list();
-    void take_record(const kv_entry& entry);
+    void handle_record(const kv_entry& entry);
     void install(std::shared_ptr<const configuration> next);
-    void take_ticket(const ticket_digest& heard);
+    void handle_ticket(const ticket_digest& heard);
     void stop();
-    [[nodiscard]] std::vector<known_group> known() const;
+    [[nodiscard]] std::vector<assigned_group> assigned_groups() const;
 
     // group_calls.cc
-    void tell_managers(const groups::manager_event& happened);
-    void tell_manager(const fabric_domain_id& domain, const groups::manager_event& happened);
-    void tell_board(const groups::board_event& happened);
+    void dispatch_to_managers(const groups::manager_event& event);
+    void dispatch_to_manager(const fabric_domain_id& domain, const groups::manager_event& event);
+    void dispatch_to_board(const groups::board_event& event);
 
     net::io_context& io;
     const daemon_settings& settings;
@@ -48,7 +48,7 @@
     groups::ticket_board board;
     std::optional<record_feed> records; ///< set once the driver has an owner
     /// What the records name, by the hash that tickets carry on the wire.
-    std::unordered_map<std::uint32_t, known_group> by_wire_key;
+    std::unordered_map<std::uint32_t, assigned_group> by_wire_key;
     std::map<fabric_domain_id, std::vector<std::uint32_t>> wire_keys_of;
     std::unordered_map<vm_id, groups::member_report> reports;
     std::unordered_set<vm_id> probing;
@@ -59,27 +59,27 @@
 
 private:
     // group_driver.cc
-    void take_vm_list(const vm_list& seen);
-    void tell_peers();
+    void apply_vm_list(const vm_list& seen);
+    void update_peers();
 
     // group_calls.cc
-    void carry_out(const fabric_domain_id& domain, const groups::kv_call& wanted);
-    void carry_out(const fabric_domain_id& domain, const groups::lease_grant& wanted);
-    void carry_out(const fabric_domain_id& domain, const groups::lease_renew& wanted);
-    void carry_out(const fabric_domain_id& domain, const groups::probe& wanted);
-    void carry_out(const fabric_domain_id& domain, const groups::order_assign& wanted);
-    void carry_out(const fabric_domain_id& domain, const groups::order_release& wanted);
-    void carry_out(const fabric_domain_id& domain, const groups::notice& wanted);
-    void carry_out(const groups::ticket_changed& wanted);
-    [[nodiscard]] bool publishes(const groups::complete_group& group) const;
-    void spread_writes(const std::vector<kv_operation>& writes, std::int64_t revision);
+    void execute(const fabric_domain_id& domain, const groups::kv_call& wanted);
+    void execute(const fabric_domain_id& domain, const groups::lease_grant& wanted);
+    void execute(const fabric_domain_id& domain, const groups::lease_renew& wanted);
+    void execute(const fabric_domain_id& domain, const groups::probe& wanted);
+    void execute(const fabric_domain_id& domain, const groups::order_assign& wanted);
+    void execute(const fabric_domain_id& domain, const groups::order_release& wanted);
+    void execute(const fabric_domain_id& domain, const groups::notice& wanted);
+    void execute(const groups::ticket_changed& wanted);
+    [[nodiscard]] bool should_publish(const groups::complete_group& group) const;
+    void relay_writes(const std::vector<kv_operation>& writes, std::int64_t revision);
     net::awaitable<void> transact(fabric_domain_id domain, groups::kv_call wanted);
     net::awaitable<void> grant(fabric_domain_id domain, groups::lease_grant wanted);
     net::awaitable<void> renew(fabric_domain_id domain, groups::lease_renew wanted);
-    net::awaitable<void> ask_report(groups::probe wanted);
+    net::awaitable<void> request_report(groups::probe wanted);
     net::awaitable<void> assign(fabric_domain_id domain, groups::order_assign wanted);
     net::awaitable<void> release(fabric_domain_id domain, groups::order_release wanted);
-    void take_report(const groups::probe& asked, const engine_report& told, time_point sent_at);
+    void handle_report(const groups::probe& asked, const engine_report& told, time_point sent_at);
 };
 
 } // namespace jaynotch
--- a/daemon/jaynotchd_main.cc
+++ b/daemon/jaynotchd_main.cc
@@ -19,7 +19,7 @@
 constexpr int exit_setting = 2;
 constexpr int exit_port = 3;
 
-int refuse_start(const error& why)
+int report_startup_error(const error& why)
 {
     std::fprintf(stderr, "jaynotchd: %s\n", to_string(why).c_str());
     return why.kind == error_kind::unavailable ? exit_port : exit_setting;
@@ -33,13 +33,13 @@
 }
 
 /// Reads the settings anew at each SIGHUP; a daemon of our own form has nothing to read.
-void watch_hangups(boost::asio::signal_set& hangups, const std::function<void()>& reload)
+void reload_on_hangup(boost::asio::signal_set& hangups, const std::function<void()>& reload)
 {
     hangups.async_wait([&hangups, reload](const boost::system::error_code& failed, int /*number*/) {
         if (failed)
             return;
         reload();
-        watch_hangups(hangups, reload);
+        reload_on_hangup(hangups, reload);
     });
 }
 
@@ -49,7 +49,7 @@
     boost::asio::io_context io{1};
     result<std::unique_ptr<Daemon>> made = Daemon::create(io, settings);
     if (!made)
-        return refuse_start(made.error());
+        return report_startup_error(made.error());
     const std::unique_ptr<Daemon> running = std::move(made).value();
     const auto end = [&] {
         boost::asio::co_spawn(io, stop_then_end(*running, io), boost::asio::detached);
@@ -60,10 +60,10 @@
             end();
     });
     boost::asio::signal_set hangups{io, SIGHUP};
-    watch_hangups(hangups, [&] { reload(*running); });
+    reload_on_hangup(hangups, [&] { reload(*running); });
     running->on_superseded(end);
     running->start();
-    if (settings.form == source_form::registry)
+    if (settings.source == source_kind::registry)
         flush_log_by_timer(); // it flushes several times a second
     io.run();
     end_log();
@@ -74,13 +74,13 @@
 
 int main(int argc, char** argv)
 {
-    const result<started_with> started = settings_from_flags(argc, argv);
+    const result<startup_settings> started = settings_from_flags(argc, argv);
     if (!started)
-        return refuse_start(started.error());
+        return report_startup_error(started.error());
     const daemon_settings& settings = started.value().settings;
     const result<void> fine = check(settings);
     if (!fine)
-        return refuse_start(fine.error());
+        return report_startup_error(fine.error());
     if (started.value().check_only) {
         std::puts("settings are fine");
         return 0;
@@ -88,10 +88,10 @@
     install_json_log("jaynotchd", settings.node.value());
     std::signal(SIGPIPE, SIG_IGN);
     try {
-        if (settings.form == source_form::own)
+        if (settings.source == source_kind::own)
             return run<class daemon>(settings, [](class daemon&) {});
         return run<registry_daemon>(settings, [&](registry_daemon& running) {
-            const result<daemon_settings> again = settings_read_again(settings);
+            const result<daemon_settings> again = reload_settings(settings);
             if (again)
                 running.reload(again.value());
             else
--- a/daemon/metrics.cc
+++ b/daemon/metrics.cc
@@ -100,8 +100,8 @@
     Gauge& ready = gauge(registry, "jaynotch_ready", "1 if callers may be sent here");
     Gauge& revision =
         gauge(registry, "jaynotch_config_revision", "Revision of the tables in force");
-    Gauge& dark = gauge(registry, "jaynotch_platform_lost",
-                        "1 if the key-value service does not answer this node");
+    Gauge& platform_lost_gauge = gauge(registry, "jaynotch_platform_lost",
+                                       "1 if the key-value service does not answer this node");
     Gauge& connections = gauge(registry, "jaynotch_connections", "Connections of callers");
     Gauge& in_flight = gauge(registry, "jaynotch_in_flight", "Requests without an end yet");
     Gauge& groups = gauge(registry, "jaynotch_complete_groups", "Groups that may get requests");
@@ -113,7 +113,7 @@
         registry, "jaynotch_kv_calls_total", "Calls on the key-value service by kind", "call");
     std::vector<Counter*> kv_failures = by_name<kv_call>(
         registry, "jaynotch_kv_failures_total", "Of those, without an answer or refused", "call");
-    kv_call_counts kv_shown; ///< what the counters say
+    kv_call_counts kv_exported; ///< what the counters say
     Gauge& retries_left = gauge(registry, "jaynotch_retries_left",
                                 "Retries that this node may still send, in the scarcest pool");
     Gauge& limited = gauge(registry, "jaynotch_limited_servers",
@@ -194,7 +194,7 @@
     families& all = *m_families;
     all.ready.Set(now.ready ? 1 : 0);
     all.revision.Set(static_cast<double>(now.revision));
-    all.dark.Set(now.platform_lost ? 1 : 0);
+    all.platform_lost_gauge.Set(now.platform_lost ? 1 : 0);
     all.connections.Set(static_cast<double>(now.connections));
     all.in_flight.Set(static_cast<double>(now.in_flight));
     all.groups.Set(static_cast<double>(now.complete_groups));
@@ -204,11 +204,11 @@
     all.kv_calls.Set(static_cast<double>(now.kv_calls.total()));
     for (std::size_t kind = 0; kind < all.kv_by_kind.size(); ++kind) {
         all.kv_by_kind[kind]->Increment(
-            static_cast<double>(now.kv_calls.by_kind[kind] - all.kv_shown.by_kind[kind]));
+            static_cast<double>(now.kv_calls.by_kind[kind] - all.kv_exported.by_kind[kind]));
         all.kv_failures[kind]->Increment(
-            static_cast<double>(now.kv_calls.failed[kind] - all.kv_shown.failed[kind]));
+            static_cast<double>(now.kv_calls.failed[kind] - all.kv_exported.failed[kind]));
     }
-    all.kv_shown = now.kv_calls;
+    all.kv_exported = now.kv_calls;
     all.retries_left.Set(now.retries_left);
     all.limited.Set(static_cast<double>(now.limited_servers));
     all.refused_limited.Set(static_cast<double>(now.refused_limited));
--- a/daemon/metrics_test.cc
+++ b/daemon/metrics_test.cc
@@ -15,7 +15,7 @@
 
 } // namespace
 
-Test(metrics, a_page_tells_what_became_of_requests_and_why)
+Test(metrics, the_page_counts_requests_by_outcome_and_reason)
 {
     metrics counted;
     counted.ended(outcome::answered, 120ms);
--- a/daemon/outage_inquiry.cc
+++ b/daemon/outage_inquiry.cc
@@ -22,11 +22,11 @@
 
 /// The store answers in milliseconds, in some tenths of a second on its slowest days.
 constexpr duration check_timeout = std::chrono::milliseconds{400};
-constexpr duration failure_holds = std::chrono::milliseconds{1'500};
+constexpr duration failure_validity = std::chrono::milliseconds{1'500};
 /// Longer than nodes are cut off from each other without either being restarted.
-constexpr duration dead_counts = std::chrono::seconds{10};
+constexpr duration dead_node_retention = std::chrono::seconds{10};
 /// How long words of a manager without store are taken; as long as this node stands back.
-constexpr duration concession_holds = std::chrono::seconds{2};
+constexpr duration outage_report_validity = std::chrono::seconds{2};
 
 } // namespace
 
@@ -35,79 +35,79 @@
     : m_io{io}, m_settings{settings}, m_kv{kv}, m_peers{peers}, m_hooks{std::move(hooks)}
 {}
 
-void outage_inquiry::note_members()
+void outage_inquiry::update_members()
 {
-    if (m_members_seen == m_peers.members_version())
+    if (m_members_version == m_peers.members_version())
         return;
-    m_members_seen = m_peers.members_version();
+    m_members_version = m_peers.members_version();
     const time_point now = runtime_clock::now();
     for (const member& one : m_peers.members()) {
-        const auto known = m_live.find(one.node);
+        const auto known = m_nodes.find(one.node);
         if (one.live())
-            m_live[one.node].reset();
-        else if (known != m_live.end() && one.state == member_state::left)
-            m_live.erase(known);
-        else if (known != m_live.end() && !known->second)
+            m_nodes[one.node].reset();
+        else if (known != m_nodes.end() && one.state == member_state::left)
+            m_nodes.erase(known);
+        else if (known != m_nodes.end() && !known->second)
             known->second = now;
     }
 }
 
-void outage_inquiry::ask(const failure_domain_id& domain)
+void outage_inquiry::start_round(const failure_domain_id& domain)
 {
-    note_members();
+    update_members();
     const time_point now = runtime_clock::now();
-    std::erase_if(m_live, [&](const auto& entry) {
-        return entry.second && now - *entry.second > dead_counts;
+    std::erase_if(m_nodes, [&](const auto& entry) {
+        return entry.second && now - *entry.second > dead_node_retention;
     });
     round& begun = m_rounds[domain];
-    if (begun.number == 0 || begun.silent != begun.said) {
+    if (begun.number == 0 || begun.unanswered != begun.logged) {
         std::vector<std::string> names;
-        for (const node_id& node : begun.silent)
+        for (const node_id& node : begun.unanswered)
             names.push_back(node.value());
         log_event(log_level::warning, "outage_asked",
                   {{"domain", domain.value()}, {"unconfirmed_by", names}});
-        begun.said = begun.silent;
+        begun.logged = begun.unanswered;
     }
     begun.number = ++m_last_round;
     begun.asked = now;
-    begun.silent.clear();
-    for (const auto& [node, ceased] : m_live) {
+    begun.unanswered.clear();
+    for (const auto& [node, ceased] : m_nodes) {
         if (node == m_settings.node)
             continue;
-        begun.silent.insert(node);
+        begun.unanswered.insert(node);
         m_peers.send_server(node, store_question{domain, begun.number});
     }
-    if (begun.silent.empty())
+    if (begun.unanswered.empty())
         m_hooks.on_confirmed(domain, begun.asked);
 }
 
-void outage_inquiry::take(const node_id& from, const store_answer& told)
+void outage_inquiry::receive(const node_id& from, const store_answer& told)
 {
     const auto found = m_rounds.find(told.domain);
     // An answer to an earlier round may be old, and its sender may not be bound by it any more.
     if (found == m_rounds.end() || told.reached || told.round != found->second.number)
         return;
-    if (found->second.silent.erase(from) != 0 && found->second.silent.empty())
+    if (found->second.unanswered.erase(from) != 0 && found->second.unanswered.empty())
         m_hooks.on_confirmed(told.domain, found->second.asked);
 }
 
-void outage_inquiry::take(const node_id& from, const store_question& asked)
+void outage_inquiry::receive(const node_id& from, const store_question& asked)
 {
-    const asker to{from, asked};
+    const requester to{from, asked};
     if (m_hooks.manages(asked.domain))
         return answer(to, true);
-    if (runtime_clock::now() - m_failed < failure_holds)
+    if (runtime_clock::now() - m_failed_at < failure_validity)
         return answer(to, false);
-    m_askers.push_back(to);
+    m_waiting_requesters.push_back(to);
     if (!m_checking)
         begin_check();
 }
 
-void outage_inquiry::answer(const asker& to, bool reached)
+void outage_inquiry::answer(const requester& to, bool reached)
 {
     if (!reached) {
-        m_conceded = runtime_clock::now();
-        m_hooks.on_conceded(to.question.domain);
+        m_outage_reported_at = runtime_clock::now();
+        m_hooks.on_outage_reported(to.question.domain);
     }
     m_peers.send_server(to.node, store_answer{to.question.domain, to.question.round, reached});
 }
@@ -125,30 +125,30 @@
     const auto self = shared_from_this();
     const std::uint64_t check = m_check;
     const result<kv_read> read = co_await m_kv.get(m_settings.deployment + "/outage-check");
-    settle(check, read.has_value());
+    finish_check(check, read.has_value());
 }
 
 net::awaitable<void> outage_inquiry::time_out(std::uint64_t check)
 {
     const auto self = shared_from_this();
     co_await sleep_for(m_io, check_timeout);
-    settle(check, false);
+    finish_check(check, false);
 }
 
-void outage_inquiry::settle(std::uint64_t check, bool reached)
+void outage_inquiry::finish_check(std::uint64_t check, bool reached)
 {
     if (!m_checking || check != m_check)
         return;
     m_checking = false;
     if (!reached)
-        m_failed = runtime_clock::now();
-    for (const asker& waiting : std::exchange(m_askers, {}))
+        m_failed_at = runtime_clock::now();
+    for (const requester& waiting : std::exchange(m_waiting_requesters, {}))
         answer(waiting, reached);
 }
 
-bool outage_inquiry::conceded() const
+bool outage_inquiry::recently_reported_outage() const
 {
-    return runtime_clock::now() - m_conceded < concession_holds;
+    return runtime_clock::now() - m_outage_reported_at < outage_report_validity;
 }
 
 } // namespace jaynotch
--- a/daemon/record_feed.cc
+++ b/daemon/record_feed.cc
@@ -18,9 +18,9 @@
 
 namespace net = boost::asio;
 
-constexpr duration retry_pause = std::chrono::seconds{1};
+constexpr duration retry_interval = std::chrono::seconds{1};
 /// Bounds how long a node that is no longer a watcher keeps its watch.
-constexpr duration longest_watch_wait = std::chrono::seconds{10};
+constexpr duration max_watch_wait = std::chrono::seconds{10};
 
 } // namespace
 
@@ -28,11 +28,12 @@
 public:
     impl(net::io_context& context, const daemon_settings& chosen, kv_service& service,
          peer_service& others, std::function<void(const kv_entry&)> on_record)
-        : io{context}, settings{chosen}, kv{service}, hand_on{std::move(on_record)},
+        : io{context}, settings{chosen}, kv{service}, on_record_read{std::move(on_record)},
           relay{chosen,
                 others,
                 "records",
-                {[this](const kv_entry& entry) { take(entry); }, [this] { m_pause.cancel(); }}},
+                {[this](const kv_entry& entry) { handle_entry(entry); },
+                 [this] { m_pause.cancel(); }}},
           prefix{groups::record_prefix(chosen.deployment)}, m_pause{context}
     {}
 
@@ -45,7 +46,7 @@
             }
             if (!stopped) {
                 boost::system::error_code woken;
-                m_pause.expires_after(retry_pause);
+                m_pause.expires_after(retry_interval);
                 co_await m_pause.async_wait(net::redirect_error(net::use_awaitable, woken));
             }
         }
@@ -57,7 +58,7 @@
         m_pause.cancel();
     }
 
-    void learn(const kv_entry& record)
+    void pass_to_relay(const kv_entry& record)
     {
         if (groups::is_record_key(settings.deployment, record.key))
             relay.learned(record);
@@ -66,7 +67,7 @@
     net::io_context& io;
     const daemon_settings& settings;
     kv_service& kv;
-    std::function<void(const kv_entry&)> hand_on;
+    std::function<void(const kv_entry&)> on_record_read;
     key_relay_driver relay;
     std::string prefix;
     bool stopped = false;
@@ -78,24 +79,24 @@
         if (!read || stopped)
             co_return;
         for (const kv_entry& record : read.value().entries)
-            learn(record);
+            pass_to_relay(record);
         result<kv_watch> watch = co_await kv.watch(prefix, read.value().revision + 1);
         while (watch && !stopped && relay.watching()) {
-            const result<kv_watch_batch> batch = co_await watch.value().next(longest_watch_wait);
+            const result<kv_watch_batch> batch = co_await watch.value().next(max_watch_wait);
             if (!batch || stopped)
                 break;
             for (const kv_event& event : batch.value().events) {
                 if (!event.deleted)
-                    learn(event.entry);
+                    pass_to_relay(event.entry);
             }
         }
     }
 
-    void take(const kv_entry& entry)
+    void handle_entry(const kv_entry& entry)
     {
         // A peer may hand on any key; only records are taken for records.
         if (groups::is_record_key(settings.deployment, entry.key))
-            hand_on(entry);
+            on_record_read(entry);
     }
 
     timer m_pause;
@@ -136,9 +137,9 @@
     m_impl->relay.noticed(notice);
 }
 
-void record_feed::written(const kv_entry& record)
+void record_feed::record_written(const kv_entry& record)
 {
-    m_impl->learn(record);
+    m_impl->pass_to_relay(record);
 }
 
 } // namespace jaynotch
--- a/daemon/record_feed.h
+++ b/daemon/record_feed.h
@@ -36,7 +36,7 @@
     void stop();
     void tick();
     void noticed(const key_notice& notice);
-    void written(const kv_entry& record);
+    void record_written(const kv_entry& record);
 
 private:
     class impl;
--- a/daemon/registry_daemon.cc
+++ b/daemon/registry_daemon.cc
@@ -29,7 +29,7 @@
 
 namespace {
 
-constexpr duration beat = std::chrono::milliseconds{50}; ///< of managers, feed and targets
+constexpr duration tick_interval = std::chrono::milliseconds{50}; ///< of managers, feed and targets
 constexpr duration second = std::chrono::seconds{1};
 constexpr duration call_report_interval = std::chrono::seconds{10};
 
@@ -65,7 +65,7 @@
 
     result<void> open()
     {
-        const std::uint64_t seed = drawn_seed(settings);
+        const std::uint64_t seed = seed_or_random(settings);
         BOOST_OUTCOME_TRY(spans, tracer::open(settings.trace_file, settings.node, seed ^ 1U));
         BOOST_OUTCOME_TRY(peers, peer_service::create(io, peer_settings_of(settings, seed ^ 2U)));
         random_source random{seed ^ 4U};
@@ -74,17 +74,17 @@
                           request_core::create(bounded_core_settings(settings, incarnation), random,
                                                runtime_clock::now()));
         driver_hooks hooks;
-        hooks.on_silent = [this](const target_silent& seen) { take_silence(seen); };
-        hooks.on_share_limit = [this](const share_limit& seen) { take_limit(seen); };
+        hooks.on_silent = [this](const target_silent& seen) { handle_silent_target(seen); };
+        hooks.on_share_limit = [this](const share_limit& seen) { publish_limit(seen); };
         requests = std::make_unique<request_driver>(io, std::move(core), kv, std::move(hooks));
         managers = std::make_unique<formation_driver>(io, settings, kv, *peers, m_registry);
-        managers->on_asked(
+        managers->set_response_check(
             [this](const vm_id& vm) { return requests->core().hears(vm, runtime_clock::now()); });
-        managers->on_word([this] { push_targets(); });
+        managers->on_group_changed([this] { push_targets(); });
         feed = std::make_unique<registry_feed>(io, settings, kv, *peers, feed_hooks());
         services.reset(new relay_services{
             io, settings, *requests, servers, *spans, counted, counts, {}, {}, {}});
-        calls = std::make_unique<forward_front>(*services, [this] {
+        caller_front = std::make_unique<forward_front>(*services, [this] {
             return front_state{tables, m_stopping, false};
         });
         pages.reset(new registry_pages{
@@ -113,7 +113,7 @@
         caller_server->start();
         ready_server->start();
         admin_server->start();
-        net::co_spawn(io, run_beats(), net::detached);
+        net::co_spawn(io, run_ticks(), net::detached);
         log_event(log_level::info, "daemon_started",
                   {{"listen", settings.listen},
                    {"first_start", settings.first_start},
@@ -126,17 +126,17 @@
         if (m_stopping)
             co_return;
         m_stopping = true;
-        const time_point until = runtime_clock::now() + settings.timeouts.longest_stop;
+        const time_point until = runtime_clock::now() + settings.timeouts.max_stop_time;
         log_event(log_level::info, "daemon_stopping", {{"in_flight", counts.in_flight}});
         caller_server->wind_down();
         co_await managers->resign(resignation::where_possible);
-        co_await sleep_for(io, settings.timeouts.balancer);
-        co_await finish_callers(io, *caller_server, counts, until);
+        co_await sleep_for(io, settings.timeouts.balancer_wait);
+        co_await drain_callers(io, *caller_server, counts, until);
         co_await managers->resign(resignation::all);
-        const std::uint64_t cut_off = counts.in_flight;
+        const std::uint64_t unfinished = counts.in_flight;
         co_await peers->leave();
-        log_event(cut_off == 0 ? log_level::info : log_level::error, "daemon_stopped",
-                  {{"in_flight", cut_off}});
+        log_event(unfinished == 0 ? log_level::info : log_level::error, "daemon_stopped",
+                  {{"in_flight", unfinished}});
         abort();
     }
 
@@ -174,7 +174,7 @@
     std::unique_ptr<formation_driver> managers;
     std::unique_ptr<registry_feed> feed;
     std::unique_ptr<relay_services> services;
-    std::unique_ptr<forward_front> calls;
+    std::unique_ptr<forward_front> caller_front;
     std::unique_ptr<registry_pages> pages;
     std::unique_ptr<http_server> caller_server;
     std::unique_ptr<http_server> ready_server;
@@ -189,11 +189,11 @@
         BOOST_OUTCOME_TRY(caller_server,
                           http_server::open(io, settings.listen, plain, [this](auto& exchange) {
                               managers->traffic_begun();
-                              return calls->serve(exchange);
+                              return caller_front->serve(exchange);
                           }));
         BOOST_OUTCOME_TRY(ready_server, http_server::open(io, settings.ready_listen, plain,
                                                           [this](http_exchange& exchange) {
-                                                              return tell_ready(exchange);
+                                                              return answer_readiness(exchange);
                                                           }));
         BOOST_OUTCOME_TRY(admin_server, http_server::open(io, settings.admin_listen, plain,
                                                           [this](http_exchange& exchange) {
@@ -212,14 +212,14 @@
             m_registry.take(row, runtime_clock::now());
             managers->runner_seen(row);
         };
-        hooks.on_runner_gone = [this](const vm_id& id) {
+        hooks.on_runner_removed = [this](const vm_id& id) {
             m_registry.drop(id, runtime_clock::now());
             managers->runner_gone(id);
         };
         hooks.on_key = [this](const kv_entry& entry, bool there) {
-            managers->key_seen(entry, there);
+            managers->store_key_updated(entry, there);
         };
-        hooks.on_current = [this](bool current, std::size_t rank) {
+        hooks.on_current_changed = [this](bool current, std::size_t rank) {
             managers->set_current(current, rank);
         };
         hooks.on_batch = [this] {
@@ -265,14 +265,14 @@
         m_pushed = std::move(now);
     }
 
-    void take_silence(const target_silent& seen)
+    void handle_silent_target(const target_silent& seen)
     {
         log_event(log_level::warning, "group_silent",
                   {{"group", seen.target.value()}, {"head", seen.instance.value()}});
-        managers->silent(seen.instance);
+        managers->report_unresponsive_head(seen.instance);
     }
 
-    void take_limit(const share_limit& seen)
+    void publish_limit(const share_limit& seen)
     {
         peers->publish(server_limit{seen.server.value(), seen.per_second, {}});
         if (seen.per_second)
@@ -284,14 +284,14 @@
             log_event(log_level::info, "server_unlimited", {{"server", seen.server.value()}});
     }
 
-    net::awaitable<void> run_beats()
+    net::awaitable<void> run_ticks()
     {
         const auto self = shared_from_this();
         time_point next_second = runtime_clock::now();
         while (!m_stopped) {
             boost::system::error_code ignored;
-            m_timer.expires_after(beat);
-            const time_point wanted = runtime_clock::now() + beat;
+            m_timer.expires_after(tick_interval);
+            const time_point wanted = runtime_clock::now() + tick_interval;
             co_await m_timer.async_wait(net::redirect_error(net::use_awaitable, ignored));
             if (m_stopped)
                 co_return;
@@ -302,21 +302,21 @@
             if (runtime_clock::now() < next_second)
                 continue;
             next_second = runtime_clock::now() + second;
-            each_second();
+            run_second_tasks();
         }
     }
 
-    void each_second()
+    void run_second_tasks()
     {
         ask_slow_callers(*services);
         spans->flush();
         if (runtime_clock::now() >= m_next_call_report)
-            say_store_calls();
-        tell_fleet();
+            log_store_calls();
+        update_fleet();
     }
 
     /// Members that can't be reached may still send; only those that said goodbye don't count.
-    void tell_fleet()
+    void update_fleet()
     {
         fleet_seen seen;
         for (const member& one : peers->members()) {
@@ -327,20 +327,20 @@
         requests->handle(std::move(seen));
         if (nodes != m_fleet_size) {
             m_fleet_size = nodes;
-            requests->handle(fleet_size_seen{std::max(nodes, least_fleet)});
+            requests->handle(fleet_size_seen{std::max(nodes, min_fleet_size)});
         }
     }
 
     /// What this node has asked of the store since the last line.
-    void say_store_calls()
+    void log_store_calls()
     {
         m_next_call_report = runtime_clock::now() + call_report_interval;
         const kv_call_counts now = kv.counts();
-        const auto since = [&](kv_call kind) { return now.of(kind) - m_calls_told.of(kind); };
+        const auto since = [&](kv_call kind) { return now.of(kind) - m_logged_calls.of(kind); };
         const auto failed = std::accumulate(now.failed.begin(), now.failed.end(), std::uint64_t{0});
-        const auto failed_told = std::accumulate(m_calls_told.failed.begin(),
-                                                 m_calls_told.failed.end(), std::uint64_t{0});
-        if (now.total() != m_calls_told.total())
+        const auto failed_logged = std::accumulate(m_logged_calls.failed.begin(),
+                                                   m_logged_calls.failed.end(), std::uint64_t{0});
+        if (now.total() != m_logged_calls.total())
             log_event(log_level::info, "store_calls",
                       {{"reads", since(kv_call::get)},
                        {"pages", since(kv_call::get_prefix)},
@@ -348,11 +348,11 @@
                        {"transactions", since(kv_call::transact)},
                        {"renewals", since(kv_call::keep_alive)},
                        {"leases", since(kv_call::grant) + since(kv_call::revoke)},
-                       {"failed", failed - failed_told}});
-        m_calls_told = now;
+                       {"failed", failed - failed_logged}});
+        m_logged_calls = now;
     }
 
-    net::awaitable<void> tell_ready(http_exchange& exchange)
+    net::awaitable<void> answer_readiness(http_exchange& exchange)
     {
         const bool fine = ready();
         const http::status status = fine ? http::status::ok : http::status::service_unavailable;
@@ -384,14 +384,14 @@
     }
 
     /// Before the peers are known, budgets are split as if there were this many nodes.
-    static constexpr std::size_t least_fleet = 4;
+    static constexpr std::size_t min_fleet_size = 4;
 
     groups::runner_registry m_registry;
     target_lists m_pushed;
     std::optional<std::uint64_t> m_pushed_version; ///< of the registry; none: push again
     time_point m_installed;                        ///< of the tables in force
     std::size_t m_fleet_size = 0;
-    kv_call_counts m_calls_told;
+    kv_call_counts m_logged_calls;
     time_point m_next_call_report;
     timer m_timer;
     bool m_stopping = false;
@@ -403,7 +403,7 @@
 registry_daemon::~registry_daemon()
 {
     m_impl->abort();
-    keep_for_calls(m_impl->io, m_impl);
+    keep_alive_for_pending_calls(m_impl->io, m_impl);
 }
 
 result<std::unique_ptr<registry_daemon>> registry_daemon::create(net::io_context& io,
--- a/daemon/registry_feed.cc
+++ b/daemon/registry_feed.cc
@@ -29,30 +29,30 @@
 
 namespace net = boost::asio;
 
-constexpr duration shortest_pause = std::chrono::milliseconds{50};
-constexpr duration longest_pause = std::chrono::milliseconds{800};
+constexpr duration min_retry_interval = std::chrono::milliseconds{50};
+constexpr duration max_retry_interval = std::chrono::milliseconds{800};
 constexpr duration watch_wait = std::chrono::seconds{10};
 /// Between two pushes of a watcher that has nothing new.
 constexpr duration push_interval = std::chrono::milliseconds{400};
 /// Each call costs the store the same whatever it brings, so changes gather, for a time that is
 /// short beside the time in which one must be in force.
-constexpr watch_pace first_pace{.gather = std::chrono::milliseconds{120}};
+constexpr watch_pace first_follower_pace{.gather = std::chrono::milliseconds{120}};
 /// While a watcher that ranks before is fresh, the next one only has to be ready to take over.
-constexpr watch_pace second_pace{.gather = std::chrono::milliseconds{500}};
+constexpr watch_pace other_follower_pace{.gather = std::chrono::milliseconds{500}};
 /// Of a watcher that only informs itself.
-constexpr watch_pace own_pace{.gather = std::chrono::milliseconds{100}};
+constexpr watch_pace non_follower_pace{.gather = std::chrono::milliseconds{100}};
 /// While a large fleet starts, no node knows yet who else is there to follow, and all entries
 /// change.
 constexpr watch_pace start_pace{.gather = std::chrono::milliseconds{100},
                                 .gather_a_change = std::chrono::milliseconds{10},
                                 .most_gather = std::chrono::milliseconds{800}};
-constexpr duration start_span = std::chrono::seconds{6};
+constexpr duration startup_period = std::chrono::seconds{6};
 /// After this long without watching, reading everything costs less than what has changed since.
-constexpr duration longest_gap = std::chrono::seconds{3};
+constexpr duration max_watch_gap = std::chrono::seconds{3};
 /// For living runners to be back in the registry once the store answers again.
-constexpr duration return_grace = std::chrono::milliseconds{2'200};
+constexpr duration reregistration_grace = std::chrono::milliseconds{2'200};
 /// A store that failed for shorter has let no lease lapse: runners write each second or so.
-constexpr duration outage = std::chrono::milliseconds{1'500};
+constexpr duration min_outage = std::chrono::milliseconds{1'500};
 
 std::int64_t in_milliseconds(duration span)
 {
@@ -79,7 +79,7 @@
     net::awaitable<void> run()
     {
         const auto self = shared_from_this();
-        duration pause = shortest_pause;
+        duration pause = min_retry_interval;
         while (!stopped) {
             bool worked = true;
             if (should_watch()) {
@@ -87,7 +87,7 @@
             }
             if (stopped)
                 break;
-            pause = worked ? shortest_pause : std::min(pause * 2, longest_pause);
+            pause = worked ? min_retry_interval : std::min(pause * 2, max_retry_interval);
             boost::system::error_code woken;
             m_pause.expires_after(pause);
             co_await m_pause.async_wait(net::redirect_error(net::use_awaitable, woken));
@@ -104,15 +104,15 @@
     {
         relay.tick();
         kv.set_pace(pace());
-        drop_overdue();
+        remove_overdue_runners();
         end_batch();
-        if (current && runtime_clock::now() - m_pushed >= push_interval)
+        if (current && runtime_clock::now() - m_last_push_at >= push_interval)
             push();
     }
 
     void end_batch()
     {
-        if (std::exchange(m_news, false))
+        if (std::exchange(m_changed, false))
             hooks.on_batch();
     }
 
@@ -127,16 +127,16 @@
     key_relay_hooks relay_hooks()
     {
         key_relay_hooks given;
-        given.on_key = [this](const kv_entry& entry) { take(entry); };
+        given.on_key = [this](const kv_entry& entry) { handle_entry(entry); };
         given.on_watch = [this] { m_pause.cancel(); };
         given.on_fresh = [this](const node_id& from, duration store_age) {
             m_followers.told(from, store_age, runtime_clock::now());
-            if (store_age < outage)
-                regained();
+            if (store_age < min_outage)
+                store_recovered();
         };
         given.on_neighbours = [this](const std::vector<node_id>& nodes) {
             m_followers.members_changed(nodes);
-            hooks.on_current(current, m_followers.rank());
+            hooks.on_current_changed(current, m_followers.rank());
         };
         return given;
     }
@@ -145,11 +145,11 @@
     {
         const time_point now = runtime_clock::now();
         const bool relied_upon = m_followers.relied_upon();
-        if (m_first_start && !relied_upon && now - m_started < start_span)
+        if (m_first_start && !relied_upon && now - m_started < startup_period)
             return start_pace;
         if (!relied_upon)
-            return own_pace;
-        return m_followers.first_fresh(now) ? first_pace : second_pace;
+            return non_follower_pace;
+        return m_followers.first_fresh(now) ? first_follower_pace : other_follower_pace;
     }
 
     [[nodiscard]] bool should_watch()
@@ -159,27 +159,27 @@
 
     void push()
     {
-        m_pushed = runtime_clock::now();
-        if (const std::optional<duration> age = m_followers.store_age(m_pushed))
+        m_last_push_at = runtime_clock::now();
+        if (const std::optional<duration> age = m_followers.store_age(m_last_push_at))
             relay.push(*age);
     }
 
     /// The store has answered, and what it said has been learned.
     void answered()
     {
-        m_watched = runtime_clock::now();
-        m_followers.answered(m_watched);
+        m_last_answer_at = runtime_clock::now();
+        m_followers.answered(m_last_answer_at);
     }
 
     /// True if the store answered.
     net::awaitable<bool> read_or_watch()
     {
         bool fine = true;
-        if (m_revision == 0 || runtime_clock::now() - m_watched > longest_gap) {
+        if (m_revision == 0 || runtime_clock::now() - m_last_answer_at > max_watch_gap) {
             fine = co_await read_all();
         }
         if (fine && !stopped && should_watch()) {
-            fine = co_await watch_on();
+            fine = co_await watch_until_error();
         }
         co_return fine;
     }
@@ -199,7 +199,7 @@
                   {{"entries", read.value().entries.size()},
                    {"revision", read.value().revision},
                    {"took_ms", milliseconds_since(asked)}});
-        regained();
+        store_recovered();
         std::set<std::string> there;
         for (const kv_entry& entry : read.value().entries) {
             there.insert(entry.key);
@@ -208,7 +208,7 @@
         for (const auto& [key, held] : std::map{relay.keys()}) {
             if (!held.value.empty() && !there.contains(key) &&
                 held.revision < read.value().revision)
-                relay.read(gone(key, read.value().revision));
+                relay.read(deleted_entry(key, read.value().revision));
         }
         relay.stop_pushing(); // the neighbours compare before they count on the next push
         m_revision = read.value().revision;
@@ -218,11 +218,11 @@
         end_batch();
         push();
         if (!should_watch())
-            hand_over();
+            stop_watching();
         co_return true;
     }
 
-    net::awaitable<bool> watch_on()
+    net::awaitable<bool> watch_until_error()
     {
         result<kv_watch> watch =
             co_await kv.watch(std::string{platform::watched_prefix()}, m_revision + 1);
@@ -247,15 +247,15 @@
                     lost(batch.error());
                 // One that ends again and again soon after its first answer must not be begun anew
                 // at once.
-                co_return m_revision == 0 || runtime_clock::now() - begun >= longest_pause;
+                co_return m_revision == 0 || runtime_clock::now() - begun >= max_retry_interval;
             }
             if (batch.value().revision == 0)
                 continue; // nothing came from the store yet
             answered_last = runtime_clock::now();
-            regained();
+            store_recovered();
             for (const kv_event& event : batch.value().events) {
                 if (event.deleted)
-                    relay.learned(gone(event.entry.key, event.entry.mod_revision));
+                    relay.learned(deleted_entry(event.entry.key, event.entry.mod_revision));
                 else
                     relay.learned(event.entry);
             }
@@ -265,7 +265,7 @@
             end_batch();
             push();
             if (!should_watch()) {
-                hand_over();
+                stop_watching();
                 co_return true;
             }
         }
@@ -273,14 +273,14 @@
     }
 
     /// Other watchers tell from now on.
-    void hand_over()
+    void stop_watching()
     {
         relay.stop_pushing();
         set_current(false);
     }
 
     /// An empty value stands for a key that is gone: no document is empty.
-    static kv_entry gone(const std::string& key, std::int64_t revision)
+    static kv_entry deleted_entry(const std::string& key, std::int64_t revision)
     {
         kv_entry made;
         made.key = key;
@@ -290,8 +290,8 @@
 
     void lost(const error& why)
     {
-        if (!m_lost_since) {
-            m_lost_since = runtime_clock::now();
+        if (!m_store_failed_since) {
+            m_store_failed_since = runtime_clock::now();
             log_event(log_level::warning, "store_lost",
                       {{"reason", why.message}, {"revision", m_revision}});
         }
@@ -299,15 +299,15 @@
         set_current(false);
     }
 
-    void regained()
+    void store_recovered()
     {
-        if (!m_lost_since)
+        if (!m_store_failed_since)
             return;
         const time_point now = runtime_clock::now();
-        const duration away = now - *m_lost_since;
-        m_lost_since.reset();
-        if (away >= outage)
-            m_returning_until = now + return_grace;
+        const duration away = now - *m_store_failed_since;
+        m_store_failed_since.reset();
+        if (away >= min_outage)
+            m_grace_until = now + reregistration_grace;
         log_event(log_level::info, "store_regained",
                   {{"away_ms", in_milliseconds(away)}, {"revision", m_revision}});
     }
@@ -317,31 +317,31 @@
         if (current == now)
             return;
         current = now;
-        hooks.on_current(now, m_followers.rank());
+        hooks.on_current_changed(now, m_followers.rank());
     }
 
-    void take(const kv_entry& entry)
+    void handle_entry(const kv_entry& entry)
     {
-        m_news = true;
+        m_changed = true;
         const bool there = !entry.value.empty();
         if (platform::is_runner(entry.key))
-            take_runner(entry, there);
+            handle_runner_entry(entry, there);
         else if (platform::is_configuration(entry.key))
-            take_configuration(entry, there);
+            handle_configuration_entry(entry, there);
         else
             hooks.on_key(entry, there);
     }
 
-    void take_runner(const kv_entry& entry, bool there)
+    void handle_runner_entry(const kv_entry& entry, bool there)
     {
         const vm_id id = platform::runner_id(entry.key);
-        m_missing.erase(id);
+        m_missing_runners.erase(id);
         if (!there) {
             const time_point now = runtime_clock::now();
-            if (now < m_returning_until)
-                m_missing[id] = m_returning_until;
+            if (now < m_grace_until)
+                m_missing_runners[id] = m_grace_until;
             else
-                hooks.on_runner_gone(id);
+                hooks.on_runner_removed(id);
             return;
         }
         result<runner> read = platform::parse_runner(entry);
@@ -351,10 +351,10 @@
         }
         log_event(log_level::warning, "registry_entry_unreadable",
                   {{"key", entry.key}, {"reason", read.error().message}});
-        hooks.on_runner_gone(id);
+        hooks.on_runner_removed(id);
     }
 
-    void take_configuration(const kv_entry& entry, bool there)
+    void handle_configuration_entry(const kv_entry& entry, bool there)
     {
         if (!there)
             return; // the last one stays in force
@@ -370,17 +370,17 @@
         hooks.on_configuration(std::make_shared<const configuration>(std::move(read).value()));
     }
 
-    void drop_overdue()
+    void remove_overdue_runners()
     {
         const time_point now = runtime_clock::now();
-        for (auto row = m_missing.begin(); row != m_missing.end();) {
+        for (auto row = m_missing_runners.begin(); row != m_missing_runners.end();) {
             if (now < row->second) {
                 ++row;
                 continue;
             }
-            hooks.on_runner_gone(row->first);
-            m_news = true;
-            row = m_missing.erase(row);
+            hooks.on_runner_removed(row->first);
+            m_changed = true;
+            row = m_missing_runners.erase(row);
         }
     }
 
@@ -389,14 +389,14 @@
     bool m_first_start;    ///< of the whole fleet
     time_point m_started = runtime_clock::now();
     store_followers m_followers;
-    time_point m_pushed;
-    time_point m_watched;        ///< when the store answered this node last
+    time_point m_last_push_at;
+    time_point m_last_answer_at; ///< when the store answered this node last
     std::int64_t m_revision = 0; ///< seen last; 0: everything has to be read
     bool m_read_once = false;
-    bool m_news = false;
-    std::optional<time_point> m_lost_since;
-    time_point m_returning_until;
-    std::map<vm_id, time_point> m_missing; ///< entries that vanished as the store came back
+    bool m_changed = false;
+    std::optional<time_point> m_store_failed_since;
+    time_point m_grace_until;
+    std::map<vm_id, time_point> m_missing_runners; ///< entries that vanished as the store came back
     std::optional<config_revision> m_installed;
 };
 
--- a/daemon/registry_feed.h
+++ b/daemon/registry_feed.h
@@ -28,12 +28,12 @@
 struct registry_hooks {
     std::function<void(std::shared_ptr<const configuration>)> on_configuration;
     std::function<void(const runner&)> on_runner;
-    std::function<void(const vm_id&)> on_runner_gone;
+    std::function<void(const vm_id&)> on_runner_removed;
     /// Any other key, and whether it is there.
     std::function<void(const kv_entry&, bool there)> on_key;
     /// Whether the store answers this node and all it holds has been read; and the node's place
     /// among the followers of its failure domain.
-    std::function<void(bool current, std::size_t rank)> on_current;
+    std::function<void(bool current, std::size_t rank)> on_current_changed;
     /// Everything that came at once has been handed on.
     std::function<void()> on_batch;
 };
--- a/daemon/settings.cc
+++ b/daemon/settings.cc
@@ -8,7 +8,7 @@
 
 namespace {
 
-error bad(std::string_view flag, std::string_view what, std::string_view remedy)
+error setting_error(std::string_view flag, std::string_view what, std::string_view remedy)
 {
     return error{error_kind::invalid_argument, "--" + std::string{flag} + " " + std::string{what},
                  std::string{remedy}};
@@ -18,7 +18,8 @@
 {
     const auto parsed = parse_endpoint(text);
     if (!parsed)
-        return bad(flag, "is \"" + text + "\", " + parsed.error().message, parsed.error().remedy);
+        return setting_error(flag, "is \"" + text + "\", " + parsed.error().message,
+                             parsed.error().remedy);
     return success();
 }
 
@@ -26,19 +27,20 @@
 {
     std::error_code ignored;
     if (!path.empty() && !std::filesystem::is_regular_file(path, ignored))
-        return bad(flag, "names \"" + path + "\", which can't be read",
-                   "give the path of a PEM file");
+        return setting_error(flag, "names \"" + path + "\", which can't be read",
+                             "give the path of a PEM file");
     return success();
 }
 
 result<void> check_tls(const std::string& prefix, const tls_files& files)
 {
     if (files.certificate.empty() != files.key.empty())
-        return bad(prefix + "_certificate", "and its key go together",
-                   "set both --" + prefix + "_certificate and --" + prefix + "_key, or neither");
+        return setting_error(prefix + "_certificate", "and its key go together",
+                             "set both --" + prefix + "_certificate and --" + prefix +
+                                 "_key, or neither");
     if (!files.authority.empty() && !files.enabled())
-        return bad(prefix + "_authority", "is set without a certificate",
-                   "set --" + prefix + "_certificate too");
+        return setting_error(prefix + "_authority", "is set without a certificate",
+                             "set --" + prefix + "_certificate too");
     BOOST_OUTCOME_TRY(check_file(prefix + "_certificate", files.certificate));
     BOOST_OUTCOME_TRY(check_file(prefix + "_key", files.key));
     return check_file(prefix + "_authority", files.authority);
@@ -47,7 +49,7 @@
 result<void> check_positive(std::string_view flag, std::chrono::milliseconds value)
 {
     if (value.count() <= 0)
-        return bad(flag, "is not positive", "give milliseconds, 1 or more");
+        return setting_error(flag, "is not positive", "give milliseconds, 1 or more");
     return success();
 }
 
@@ -61,22 +63,22 @@
     BOOST_OUTCOME_TRY(check_positive("stream_stall_ms", timeouts.stream_stall));
     BOOST_OUTCOME_TRY(check_positive("upstream_idle_ms", timeouts.upstream_idle));
     BOOST_OUTCOME_TRY(check_positive("order_horizon_ms", timeouts.order_horizon));
-    if (timeouts.balancer.count() < 0)
-        return bad("balancer_wait_ms", "is negative", "give milliseconds, 0 or more");
-    return check_positive("longest_stop_ms", timeouts.longest_stop);
+    if (timeouts.balancer_wait.count() < 0)
+        return setting_error("balancer_wait_ms", "is negative", "give milliseconds, 0 or more");
+    return check_positive("longest_stop_ms", timeouts.max_stop_time);
 }
 
 result<void> check_limits(const daemon_limits& limits)
 {
     if (limits.http.header_bytes < 1024)
-        return bad("max_header_bytes", "is under 1024", "give 1024 or more");
+        return setting_error("max_header_bytes", "is under 1024", "give 1024 or more");
     if (limits.model_body_bytes == 0 || limits.answer_bytes == 0 || limits.keyed_body_bytes == 0)
-        return bad("max_body_bytes", "or another body bound is 0", "give 1 or more");
+        return setting_error("max_body_bytes", "or another body bound is 0", "give 1 or more");
     if (limits.keyed_body_bytes > 900 * 1024)
-        return bad("max_keyed_bytes", "is over what the key-value service holds",
-                   "give 921600 or less");
+        return setting_error("max_keyed_bytes", "is over what the key-value service holds",
+                             "give 921600 or less");
     if (limits.http.connections == 0 || limits.requests == 0)
-        return bad("max_connections", "or --max_requests is 0", "give 1 or more");
+        return setting_error("max_connections", "or --max_requests is 0", "give 1 or more");
     return success();
 }
 
@@ -85,11 +87,13 @@
 result<void> check(const daemon_settings& settings)
 {
     if (settings.node.value().empty())
-        return bad("node", "is empty", "give the name of this VM, unique in the deployment");
+        return setting_error("node", "is empty",
+                             "give the name of this VM, unique in the deployment");
     if (settings.failure_domain.value().empty())
-        return bad("failure_domain", "is empty", "give the failure domain this VM stands in");
+        return setting_error("failure_domain", "is empty",
+                             "give the failure domain this VM stands in");
     if (settings.deployment.empty())
-        return bad("deployment", "is empty", "give the deployment that both tables name");
+        return setting_error("deployment", "is empty", "give the deployment that both tables name");
     BOOST_OUTCOME_TRY(check_address("listen", settings.listen));
     BOOST_OUTCOME_TRY(check_address("peer_listen", settings.peer_listen));
     BOOST_OUTCOME_TRY(check_address("admin_listen", settings.admin_listen));
@@ -97,11 +101,12 @@
         BOOST_OUTCOME_TRY(check_address("peer_advertise", settings.peer_advertise));
     }
     if (settings.key_value.empty())
-        return bad("key_value", "is empty", "give IP:port of the platform's key-value service");
+        return setting_error("key_value", "is empty",
+                             "give IP:port of the platform's key-value service");
     for (const std::string& address : settings.key_value) {
         BOOST_OUTCOME_TRY(check_address("key_value", address));
     }
-    if (settings.form == source_form::own) {
+    if (settings.source == source_kind::own) {
         BOOST_OUTCOME_TRY(check_address("vm_list", settings.vm_list));
     }
     else {
--- a/daemon/settings.h
+++ b/daemon/settings.h
@@ -27,8 +27,8 @@
     std::chrono::milliseconds upstream_idle{30'000}; ///< a pooled connection nobody uses
     /// No engine takes an order later than this after its sending.
     std::chrono::milliseconds order_horizon{8'000};
-    std::chrono::milliseconds balancer{2'000};       ///< not ready, still listening, when stopping
-    std::chrono::milliseconds longest_stop{660'000}; ///< bounds a graceful stop
+    std::chrono::milliseconds balancer_wait{2'000};   ///< not ready, still listening, when stopping
+    std::chrono::milliseconds max_stop_time{660'000}; ///< bounds a graceful stop
 };
 
 /// What the daemon spends at most, whatever callers send.
@@ -42,7 +42,7 @@
 };
 
 /// Where the daemon's tables, backend servers and groups come from.
-enum class source_form {
+enum class source_kind {
     own,      ///< our own tables and records in a key-value service, a VM list, engines
     registry, ///< the users' platform: documents in its store, runners that register themselves
 };
@@ -73,7 +73,7 @@
     bool admission = true;    ///< false only to measure the relay without the core's limits
     std::uint64_t seed = 0;   ///< of the decision cores' random numbers; 0 draws one
 
-    source_form form = source_form::own;
+    source_kind source = source_kind::own;
     bool first_start = false; ///< registry form: the whole system starts for the first time
     site_bounds site;         ///< registry form: what the platform's operators bound
 
--- a/daemon/settings_test.cc
+++ b/daemon/settings_test.cc
@@ -6,7 +6,7 @@
 
 namespace {
 
-daemon_settings whole()
+daemon_settings valid_settings()
 {
     daemon_settings chosen;
     chosen.node = node_id{"entry-1"};
@@ -28,28 +28,28 @@
 
 // An operator mistypes one setting. The daemon must not come up half configured: it names the
 // flag and what to write, one by one.
-Test(settings, each_bad_value_is_refused_by_its_flag)
+Test(settings, each_invalid_value_is_refused_with_its_flag)
 {
-    cr_assert(check(whole()).has_value());
-    daemon_settings bad = whole();
+    cr_assert(check(valid_settings()).has_value());
+    daemon_settings bad = valid_settings();
     bad.node = node_id{};
     cr_assert(refused_naming(bad, "--node"));
-    bad = whole();
+    bad = valid_settings();
     bad.listen = "entry-1:80";
     cr_assert(refused_naming(bad, "--listen"));
-    bad = whole();
+    bad = valid_settings();
     bad.vm_list = "127.0.0.1:99999";
     cr_assert(refused_naming(bad, "--vm_list"));
-    bad = whole();
+    bad = valid_settings();
     bad.key_value = {"127.0.0.1:1", "127.0.0.1:"};
     cr_assert(refused_naming(bad, "--key_value"));
-    bad = whole();
+    bad = valid_settings();
     bad.peer_tls.key = "/nowhere.pem";
     cr_assert(refused_naming(bad, "--peer_certificate"));
-    bad = whole();
+    bad = valid_settings();
     bad.timeouts.http.header = std::chrono::milliseconds{0};
     cr_assert(refused_naming(bad, "--header_timeout_ms"));
-    bad = whole();
+    bad = valid_settings();
     bad.limits.keyed_body_bytes = 2 * 1024 * 1024;
     cr_assert(refused_naming(bad, "--max_keyed_bytes"));
 }
--- a/soak/soak_run.cc
+++ b/soak/soak_run.cc
@@ -18,7 +18,7 @@
 namespace {
 
 constexpr duration longest_start = std::chrono::seconds{20};
-constexpr duration longest_stop = std::chrono::seconds{12};
+constexpr duration max_stop_time = std::chrono::seconds{12};
 constexpr duration entry_lapse = std::chrono::milliseconds{1'500}; ///< three heartbeats
 constexpr duration drained_for = std::chrono::milliseconds{4'000}; ///< then the server ends
 constexpr duration restart_after = std::chrono::milliseconds{150};
@@ -163,7 +163,7 @@
     asio::awaitable<void> end_and_restart(std::size_t index, bool graceful)
     {
         soak_daemon& one = m_site.daemons()[index];
-        const time_point until = runtime_clock::now() + longest_stop;
+        const time_point until = runtime_clock::now() + max_stop_time;
         std::optional<int> code;
         while (!(code = one.process->poll()) && runtime_clock::now() < until)
             co_await pause(look);
