--- a/daemon/admin.cc
+++ b/daemon/admin.cc
@@ -4,8 +4,8 @@
 
 #include <charconv>
 
-// Every page is made from what this node knows; only the history and old revisions ask the
-// key-value service. Who may call is decided by the port's mutual TLS before anything is read.
+// Pages are built from this node's in-memory state; only the history and old revisions are read
+// from the key-value service. The port's mutual TLS authenticates callers before a request is read.
 
 namespace jaynotch {
 
--- a/daemon/admin.h
+++ b/daemon/admin.h
@@ -1,4 +1,5 @@
-// The admin port: what `jaynotch` asks and orders, as JSON over HTTP, and /metrics.
+// HTTP handlers of the admin port: JSON pages for the `jaynotch` command-line tool, which reads
+// status and applies tables through them, and /metrics.
 //
 //   admin_pages admin{sources};
 //   http_server::open(io, listen, settings, [&](http_exchange& e) { return admin.serve(e); });
@@ -15,7 +16,7 @@
 
 namespace jaynotch {
 
-/// Where the pages come from.
+/// Where the pages get their data. The referenced objects must outlive admin_pages.
 struct admin_sources {
     const daemon_settings& settings;
     config_service& config;
--- a/daemon/admin_answers.h
+++ b/daemon/admin_answers.h
@@ -1,4 +1,4 @@
-// How the pages of the admin port are answered.
+// Responses of the admin port that both kinds of daemon share.
 #pragma once
 
 #include "http/http_exchange.h"
@@ -12,10 +12,10 @@
 namespace jaynotch {
 
 net::awaitable<void> answer_json(http_exchange& exchange, const boost::json::object& page);
-/// `page` in Prometheus text.
+/// Answers with `page`, which is in the Prometheus text format.
 net::awaitable<void> answer_metrics(http_exchange& exchange, const std::string& page);
 net::awaitable<void> answer_error(http_exchange& exchange, const error& why);
-/// `{"servers":[{"server","pool","state","in_flight"}]}`.
+/// Drain state of each target: `{"servers":[{"server","pool","state","in_flight"}]}`.
 boost::json::object drain_page(const std::vector<target_status>& targets);
 
 } // namespace jaynotch
--- a/daemon/daemon.cc
+++ b/daemon/daemon.cc
@@ -8,17 +8,17 @@
 #include <boost/asio/redirect_error.hpp>
 #include <boost/asio/use_awaitable.hpp>
 
-// A graceful stop goes in this order: say "not ready" and go on serving until the balancer has seen
-// it; take no new connections; finish every request in flight, however long its stream is allowed
-// to be; leave the membership; end. Nothing that a caller or a peer still needs is taken away
-// before.
+// Order of a graceful stop: report "not ready" and keep serving until the load balancer has
+// noticed; accept no new connections; finish every request in flight, however long its stream may
+// take, up to the time limit for a stop; leave the membership; close everything. Each step comes
+// only after callers and peers no longer need what it closes.
 
 namespace jaynotch {
 
 namespace {
 
 constexpr duration second = std::chrono::seconds{1};
-/// Within it the tickets of complete groups have come round from the peers.
+/// Enough time for the tickets of complete groups to arrive from peers by gossip.
 constexpr duration max_warm_up = std::chrono::seconds{10};
 
 etcd_settings key_value_settings(const daemon_settings& settings)
@@ -116,9 +116,9 @@
     return !m_stopping && config->current() != nullptr && !warming_up();
 }
 
-// Without this a node that has just started would take callers from the balancer and refuse them
-// while all the other nodes serve: it has the tables within a moment, the tickets a little later.
-// The wait is bounded, since there may be no complete group at all.
+// A node that has just started gets the tables at once but the tickets of groups a little later. If
+// it reported ready in between, the load balancer would send it callers that it must refuse while
+// all other nodes serve. The wait is bounded, since there may be no complete group at all.
 bool daemon::impl::warming_up() const
 {
     const auto tables = config->current();
@@ -150,7 +150,8 @@
     abort();
 }
 
-/// Ends every part; what still runs on the io_context holds its own state and ends by itself.
+/// Stops every component. Coroutines that still run on the io_context own the state that they use
+/// and end by themselves.
 void daemon::impl::abort()
 {
     m_stopping = true;
--- a/daemon/daemon.h
+++ b/daemon/daemon.h
@@ -1,13 +1,14 @@
-// Public header of the daemon library: one entry VM's process, as an object.
+// Public header of the daemon library: the process of one entry VM, as an object.
 //
 //   boost::asio::io_context io;
 //   result<std::unique_ptr<daemon>> made = daemon::create(io, settings);
-//   made.value()->start();                       // listens; answers once a configuration is known
+//   made.value()->start();                       // serves once a configuration is installed
 //   co_spawn(io, made.value()->stop(), detached); // graceful: finishes everything in flight
 //   io.run();
 //
-// Several may run on one io_context, for tests and scenarios; all of them on its one thread.
-// Destroying a daemon that was not stopped is a crash: connections are cut and nobody is told.
+// Tests and scenarios run several daemons on one io_context, which must have a single thread.
+// Destroying a daemon that was not stopped acts like a crash: its connections are closed and its
+// peers are not notified.
 #pragma once
 
 #include "base/base.h"
@@ -24,14 +25,14 @@
 
 /// Counts for tests and benchmarks; operators read /metrics.
 struct daemon_counts {
-    std::uint64_t requests = 0;        ///< of callers, for a model or a plain service
-    std::uint64_t answered = 0;        ///< whole answers delivered
+    std::uint64_t requests = 0;        ///< received from callers, for models and plain services
+    std::uint64_t answered = 0;        ///< complete answers delivered
     std::uint64_t refused = 0;         ///< refusals of any kind
-    std::uint64_t cut = 0;             ///< streams ended without their terminal mark
+    std::uint64_t cut = 0;             ///< streams ended before their terminal event
     std::uint64_t resumed = 0;         ///< streams continued on another group
-    std::uint64_t foreign_answers = 0; ///< answers that named another attempt; dropped
-    std::uint64_t tokens_relayed = 0;  ///< SSE events handed to callers
-    std::uint64_t in_flight = 0;       ///< now
+    std::uint64_t foreign_answers = 0; ///< answers with another attempt's id; dropped
+    std::uint64_t tokens_relayed = 0;  ///< SSE events relayed to callers
+    std::uint64_t in_flight = 0;       ///< at present
 };
 
 class daemon {
@@ -43,25 +44,27 @@
     daemon(const daemon&) = delete;
     daemon& operator=(const daemon&) = delete;
 
-    /// Begins to accept, to watch the platform and to talk to peers.
+    /// Starts accepting connections, watching the platform and exchanging messages with peers.
     void start();
 
-    /// Graceful stop: not ready, waits for the balancer, finishes everything in flight, leaves
-    /// the membership. Completes when nothing is left running.
+    /// Graceful stop: reports not ready, waits for the load balancer to notice, finishes all
+    /// requests in flight and leaves the membership. Completes when nothing is running any more,
+    /// or after the time limit for a stop.
     boost::asio::awaitable<void> stop();
 
-    /// Another process with this node's name and a newer start has taken its place; this one is to
-    /// stop.
+    /// `handler` is called when a process that started later runs under the same node name; this
+    /// daemon must stop then.
     void on_superseded(std::function<void()> handler);
 
-    /// Whether callers may be sent here: a configuration is in force and no stop has begun.
+    /// Whether the load balancer may send callers here: a configuration is installed, complete
+    /// groups are known or were waited for, and no stop has begun.
     [[nodiscard]] bool ready() const;
     [[nodiscard]] config_revision revision() const;
     [[nodiscard]] std::uint16_t listen_port() const;
     [[nodiscard]] std::uint16_t peer_port() const;
     [[nodiscard]] std::uint16_t admin_port() const;
     [[nodiscard]] daemon_counts counts() const;
-    /// Groups that may be given requests now.
+    /// Number of groups that may receive requests now.
     [[nodiscard]] std::size_t complete_groups() const;
 
 private:
@@ -70,16 +73,17 @@
     std::shared_ptr<impl> m_impl;
 };
 
-/// Reads flags and environment variables (JAYNOTCH_<FLAG>; a flag wins). `check_only` is set by
-/// --check-settings. Only `jaynotchd` calls it.
+/// Settings from the command line, and whether to exit after checking them (--check_settings).
 struct startup_settings {
     daemon_settings settings;
     bool check_only = false;
 };
+/// Reads flags and environment variables (JAYNOTCH_<FLAG>); flags take precedence. Only `jaynotchd`
+/// calls it.
 result<startup_settings> settings_from_flags(int argc, char** argv);
 
-/// Reads the platform's settings file again, for a daemon that was started with one. The flags hold
-/// on: they are parsed once in a process.
+/// Reads the platform's settings file again, for a daemon that was started with one. Flags are not
+/// parsed again and still take precedence over the file.
 result<daemon_settings> reload_settings(daemon_settings running);
 
 } // namespace jaynotch
--- a/daemon/daemon_events.cc
+++ b/daemon/daemon_events.cc
@@ -1,7 +1,8 @@
 #include "daemon/daemon_impl.h"
 #include "daemon/daemon_setup.h"
 
-// What one part tells another: configurations, complete groups, demand, servers that leave.
+// Events that the daemon passes between its components: installed configurations, complete groups,
+// demand per workspace, and backend servers that are leaving.
 
 namespace jaynotch {
 
@@ -109,7 +110,8 @@
     requests->handle(std::move(changed));
 }
 
-/// A ticket may have run out since the groups were last told to the core.
+/// Checks the time, since a ticket may have expired after push_groups() last gave the groups to the
+/// request core.
 bool daemon::impl::may_get(const group_id& group) const
 {
     const auto found = m_valid_until.find(group);
--- a/daemon/daemon_impl.h
+++ b/daemon/daemon_impl.h
@@ -1,4 +1,5 @@
-// The parts of a daemon and how they are tied together; private to daemon.cc and daemon_events.cc.
+// Implementation class of `daemon`, which owns its components and connects them; private to
+// daemon.cc and daemon_events.cc.
 #pragma once
 
 #include "config/config.h"
@@ -35,9 +36,9 @@
     net::awaitable<void> stop();
     void abort();
     [[nodiscard]] bool ready() const;
-    /// Whether this node has only just started and has heard of no complete group yet.
+    /// Whether this node started recently, has model pools and knows no complete group yet.
     [[nodiscard]] bool warming_up() const;
-    /// Groups that the request core knows to be complete.
+    /// Number of complete groups that the request core was last given.
     [[nodiscard]] std::size_t groups_in_use() const { return m_pushed.size(); }
 
     net::io_context& io;
--- a/daemon/daemon_setup.cc
+++ b/daemon/daemon_setup.cc
@@ -66,7 +66,7 @@
 
 void ask_slow_callers(const relay_services& services)
 {
-    std::vector<std::function<void()>> asked; // asking may end requests
+    std::vector<std::function<void()>> asked; // a copy, since a check may end requests
     for (const auto& [way, ask] : services.slow)
         asked.push_back(ask);
     for (const auto& ask : asked)
--- a/daemon/daemon_test.cc
+++ b/daemon/daemon_test.cc
@@ -20,7 +20,7 @@
     return settings;
 }
 
-/// Two daemons, two complete groups of two VMs, two plain servers.
+/// By default two daemons, two complete groups of two VMs each, and two plain servers.
 class served_fleet : public fleet_fixture {
 public:
     explicit served_fleet(fixture_settings settings = two_groups())
@@ -42,7 +42,7 @@
         return true;
     }
 
-    /// Executions of plain requests for `target`, over all servers.
+    /// Number of executions of plain requests for `target` on all servers.
     std::size_t ran(const std::string& target)
     {
         std::size_t count = 0;
@@ -61,7 +61,7 @@
 
 } // namespace
 
-// The whole path: an operator applies two tables, groups form and load, a caller gets the whole
+// An operator applies two tables, groups form and load their model, and a caller gets the complete
 // streamed answer to its own prompt.
 Test(daemon, a_streamed_answer_arrives_complete, .timeout = 60)
 {
@@ -75,8 +75,8 @@
     cr_assert_neq(answer.text(), fleet.ask(0, chat("another", 20)).text());
 }
 
-// An engine's connection breaks in the middle of a stream. The caller sees one answer without a
-// seam: the rest comes from the other group, byte for byte what the first would have said.
+// An engine's connection breaks in the middle of a stream. The rest must come from the other group,
+// and the caller's answer must be byte for byte that of an uninterrupted stream.
 Test(daemon, a_broken_stream_continues_on_the_other_group, .timeout = 60)
 {
     served_fleet fleet;
@@ -94,8 +94,8 @@
     cr_assert_eq(pending.answer->text(), complete);
 }
 
-// Every engine cuts every stream. The caller must be able to tell that its answer is not whole: an
-// error event, no terminal mark, no last chunk.
+// Every engine closes every stream early. The caller must be able to tell that its answer is
+// incomplete: it gets an error event, and neither a terminal event nor a last chunk.
 Test(daemon, a_stream_that_cannot_continue_ends_as_incomplete, .timeout = 60)
 {
     served_fleet fleet;
@@ -108,9 +108,9 @@
     cr_assert_eq(fleet.node(0).counts().cut, 1U);
 }
 
-// Engines answer twice, send wrong lengths, bytes that are no HTTP, nothing at all, or refuse. A
-// caller gets the whole right answer or a refusal, never anything between; and once the engines
-// are well the next request is served.
+// Engines answer twice, send wrong lengths, bytes that are not HTTP, or nothing. Each caller gets
+// the complete correct answer, a refusal or an answer marked as incomplete; and once the engines
+// have recovered, the next request is served.
 Test(daemon, faulty_engine_answers_never_reach_the_caller, .timeout = 100)
 {
     served_fleet fleet;
@@ -141,8 +141,8 @@
     }
 }
 
-// An engine accepts a stream and then stalls. The request goes on elsewhere, or ends truthfully;
-// it does not hang.
+// An engine accepts a stream and then stalls. The request continues on another group or ends as
+// incomplete; it must not hang.
 Test(daemon, a_stalled_engine_does_not_block_its_caller, .timeout = 60)
 {
     fixture_settings settings = two_groups();
@@ -160,8 +160,8 @@
     cr_assert(!pending.answer->done() || pending.answer->text() == right);
 }
 
-// A caller goes away in the middle of its stream, as a foreman who loses the signal does. The
-// engine stops generating for nobody.
+// A caller disconnects in the middle of its stream, as on a lost mobile connection. The engine must
+// stop generating tokens for it.
 Test(daemon, a_disconnected_caller_frees_the_engine, .timeout = 60)
 {
     served_fleet fleet;
@@ -179,8 +179,8 @@
     cr_assert(fleet.run_until([&] { return fleet.node(0).counts().in_flight == 0; }, 5s));
 }
 
-// An operator stops one entry VM while an answer streams through it. The caller gets all of it; the
-// balancer is told; then the daemon ends.
+// An operator stops one entry VM while it relays a stream. The daemon reports not ready at once,
+// the caller gets the complete stream, and then the daemon ends.
 Test(daemon, a_graceful_stop_truncates_no_answer, .timeout = 60)
 {
     served_fleet fleet;
@@ -198,8 +198,8 @@
     cr_assert_eq(fleet.ask(1, chat("which ducts", 200)).text(), pending.answer->text());
 }
 
-// Both entry VMs are restarted one after the other under load, as at an update. Callers use
-// whichever is ready, as a balancer does; none of them is cut or refused.
+// Both entry VMs are restarted one after the other under load, as in an update. Callers use the
+// nodes that are ready, as behind a load balancer; every call must get a complete answer.
 Test(daemon, a_rolling_restart_under_load_truncates_no_answer, .timeout = 100)
 {
     fixture_settings settings = two_groups();
@@ -243,8 +243,9 @@
     cr_assert_eq(bad, 0U, "%zu of %zu", bad, calls.size());
 }
 
-// A farmer's app confirms an order and repeats the call after a lost signal, here and at another
-// entry VM, and once with another body. The order runs once; each repeat gets the same record.
+// A client repeats a keyed call after a lost connection, at the same and at another entry VM, and
+// once with a different body. The call must run once, each repeat must get the recorded answer, and
+// the different body must be refused. While the store is down, a keyed call is refused as not run.
 Test(daemon, a_keyed_call_runs_once_wherever_it_is_repeated, .timeout = 60)
 {
     served_fleet fleet;
@@ -272,9 +273,10 @@
     cr_assert_eq(fleet.ran("/orders/8"), 0U);
 }
 
-// A plain server answers another's request, closes early, sends a wrong length, no HTTP, or two
-// answers at once. A call that may not be repeated is sent once and its caller told the truth; the
-// second of two answers reaches nobody.
+// A plain server answers another attempt, closes early, sends a wrong length, bytes that are not
+// HTTP, or two answers at once. A call that must not be repeated is sent once, and its caller
+// learns that the outcome is unknown or gets a truncated answer. The second of two answers reaches
+// no caller.
 Test(daemon, faulty_plain_server_answers_are_reported_correctly, .timeout = 100)
 {
     const std::string head = "HTTP/1.1 200 OK\r\n";
@@ -306,7 +308,7 @@
         cr_assert_eq(fleet.ask(0, {.target = "/never/2", .body = "x"}).body, "one");
 }
 
-// Callers ask for what does not exist or make no sense. Each is refused as not run, with a remedy.
+// Invalid requests and requests for unknown models must be refused as not run, with a remedy.
 Test(daemon, wrong_requests_are_refused_as_not_run, .timeout = 60)
 {
     served_fleet fleet;
@@ -330,7 +332,8 @@
     cr_assert(fine.complete && fine.done());
 }
 
-// An archive is uploaded through the node, larger than it would hold, and a head is asked for.
+// An upload that is larger than the daemon's buffers is relayed completely, and a HEAD request gets
+// no body.
 Test(daemon, plain_http_is_relayed_completely, .timeout = 60)
 {
     served_fleet fleet;
@@ -344,7 +347,8 @@
     cr_assert(head.status == 200 && head.body.empty());
 }
 
-// A plain server says that it is leaving. Within two seconds no node sends it anything new.
+// A plain server reports that it is leaving. Two seconds later no node sends it new requests; once
+// it reports that it stays, it gets requests again.
 Test(daemon, a_leaving_server_gets_no_new_requests, .timeout = 60)
 {
     served_fleet fleet;
--- a/daemon/flags.cc
+++ b/daemon/flags.cc
@@ -5,56 +5,63 @@
 #include <absl/flags/parse.h>
 #include <absl/flags/usage.h>
 
-// Each flag may also come as JAYNOTCH_<FLAG> in the environment. The environment is written into
-// the flags before the command line is parsed, so that a flag on the command line wins.
+// Each flag can also be set as the environment variable JAYNOTCH_<FLAG>. The environment is written
+// into the flags before the command line is parsed, so that the command line takes precedence.
 
 ABSL_FLAG(std::string, node, "", "Name of this VM, unique in the deployment");
-ABSL_FLAG(std::string, failure_domain, "", "Failure domain that this VM stands in");
-ABSL_FLAG(std::string, deployment, "", "Deployment that both tables name");
+ABSL_FLAG(std::string, failure_domain, "", "Failure domain of this VM");
+ABSL_FLAG(std::string, deployment, "", "Deployment named in both tables");
 ABSL_FLAG(std::string, listen, "127.0.0.1:8080", "IP:port for callers");
 ABSL_FLAG(std::string, peer_listen, "127.0.0.1:8081", "IP:port for other daemons");
 ABSL_FLAG(std::string, admin_listen, "127.0.0.1:8082", "IP:port for `jaynotch` and /metrics");
-ABSL_FLAG(std::string, peer_advertise, "", "IP:port that peers are told; --peer_listen if empty");
-ABSL_FLAG(std::vector<std::string>, key_value, {}, "IP:port of the key-value service, by commas");
+ABSL_FLAG(std::string, peer_advertise, "", "IP:port announced to peers; --peer_listen if empty");
+ABSL_FLAG(std::vector<std::string>, key_value, {},
+          "IP:ports of the key-value service, comma-separated");
 ABSL_FLAG(std::string, vm_list, "", "IP:port of the VM list");
 ABSL_FLAG(std::string, weight_store, "", "IP:port of the weight store");
-ABSL_FLAG(std::vector<std::string>, seed_peers, {}, "Peer IP:ports of some daemons, by commas");
+ABSL_FLAG(std::vector<std::string>, seed_peers, {},
+          "Peer IP:ports of some daemons, comma-separated");
 ABSL_FLAG(std::string, caller_certificate, "", "PEM certificate shown to callers; empty: no TLS");
 ABSL_FLAG(std::string, caller_key, "", "PEM key of --caller_certificate");
-ABSL_FLAG(std::string, caller_authority, "", "PEM authority that callers' certificates need");
+ABSL_FLAG(std::string, caller_authority, "", "PEM authority of callers' certificates");
 ABSL_FLAG(std::string, peer_certificate, "", "PEM certificate shown to daemons; empty: no TLS");
 ABSL_FLAG(std::string, peer_key, "", "PEM key of --peer_certificate");
-ABSL_FLAG(std::string, peer_authority, "", "PEM authority that daemons' certificates need");
+ABSL_FLAG(std::string, peer_authority, "", "PEM authority of daemons' certificates");
 ABSL_FLAG(std::string, admin_certificate, "", "PEM certificate of the admin port; empty: no TLS");
 ABSL_FLAG(std::string, admin_key, "", "PEM key of --admin_certificate");
-ABSL_FLAG(std::string, admin_authority, "", "PEM authority that operators' certificates need");
+ABSL_FLAG(std::string, admin_authority, "", "PEM authority of operators' certificates");
 ABSL_FLAG(std::string, trace_file, "", "File for OTLP/JSON spans, - for standard error");
-ABSL_FLAG(std::uint64_t, seed, 0, "Seed of the decisions' random numbers; 0 draws one");
-ABSL_FLAG(std::int64_t, header_timeout_ms, 10'000, "For a caller's header, from its first byte");
-ABSL_FLAG(std::int64_t, body_stall_ms, 15'000, "Between two reads of a caller's body");
-ABSL_FLAG(std::int64_t, idle_timeout_ms, 75'000, "For a caller's idle connection");
-ABSL_FLAG(std::int64_t, write_stall_ms, 30'000, "For a caller that takes no bytes");
-ABSL_FLAG(std::int64_t, connect_timeout_ms, 1'000, "For a connection to a backend server");
-ABSL_FLAG(std::int64_t, stream_stall_ms, 10'000, "Between two events of an engine's stream");
-ABSL_FLAG(std::int64_t, upstream_idle_ms, 30'000, "For a pooled connection to a backend server");
+ABSL_FLAG(std::uint64_t, seed, 0, "Random seed of the decision cores; 0 for a random one");
+ABSL_FLAG(std::int64_t, header_timeout_ms, 10'000,
+          "Timeout of a caller's header, from its first byte");
+ABSL_FLAG(std::int64_t, body_stall_ms, 15'000, "Timeout between two reads of a caller's body");
+ABSL_FLAG(std::int64_t, idle_timeout_ms, 75'000, "Timeout of a caller's idle connection");
+ABSL_FLAG(std::int64_t, write_stall_ms, 30'000, "Timeout of a caller that does not read");
+ABSL_FLAG(std::int64_t, connect_timeout_ms, 1'000, "Timeout of connecting to a backend server");
+ABSL_FLAG(std::int64_t, stream_stall_ms, 10'000,
+          "Timeout between two events of an engine's stream");
+ABSL_FLAG(std::int64_t, upstream_idle_ms, 30'000, "Timeout of an unused pooled connection");
 ABSL_FLAG(std::int64_t, order_horizon_ms, 8'000, "An order takes effect within this or never");
-ABSL_FLAG(std::int64_t, balancer_wait_ms, 2'000, "Not ready but still listening, when stopping");
-ABSL_FLAG(std::int64_t, longest_stop_ms, 660'000, "Bound of a graceful stop");
-ABSL_FLAG(std::uint64_t, max_header_bytes, 16 * 1024, "Of a caller's header");
-ABSL_FLAG(std::uint64_t, max_body_bytes, 4 * 1024 * 1024, "Of a chat or completion body");
-ABSL_FLAG(std::uint64_t, max_answer_bytes, 8 * 1024 * 1024, "Of an answer that is not streamed");
-ABSL_FLAG(std::uint64_t, max_keyed_bytes, 512 * 1024, "Of a keyed call's body or answer");
-ABSL_FLAG(std::uint64_t, max_plain_bytes, 1024ULL * 1024 * 1024, "Of a body for a plain service");
-ABSL_FLAG(std::uint64_t, max_connections, 10'000, "Of callers");
-ABSL_FLAG(std::uint64_t, max_requests, 4'096, "In flight and queued");
-ABSL_FLAG(std::uint64_t, max_idle_upstream, 64, "Pooled connections for each target");
+ABSL_FLAG(std::int64_t, balancer_wait_ms, 2'000, "On a stop: not ready but still listening");
+ABSL_FLAG(std::int64_t, longest_stop_ms, 660'000, "Time limit of a graceful stop");
+ABSL_FLAG(std::uint64_t, max_header_bytes, 16 * 1024, "Limit of a caller's header");
+ABSL_FLAG(std::uint64_t, max_body_bytes, 4 * 1024 * 1024, "Limit of a chat or completion body");
+ABSL_FLAG(std::uint64_t, max_answer_bytes, 8 * 1024 * 1024,
+          "Limit of an answer that is not streamed");
+ABSL_FLAG(std::uint64_t, max_keyed_bytes, 512 * 1024, "Limit of a keyed call's body or answer");
+ABSL_FLAG(std::uint64_t, max_plain_bytes, 1024ULL * 1024 * 1024,
+          "Limit of a body for a plain service");
+ABSL_FLAG(std::uint64_t, max_connections, 10'000, "Limit of callers' connections");
+ABSL_FLAG(std::uint64_t, max_requests, 4'096, "Limit of requests in flight and queued");
+ABSL_FLAG(std::uint64_t, max_idle_upstream, 64, "Pooled connections to each target");
 ABSL_FLAG(
     std::string, settings, "",
     "Settings file of the users' platform; then tables, runners and groups come from its store");
-ABSL_FLAG(std::string, ready_listen, "", "IP:port where the balancer asks, with --settings");
+ABSL_FLAG(std::string, ready_listen, "",
+          "IP:port of the load balancer's readiness check, with --settings");
 ABSL_FLAG(std::vector<std::string>, without, {},
-          "Mechanisms of the decisions to switch off, by commas; an unknown name lists them");
-ABSL_FLAG(bool, check_settings, false, "Check the settings, say what is wrong, and exit");
+          "Decision mechanisms to disable, comma-separated; an unknown name lists them");
+ABSL_FLAG(bool, check_settings, false, "Check the settings, report errors, and exit");
 
 namespace jaynotch {
 
@@ -95,7 +102,7 @@
     return limits;
 }
 
-/// What a flag says, or what the settings file says if the flag was left at its default.
+/// The flag's value, or the settings file's value if the flag has its default.
 std::string flag_or(const absl::Flag<std::string>& flag, const std::string& default_value,
                     const std::string& from_file)
 {
@@ -103,7 +110,7 @@
     return given == default_value ? from_file : given;
 }
 
-/// Fills in what the platform's settings file says of this VM; flags go before it.
+/// Applies the platform's settings file for this VM; flags take precedence.
 result<void> read_site(const std::string& path, daemon_settings& chosen)
 {
     constexpr std::string_view default_admin_port = ":9464";
@@ -124,11 +131,12 @@
         chosen.seed_peers = site.seed_peers;
     chosen.first_start = site.first_start;
     chosen.site = site.bounds;
-    // The kill comes at the bound: what is still in flight shortly before is cut in order.
+    // The platform kills the process at its time limit for a stop. Requests still in flight shortly
+    // before that are closed in an orderly way.
     constexpr std::chrono::milliseconds before_kill{500};
     chosen.timeouts.max_stop_time =
         std::min(chosen.timeouts.max_stop_time, site.bounds.stop - before_kill);
-    // Servers are a millisecond away; one that is dark costs its caller this much.
+    // Servers are about a millisecond away; an unreachable one delays its caller by this much.
     constexpr std::chrono::milliseconds max_connect_time{400};
     chosen.timeouts.connect = std::min(chosen.timeouts.connect, max_connect_time);
     return success();
@@ -140,13 +148,13 @@
 {
     absl::SetProgramUsageMessage(
         "jaynotchd: the daemon of one entry VM. Every flag may also be set as the environment "
-        "variable JAYNOTCH_<FLAG>; the flag wins.\n"
-        "Exit codes: 0 stopped gracefully, 1 a defect, 2 a setting is wrong, 3 a port can't be "
+        "variable JAYNOTCH_<FLAG>; the flag takes precedence.\n"
+        "Exit codes: 0 stopped gracefully, 1 internal error, 2 invalid setting, 3 a port can't be "
         "opened.");
     BOOST_OUTCOME_TRY(read_environment("daemon/flags.cc"));
     const std::vector<char*> rest = absl::ParseCommandLine(argc, argv);
     if (rest.size() > 1)
-        return error{error_kind::invalid_argument, std::string{"unknown word "} + rest[1],
+        return error{error_kind::invalid_argument, std::string{"unexpected argument "} + rest[1],
                      "write settings as --flag=value; `jaynotchd --help` lists them"};
     startup_settings started;
     started.check_only = absl::GetFlag(FLAGS_check_settings);
--- a/daemon/fleet_fixture.h
+++ b/daemon/fleet_fixture.h
@@ -1,5 +1,5 @@
-// For tests and benchmarks of whole daemons: a platform of stand-ins and some daemons, all on one
-// io_context of this process and on free ports.
+// Fixture for tests and benchmarks of complete daemons: a platform of stand-ins and some daemons,
+// all on one io_context of this process and on free ports.
 //
 //   fleet_fixture fleet{{.daemons = 2, .engines = 4}};
 //   fleet.apply(routes, pools);
@@ -34,13 +34,13 @@
     std::function<void(daemon_settings&)> adjust; ///< of each daemon's settings
 };
 
-/// What a caller saw.
+/// The answer as received by a caller.
 struct caller_answer {
-    int status = 0;         ///< 0 if no header came
-    bool complete = false;  ///< by HTTP's framing
-    bool malformed = false; ///< bytes came that are no answer, by HTTP's framing
-    std::string body;       ///< as far as it came
-    std::string ran;        ///< the header jaynotch-ran
+    int status = 0;         ///< 0 if no header was received
+    bool complete = false;  ///< according to HTTP's framing
+    bool malformed = false; ///< bytes arrived that are not a valid HTTP answer
+    std::string body;       ///< the part that was received
+    std::string ran;        ///< value of the header jaynotch-ran
     std::string headers;    ///< all of them, as text
 
     /// The text of a chat stream; `done` if its terminal mark came.
@@ -64,10 +64,10 @@
     std::string target;
     std::string body = {};
     std::vector<http_header> headers = {};
-    std::size_t disconnect_after = 0; ///< bytes of the body after which the caller goes; 0: stays
+    std::size_t disconnect_after = 0; ///< bytes of the body; 0: never
 };
 
-/// Sends one request over a connection of its own and reads its answer as far as it comes.
+/// Sends one request on its own connection and reads the answer until it ends or fails.
 inline boost::asio::awaitable<void> call(std::uint16_t port, caller_request request,
                                          std::shared_ptr<caller_answer> answer,
                                          std::shared_ptr<bool> ended)
@@ -143,7 +143,7 @@
     [[nodiscard]] bool alive(std::size_t index) const { return m_daemons.at(index) != nullptr; }
     void kill_daemon(std::size_t index) { m_daemons.at(index).reset(); }
 
-    /// Puts tables in force through the admin port; true if accepted.
+    /// Applies tables through the admin port; returns true if they were accepted.
     bool apply(const std::string& routes, const std::string& pools)
     {
         const std::int64_t base = node(0).revision().value();
@@ -159,7 +159,7 @@
         return answer.status == 200;
     }
 
-    /// Runs the io_context until `reached`, at most for `limit`.
+    /// Runs the io_context until `reached` returns true, at most for `limit`.
     bool run_until(const std::function<bool()>& reached, duration limit)
     {
         const auto until = runtime_clock::now() + limit;
@@ -176,7 +176,7 @@
         run_until([] { return false; }, time);
     }
 
-    /// A call that is under way; `ended` is set at its end.
+    /// A pending call; `ended` is set at its end.
     struct pending_call {
         std::shared_ptr<caller_answer> answer = std::make_shared<caller_answer>();
         std::shared_ptr<bool> ended = std::make_shared<bool>(false);
@@ -233,10 +233,10 @@
     std::int64_t m_changes = 0;
 };
 
-/// A server that answers every request with given bytes, whatever they are worth.
+/// A server that answers every request with the given bytes, which need not be valid HTTP.
 class fixed_reply_server {
 public:
-    /// `hold`: the connection stays open after the bytes.
+    /// `hold`: keep the connection open after sending the bytes.
     fixed_reply_server(boost::asio::io_context& io, std::string bytes, bool hold)
         : m_acceptor{io, {boost::asio::ip::make_address("127.0.0.1"), 0}}
     {
--- a/daemon/formation_driver.cc
+++ b/daemon/formation_driver.cc
@@ -7,9 +7,9 @@
 #include <boost/asio/detached.hpp>
 #include <boost/asio/use_awaitable.hpp>
 
-// All managers read the node's one registry. What changes there concerns only the manager of the
-// runner's failure domain, and that one only while it leads; so following the registry costs a node
-// that manages nothing no more than keeping it.
+// All managers of a node read the same registry. A changed entry is passed only to the manager of
+// the runner's failure domain, which processes it only while it is the leader. A node that manages
+// nothing therefore spends no more than the cost of keeping its copy of the registry.
 
 namespace jaynotch {
 
@@ -17,15 +17,15 @@
 
 namespace net = boost::asio;
 
-/// A runner takes an order within some milliseconds, or with one retransmission by TCP (200 ms). At
-/// times runners leave orders unanswered; each such order holds its group up for this long, and a
-/// group takes three rounds of them.
+/// A runner answers an order within a few milliseconds, or within about 200 ms if TCP retransmits
+/// once. Runners sometimes leave an order unanswered; each such order delays its group by this
+/// timeout, and forming a group takes three rounds of orders.
 constexpr duration order_timeout = std::chrono::milliseconds{300};
-/// A runner answers within some milliseconds; one that is dark never does.
+/// A reachable runner answers within a few milliseconds; an unreachable one never does.
 constexpr duration probe_timeout = std::chrono::milliseconds{200};
-/// Nodes asked for their word on a silent runner. Some cuts leave a tenth of the nodes on its side;
-/// six miss such a cut in one of two cases, and then the rule for heads that may live is not
-/// applied.
+/// Number of nodes that are asked whether an unresponsive runner answers them. A network partition
+/// may leave only a tenth of the nodes on the runner's side. Six nodes then include none of these
+/// in about half of all cases, and the rule for heads that may still be alive is not applied.
 constexpr std::size_t max_peers_asked = 6;
 
 } // namespace
@@ -77,7 +77,8 @@
             dispatch_to(domain, found->second, event);
     }
 
-    /// A domain's manager is made when its first runner shows itself.
+    /// Creates a domain's manager, if there is none, and passes it the state known so far. Called
+    /// when a runner of the domain is registered.
     void add_domain(const failure_domain_id& domain)
     {
         if (managers.contains(domain) || stopping)
@@ -111,15 +112,15 @@
         return rows;
     }
 
-    /// Another node asks, or says what we asked.
+    /// A question from another node, or an answer to one of ours.
     void handle_message(const server_message& message)
     {
         if (!stopped)
             std::visit([&](const auto& body) { receive(message.from, body); }, message.body);
     }
 
-    /// What the registry can't tell now: a runner's own word, its group changed. One that is of
-    /// another start than the registry's entry is passed over.
+    /// Applies a runner's own report of its group to the registry, for times when the store can't
+    /// deliver it. The registry ignores a report from another start of the runner than its entry.
     void apply_runner_word(const runner_word& word)
     {
         if (registry.tell(word, runtime_clock::now()) && on_group_changed)
@@ -141,7 +142,7 @@
     std::uint64_t members_version = 0;
     groups::registry_current current;
     bool traffic = false;
-    std::set<failure_domain_id> resigned; ///< on a planned stop
+    std::set<failure_domain_id> resigned; ///< during a planned stop
     bool stopping = false;
     bool stopped = false;
 
@@ -152,7 +153,8 @@
     }
     void receive(const node_id& from, const store_question& asked)
     {
-        // What this node has given up on its way out it never manages again.
+        // This node has resigned from the domain and will not manage it again, so it need not check
+        // the store.
         if (resigned.contains(asked.domain))
             outage->confirm_without_check(from, asked);
         else
@@ -161,7 +163,7 @@
     void receive(const node_id& from, const store_answer& told) { outage->receive(from, told); }
     void receive(const node_id& /*from*/, const runner_word& word)
     {
-        // Whoever reaches the store knows better.
+        // Nodes that reach the store get newer data from it.
         if (outage->recently_reported_outage())
             apply_runner_word(word);
     }
@@ -170,7 +172,8 @@
         const auto found = m_awaited_answers.find(answer.vm);
         if (found == m_awaited_answers.end() || found->second.erase(from) == 0)
             return;
-        // One that is answered settles it; that nobody is takes the word of everyone asked.
+        // One node that the runner answers is enough. That it answers none is known only once every
+        // node asked has said so.
         if (!answer.answers && !found->second.empty())
             return;
         log_event(log_level::info, "peers_word",
@@ -244,7 +247,7 @@
     net::awaitable<void> answer_peer(node_id from, server_question asked)
     {
         const auto self = shared_from_this();
-        // Requests may still reach a runner that takes no orders any more.
+        // A runner that no longer answers orders may still respond to requests.
         bool answers = responded_recently && responded_recently(asked.vm);
         if (!answers) {
             answers = co_await orders.answers(asked.address, probe_timeout);
@@ -281,7 +284,7 @@
     net::awaitable<void> end_lease(lease_id lease)
     {
         const auto self = shared_from_this();
-        // One that could not be ended runs out by itself.
+        // A lease that could not be revoked expires by itself.
         (void)co_await kv.revoke(lease);
     }
 
@@ -318,7 +321,7 @@
     }
 
     std::map<vm_id, std::set<node_id>>
-        m_awaited_answers; ///< whose word on a runner is still awaited
+        m_awaited_answers; ///< nodes whose answer about a runner is pending
 };
 
 formation_driver::formation_driver(net::io_context& io, const daemon_settings& settings,
--- a/daemon/formation_driver.h
+++ b/daemon/formation_driver.h
@@ -1,9 +1,9 @@
-// Drives the managers of groups (groups/formation.h), one for each failure domain that has runners:
-// hands them what the registry says and carries out what they want.
+// Runs the group managers (groups/formation.h), one for each failure domain that has runners:
+// passes them changes of the registry and executes their commands.
 //
 //   formation_driver managers{io, settings, kv, peers, registry};
-//   managers.runner_seen(row);        // once the registry has it
-//   managers.tick();                  // after each batch, and ten times a second
+//   managers.runner_seen(row);        // after the registry was updated
+//   managers.tick();                  // after each batch, and at least ten times a second
 #pragma once
 
 #include "base/base.h"
@@ -22,16 +22,16 @@
 
 namespace jaynotch {
 
-/// Which failure domains a node gives up on its way out.
+/// Failure domains whose management a node resigns from during a planned stop.
 enum class resignation {
-    /// Not those that nobody else could take over now, since the store is down.
+    /// All but those that no other node could take over now because the store is unreachable.
     where_possible,
     all,
 };
 
 class formation_driver {
 public:
-    /// All of these must outlive the driver.
+    /// All references must outlive the driver.
     formation_driver(boost::asio::io_context& io, const daemon_settings& settings, kv_service& kv,
                      peer_service& peers, groups::runner_registry& registry);
     ~formation_driver();
@@ -41,26 +41,30 @@
     void install(const configuration& tables);
     void runner_seen(const runner& row);
     void runner_gone(const vm_id& vm);
-    /// A key of the store that may be a manager's.
+    /// A key of the store was written (`there`) or deleted. Keys that are not manager keys are
+    /// ignored.
     void store_key_updated(const kv_entry& entry, bool there);
-    /// Whether this node's registry is up to date by its own word with the store, and its place
-    /// among the nodes of its failure domain that see to that.
+    /// Whether this node's copy of the registry is up to date because the store itself answers this
+    /// node, and the node's rank among the followers of the store in its failure domain.
     void set_current(bool current, std::size_t rank);
+    /// Callers have started to send requests.
     void traffic_begun();
-    /// A group's head is silent towards this node.
+    /// Requests that this node sent to a group's head get no response.
     void report_unresponsive_head(const vm_id& head);
-    /// How this node knows whether requests reach a runner, for other nodes that ask.
+    /// Sets the function that tells whether a runner has responded to this node's requests
+    /// recently; used to answer other nodes that probe a runner through this one.
     void set_response_check(std::function<bool(const vm_id&)> responded_recently);
-    /// A runner's group changed while the registry could not tell.
+    /// `handler` is called when a runner's group changed according to the runner itself, while the
+    /// store is down and the registry can't be updated.
     void on_group_changed(std::function<void()> handler);
     void tick();
-    /// Gives failure domains up, on a planned stop.
+    /// Ends this node's management of failure domains, on a planned stop.
     boost::asio::awaitable<void> resign(resignation which);
     void stop();
 
     /// Failure domains that this node manages now.
     [[nodiscard]] std::vector<failure_domain_id> managed() const;
-    /// Of each failure domain that this node manages.
+    /// Status of each failure domain that this node manages now.
     [[nodiscard]] std::vector<groups::formation_status> status() const;
 
 private:
--- a/daemon/group_calls.cc
+++ b/daemon/group_calls.cc
@@ -3,8 +3,8 @@
 #include <boost/asio/co_spawn.hpp>
 #include <boost/asio/detached.hpp>
 
-// Carries out what the group cores ask for. Each call is a coroutine of its own and its answer is
-// an event; a call whose answer is lost is answered with the error, never with silence.
+// Executes the commands of the group cores. Each call runs in its own coroutine and its result is
+// passed to the core as an event; a call whose answer is lost also yields an event, with the error.
 
 namespace jaynotch {
 
@@ -107,7 +107,7 @@
 
 void group_driver::impl::execute(const fabric_domain_id& /*domain*/, const groups::probe& wanted)
 {
-    // The manager and the board may ask for the same VM; one answer serves both.
+    // The manager and the ticket board may probe the same VM; both get the result of one call.
     if (probing.insert(wanted.vm).second)
         net::co_spawn(io, request_report(wanted), net::detached);
 }
@@ -129,9 +129,10 @@
               {{"domain", domain.value()}, {"subject", wanted.subject}, {"detail", wanted.detail}});
 }
 
-/// Watchers tell the others; so does the domain's manager, who probes every VM anyway. Otherwise a
-/// group whose watchers were just replaced would lapse everywhere until the new ones have seen its
-/// members for the settling time.
+/// The nodes that watch a group publish its ticket, and so does its fabric domain's manager, which
+/// probes every VM anyway. Without the manager, the tickets of a group whose watchers were just
+/// replaced would expire on all nodes until the new watchers have probed its members for the
+/// settling time.
 bool group_driver::impl::should_publish(const groups::complete_group& group) const
 {
     const auto manager = managers.find(group.fabric_domain);
@@ -155,7 +156,7 @@
         }
         told.load = static_cast<std::uint16_t>(
             std::min(per_mille, per_mille * wanted.group.load.running / capacity));
-        // The ticket is as old as the oldest report it rests on.
+        // The age of a ticket is that of the oldest report it is based on.
         const duration left = wanted.group.valid_until - now;
         told.age = wanted.complete ? std::max(duration{0}, ticket_horizon - left) : duration{0};
         peers.publish(told);
@@ -166,7 +167,7 @@
     }
 }
 
-/// What this node has written it need not wait to watch: its peers hear of it at once.
+/// Passes records that this node has written to its peers at once, without waiting for the watch.
 void group_driver::impl::relay_writes(const std::vector<kv_operation>& writes,
                                       std::int64_t revision)
 {
--- a/daemon/group_driver.cc
+++ b/daemon/group_driver.cc
@@ -7,8 +7,9 @@
 #include <boost/asio/redirect_error.hpp>
 #include <boost/asio/use_awaitable.hpp>
 
-// Two loops, time and the VM list, and the feed of records. Tickets of groups that other nodes
-// watch come from the peers as digests and are joined with the records by hash.
+// The driver runs two loops, one for periodic ticks and one that fetches the VM list, and receives
+// assignment records from record_feed. Tickets of groups that other nodes probe arrive from peers
+// as digests, which name the group by a hash; the driver looks up the group's record by that hash.
 
 namespace jaynotch {
 
@@ -48,7 +49,8 @@
     made.self = settings.node;
     made.ticket_horizon = ticket_horizon;
     made.settled = settings.timeouts.order_horizon;
-    // A VM that is not seen for as long as `settled` counts as moved: it is looked at more often.
+    // A VM without a report for the time `settled` counts as moved to another group, so it is
+    // probed several times within that time.
     made.probe_period = std::min<duration>(made.probe_period, made.settled / 4);
     return made;
 }
@@ -231,7 +233,7 @@
     dispatch_to_board(groups::record_seen{entry});
     const result<groups::domain_record> parsed = groups::parse_record(entry);
     if (!parsed)
-        return; // the board has logged it
+        return; // the ticket board has logged the error
     std::vector<std::uint32_t>& keys = wire_keys_of[parsed.value().domain];
     for (const std::uint32_t key : keys)
         by_wire_key.erase(key);
@@ -248,7 +250,7 @@
 {
     const auto found = by_wire_key.find(heard.group);
     if (found == by_wire_key.end() || found->second.assigned.members.empty())
-        return; // its record is not known here yet; the ticket comes again
+        return; // the group's record has not arrived yet; the ticket is sent again
     const groups::group_assignment& assigned = found->second.assigned;
     groups::ticket_seen seen;
     seen.complete = heard.complete;
--- a/daemon/group_driver.h
+++ b/daemon/group_driver.h
@@ -1,6 +1,6 @@
-// Drives the cores of `groups`: a manager for each fabric domain of this failure domain and the
-// node's ticket board. Carries out their calls on the key-value service, probes and orders to
-// engines, and exchanges tickets with the peers.
+// Runs the decision cores of `groups`: a manager for each fabric domain of this node's failure
+// domain, and the node's ticket board. Executes their commands (calls to the key-value service,
+// probes of and orders to engines) and exchanges tickets with peers.
 //
 //   group_driver driver{io, settings, kv, peers, hooks};
 //   driver.install(tables);
@@ -26,13 +26,13 @@
 struct group_hooks {
     /// The complete groups may have changed.
     std::function<void()> on_changed;
-    /// A group lost a member: nothing in flight there will come.
+    /// A group lost a member: its requests in flight will get no answer.
     std::function<void(const group_id&)> on_broken;
-    /// An engine's VM is leaving: by the VM list or by its own word.
+    /// The engine at `address` is leaving, according to the VM list or its own report.
     std::function<void(const std::string& address)> on_leaving;
 };
 
-/// A group as the record of its fabric domain names it, for status pages.
+/// A group as assigned in the record of its fabric domain, for status pages.
 struct assigned_group {
     groups::group_assignment assigned;
     fabric_domain_id domain;
@@ -49,16 +49,19 @@
     group_driver& operator=(const group_driver&) = delete;
 
     void start();
-    /// Ends the loops; calls under way end by themselves.
+    /// Ends the loops; pending calls end by themselves and their results are ignored.
     void stop();
     void install(std::shared_ptr<const configuration> tables);
     void handle_ticket(const ticket_digest& heard);
     void handle_key_notice(const key_notice& heard);
 
+    /// Groups with a valid ticket, which may receive requests.
     [[nodiscard]] std::vector<groups::complete_group> complete() const;
+    /// All groups that the records assign, sorted by name.
     [[nodiscard]] std::vector<assigned_group> assigned_groups() const;
-    /// State of a VM as its last report here says; empty if it has not been probed from here.
+    /// State of a VM in its last report to this node; empty if this node has no report.
     [[nodiscard]] std::string state_of(const vm_id& vm) const;
+    /// Fabric domains whose manager on this node is the leader.
     [[nodiscard]] std::vector<fabric_domain_id> managed() const;
 
 private:
--- a/daemon/group_driver_impl.h
+++ b/daemon/group_driver_impl.h
@@ -1,4 +1,4 @@
-// The state of group_driver; private to group_driver.cc and group_calls.cc.
+// Implementation class of group_driver; private to group_driver.cc and group_calls.cc.
 #pragma once
 
 #include "daemon/group_driver.h"
@@ -13,10 +13,10 @@
 
 namespace net = boost::asio;
 
-/// How long a ticket holds after the oldest report that it rests on. Shorter than the order
-/// horizon, so that a VM's old group has no ticket left when its new group gets one; longer than a
-/// probe and a few rounds of gossip take, so that tickets don't lapse on nodes that hear of them by
-/// peers.
+/// How long a ticket is valid after the oldest report that it is based on. Shorter than the order
+/// horizon, so that the tickets of a VM's old group have expired when its new group gets one;
+/// longer than a probe and a few rounds of gossip take, so that tickets don't expire on nodes that
+/// receive them from peers.
 constexpr duration ticket_horizon = std::chrono::seconds{5};
 
 class group_driver::impl : public std::enable_shared_from_this<impl> {
@@ -46,8 +46,8 @@
     std::shared_ptr<const configuration> tables;
     std::map<fabric_domain_id, groups::domain_manager> managers;
     groups::ticket_board board;
-    std::optional<record_feed> records; ///< set once the driver has an owner
-    /// What the records name, by the hash that tickets carry on the wire.
+    std::optional<record_feed> records; ///< set right after construction
+    /// Groups that the records assign, by the hash of the name that tickets carry on the wire.
     std::unordered_map<std::uint32_t, assigned_group> by_wire_key;
     std::map<fabric_domain_id, std::vector<std::uint32_t>> wire_keys_of;
     std::unordered_map<vm_id, groups::member_report> reports;
--- a/daemon/jaynotchd_main.cc
+++ b/daemon/jaynotchd_main.cc
@@ -1,5 +1,5 @@
-// The daemon of one entry VM. Exit codes: 0 stopped gracefully, 1 a defect, 2 a setting is wrong,
-// 3 a port can't be opened.
+// The daemon of one entry VM. Exit codes: 0 stopped gracefully, 1 internal error, 2 invalid
+// setting, 3 a port can't be opened.
 #include "daemon/daemon.h"
 #include "daemon/registry_daemon.h"
 
@@ -32,7 +32,7 @@
     io.stop();
 }
 
-/// Reads the settings anew at each SIGHUP; a daemon of our own form has nothing to read.
+/// Calls `reload` at each SIGHUP.
 void reload_on_hangup(boost::asio::signal_set& hangups, const std::function<void()>& reload)
 {
     hangups.async_wait([&hangups, reload](const boost::system::error_code& failed, int /*number*/) {
@@ -64,7 +64,7 @@
     running->on_superseded(end);
     running->start();
     if (settings.source == source_kind::registry)
-        flush_log_by_timer(); // it flushes several times a second
+        flush_log_by_timer(); // registry_daemon flushes the log several times a second
     io.run();
     end_log();
     return 0;
--- a/daemon/metrics.cc
+++ b/daemon/metrics.cc
@@ -113,7 +113,7 @@
         registry, "jaynotch_kv_calls_total", "Calls on the key-value service by kind", "call");
     std::vector<Counter*> kv_failures = by_name<kv_call>(
         registry, "jaynotch_kv_failures_total", "Of those, without an answer or refused", "call");
-    kv_call_counts kv_exported; ///< what the counters say
+    kv_call_counts kv_exported; ///< counts already added to the counters
     Gauge& retries_left = gauge(registry, "jaynotch_retries_left",
                                 "Retries that this node may still send, in the scarcest pool");
     Gauge& limited = gauge(registry, "jaynotch_limited_servers",
--- a/daemon/metrics.h
+++ b/daemon/metrics.h
@@ -1,4 +1,4 @@
-// What operators read at /metrics, by prometheus-cpp.
+// Metrics that operators read at /metrics, kept with prometheus-cpp.
 //
 //   metrics counted{node};
 //   counted.refused(error_kind::overloaded);
@@ -26,7 +26,7 @@
     };
 };
 
-/// Values that stand as they are when the page is asked for.
+/// Values that are sampled when the page is requested.
 struct gauges {
     bool ready = false;
     std::int64_t revision = 0;
@@ -38,13 +38,13 @@
     std::uint64_t members = 0;
     std::uint64_t peer_bytes_sent = 0;
     kv_call_counts kv_calls;
-    double retries_left = 0.0; ///< of the pool that has the fewest
+    double retries_left = 0.0; ///< in the pool that has the fewest
     std::uint64_t spans_dropped = 0;
     std::uint64_t log_lines_dropped = 0;
     std::uint64_t groups_forming = 0;  ///< in the failure domains that this node manages
-    std::uint64_t spare_runners = 0;   ///< there
-    std::uint64_t limited_servers = 0; ///< that limit the requests a second of all nodes together
-    std::uint64_t refused_limited = 0; ///< requests, for these limits
+    std::uint64_t spare_runners = 0;   ///< in the same failure domains
+    std::uint64_t limited_servers = 0; ///< servers with a rate limit for all nodes together
+    std::uint64_t refused_limited = 0; ///< requests refused because of these limits
     duration config_age{0};            ///< since the tables in force were installed
 };
 
@@ -62,15 +62,15 @@
     void attempt();
     void attempt_failed(attempt_failure why);
     void attempt_cancelled(cancel_reason why);
-    /// Sent to the same server again on a new connection.
+    /// A request was sent to the same server again on a new connection.
     void attempt_repeated();
-    /// From a request's arrival until it was first sent.
+    /// Time from a request's arrival until it was first sent.
     void queued(duration waited);
-    /// How much later than wanted a timer of the one thread came.
+    /// Delay between the expiry of a timer and its handler, which shows a busy event loop.
     void loop_delay(duration late);
     void resumed();
     void foreign_answer();
-    /// Prometheus text.
+    /// Returns the page in the Prometheus text format.
     std::string render(const gauges& now);
 
 private:
--- a/daemon/metrics_test.cc
+++ b/daemon/metrics_test.cc
@@ -1,4 +1,4 @@
-// The page that operators scrape.
+// Tests of the /metrics page.
 #include "daemon/metrics.h"
 
 #include <criterion/criterion.h>
--- a/daemon/outage_inquiry.cc
+++ b/daemon/outage_inquiry.cc
@@ -6,13 +6,15 @@
 #include <boost/asio/co_spawn.hpp>
 #include <boost/asio/detached.hpp>
 
-// A round is confirmed when every node that lived lately has said that the store does not answer
-// it. One that is dead to this node may be alive behind a cut and reach the store, so it counts
-// until it has been dead for longer than such cuts last; one that has left does not count.
+// A round of questions is confirmed when every node that was alive recently has answered that it
+// does not reach the store. A node that this one considers dead may be alive behind a network
+// partition and reach the store, so its answer is required until it has been dead for longer than
+// partitions last. The answer of a node that has left is not required.
 //
-// Whoever answers "no" stands back for a while, so the word is safe to act on even if the check was
-// wrong or is some time old. That allows one check to serve many questions, and a failed one to be
-// remembered: calls are priced also while the store is down.
+// A node that answers "not reached" neither claims a manager's key nor manages for a while, so it
+// is safe to act on its answer even if the check was wrong or is some time old. One check may
+// therefore answer many questions, and a failed check stays valid for some time. That saves calls
+// to the store, which cost money also while it is down.
 
 namespace jaynotch {
 
@@ -20,12 +22,14 @@
 
 namespace net = boost::asio;
 
-/// The store answers in milliseconds, in some tenths of a second on its slowest days.
+/// The store usually answers within milliseconds, and within a few tenths of a second when slow.
 constexpr duration check_timeout = std::chrono::milliseconds{400};
 constexpr duration failure_validity = std::chrono::milliseconds{1'500};
-/// Longer than nodes are cut off from each other without either being restarted.
+/// How long the answer of a dead node is still required. Longer than nodes are partitioned from
+/// each other without either of them being restarted.
 constexpr duration dead_node_retention = std::chrono::seconds{10};
-/// How long words of a manager without store are taken; as long as this node stands back.
+/// How long updates from a manager without the store are accepted: as long as this node refrains
+/// from managing.
 constexpr duration outage_report_validity = std::chrono::seconds{2};
 
 } // namespace
@@ -84,7 +88,7 @@
 void outage_inquiry::receive(const node_id& from, const store_answer& told)
 {
     const auto found = m_rounds.find(told.domain);
-    // An answer to an earlier round may be old, and its sender may not be bound by it any more.
+    // An answer to an earlier round may be so old that its sender may manage again.
     if (found == m_rounds.end() || told.reached || told.round != found->second.number)
         return;
     if (found->second.unanswered.erase(from) != 0 && found->second.unanswered.empty())
--- a/daemon/outage_inquiry.h
+++ b/daemon/outage_inquiry.h
@@ -1,10 +1,11 @@
-// Whether the platform's store answers anybody: a manager that can't renew its lease asks all other
-// nodes, and this node answers theirs (groups/election.h says what follows from it).
+// Finds out whether the platform's store is down for all nodes: a manager that can't renew its
+// lease asks all other nodes whether they reach the store, and this node answers such questions.
+// What a manager does with the result is decided in groups/election.h.
 //
 //   outage_inquiry inquiry{io, settings, kv, peers, {on_confirmed, on_outage_reported, manages}};
-//   inquiry.ask(domain);                   // on_confirmed is called if nobody reaches the store
-//   inquiry.take(from, question);          // or an answer
-//   inquiry.update_members();                // each tick
+//   inquiry.start_round(domain);     // on_confirmed is called if no node reaches the store
+//   inquiry.receive(from, message);  // a store_question or store_answer
+//   inquiry.update_members();        // at each tick
 #pragma once
 
 #include "base/base.h"
@@ -24,9 +25,9 @@
 namespace jaynotch {
 
 struct outage_hooks {
-    /// No node reaches the store; the first of them was asked at `asked`.
+    /// No node reaches the store; the round in which all said so started at `asked`.
     std::function<void(const failure_domain_id&, time_point asked)> on_confirmed;
-    /// This node has told another that it does not, which manages the domain.
+    /// This node has told the manager of the domain that it does not reach the store.
     std::function<void(const failure_domain_id&)> on_outage_reported;
     /// Whether this node itself manages the domain.
     std::function<bool(const failure_domain_id&)> manages;
@@ -38,16 +39,20 @@
     outage_inquiry(boost::asio::io_context& io, const daemon_settings& settings, kv_service& kv,
                    peer_service& peers, outage_hooks hooks);
 
+    /// Asks all other nodes whether they reach the store. Replaces the domain's previous round.
     void start_round(const failure_domain_id& domain);
     void receive(const node_id& from, const store_question& asked);
     void receive(const node_id& from, const store_answer& told);
-    /// Answers that the store is not reached, whatever it does: this node manages nothing any more.
+    /// Answers that the store is not reached, without a check. For a node that is stopping and will
+    /// manage nothing any more, so that nothing depends on whether it reaches the store.
     void confirm_without_check(const node_id& from, const store_question& asked)
     {
         answer({from, asked}, false);
     }
+    /// Updates the nodes whose answers are required from the current members.
     void update_members();
-    /// Whether this node has conceded an outage lately, so that another may manage without store.
+    /// Whether this node has recently reported an outage to a manager, which may therefore be
+    /// managing without the store.
     [[nodiscard]] bool recently_reported_outage() const;
 
 private:
@@ -58,8 +63,8 @@
     struct round {
         std::int64_t number = 0;
         time_point asked;
-        std::set<node_id> unanswered; ///< have not answered yet
-        std::set<node_id> logged;     ///< of the last round that was logged
+        std::set<node_id> unanswered; ///< nodes that have not confirmed the outage yet
+        std::set<node_id> logged;     ///< the unanswered nodes that were last logged
     };
 
     void answer(const requester& to, bool reached);
@@ -75,14 +80,14 @@
     outage_hooks m_hooks;
     std::map<failure_domain_id, round> m_rounds;
     std::int64_t m_last_round = 0;
-    /// Nodes that live, and those that lately did with the time at which they ceased to.
+    /// Live nodes, and nodes that were live recently with the time at which they were found dead.
     std::map<node_id, std::optional<time_point>> m_nodes;
-    std::optional<std::uint64_t> m_members_version; ///< version of the members in m_nodes
-    std::vector<requester> m_waiting_requesters;    ///< wait for the check under way
-    std::uint64_t m_check = 0;                      ///< the last one begun
+    std::optional<std::uint64_t> m_members_version; ///< version of the member list in m_nodes
+    std::vector<requester> m_waiting_requesters;    ///< waiting for the result of the current check
+    std::uint64_t m_check = 0;                      ///< number of the latest check
     bool m_checking = false;
-    time_point m_failed_at;          ///< when the store was last found not to answer
-    time_point m_outage_reported_at; ///< when another node was last told so
+    time_point m_failed_at;          ///< when a check last failed
+    time_point m_outage_reported_at; ///< when another node was last told of an outage
 };
 
 } // namespace jaynotch
--- a/daemon/record_feed.cc
+++ b/daemon/record_feed.cc
@@ -8,9 +8,9 @@
 #include <boost/asio/redirect_error.hpp>
 #include <boost/asio/use_awaitable.hpp>
 
-// A watcher reads the records once and then watches them; after any error it reads them anew, so no
-// change is missed whatever the platform does. Which nodes watch, and how the others keep up, is
-// decided in peers/key_relay.cc.
+// A watcher reads all records once and then watches them. After any error it reads all of them
+// again, so it misses no change however the platform fails. Which nodes watch, and how the others
+// get the changes, is decided in peers/key_relay.cc.
 
 namespace jaynotch {
 
@@ -19,7 +19,7 @@
 namespace net = boost::asio;
 
 constexpr duration retry_interval = std::chrono::seconds{1};
-/// Bounds how long a node that is no longer a watcher keeps its watch.
+/// Limits how long a node keeps its watch after it has ceased to be a watcher.
 constexpr duration max_watch_wait = std::chrono::seconds{10};
 
 } // namespace
@@ -94,7 +94,7 @@
 
     void handle_entry(const kv_entry& entry)
     {
-        // A peer may hand on any key; only records are taken for records.
+        // A peer may relay any key; keys that are not records are ignored.
         if (groups::is_record_key(settings.deployment, entry.key))
             on_record_read(entry);
     }
--- a/daemon/record_feed.h
+++ b/daemon/record_feed.h
@@ -1,13 +1,13 @@
-// The fabric domains' assignment records, as this node gets them: from the platform if it is one of
-// its failure domain's watchers, and from its peers in any case.
+// Delivers the assignment records of the fabric domains to this node: from the platform's key-value
+// service if the node is one of its failure domain's watchers, and from its peers in any case.
 //
 //   record_feed feed{io, settings, kv, peers, [&](const kv_entry& record) { ... }};
 //   feed.start();
 //   feed.tick();                   // a few times a second
-//   feed.noticed(notice);          // a rumor
-//   feed.written(record);          // this node's manager wrote one
+//   feed.notice_received(notice);  // a peer has gossiped that a record changed
+//   feed.record_written(record);   // this node's manager wrote a record
 //
-// Each record is handed on once for each revision, and revisions only rise.
+// `on_record` is called at most once for each revision of a record, with rising revisions.
 #pragma once
 
 #include "base/base.h"
--- a/daemon/registry_daemon.cc
+++ b/daemon/registry_daemon.cc
@@ -22,14 +22,15 @@
 
 #include <numeric>
 
-// One thread. The registry's changes go to the managers of groups and, as targets, to the request
-// core; the core's word of a silent group goes to the managers, which find out who is lost.
+// Everything runs on one thread. Changes of the registry are passed to the group managers and, as
+// targets, to the request core. When the request core detects an unresponsive group, the managers
+// are notified and find out which member is lost.
 
 namespace jaynotch {
 
 namespace {
 
-constexpr duration tick_interval = std::chrono::milliseconds{50}; ///< of managers, feed and targets
+constexpr duration tick_interval = std::chrono::milliseconds{50}; ///< of managers and feed
 constexpr duration second = std::chrono::seconds{1};
 constexpr duration call_report_interval = std::chrono::seconds{10};
 
@@ -40,7 +41,7 @@
     return made;
 }
 
-/// The operators of the platform bound retries over all nodes and all failures.
+/// The platform's operators limit retries of all nodes together, whatever the reason for the retry.
 core_settings bounded_core_settings(const daemon_settings& settings, std::uint64_t incarnation)
 {
     core_settings made = core_settings_of(settings, incarnation);
@@ -315,7 +316,8 @@
         update_fleet();
     }
 
-    /// Members that can't be reached may still send; only those that said goodbye don't count.
+    /// Unreachable nodes may still be sending requests, so they count; only nodes that have left
+    /// the membership don't.
     void update_fleet()
     {
         fleet_seen seen;
@@ -331,7 +333,7 @@
         }
     }
 
-    /// What this node has asked of the store since the last line.
+    /// Logs the number of calls to the store since the previous such line.
     void log_store_calls()
     {
         m_next_call_report = runtime_clock::now() + call_report_interval;
@@ -383,13 +385,14 @@
         return counted.render(now);
     }
 
-    /// Before the peers are known, budgets are split as if there were this many nodes.
+    /// Retry budgets are split among at least this many nodes, for the time before all peers are
+    /// known.
     static constexpr std::size_t min_fleet_size = 4;
 
     groups::runner_registry m_registry;
     target_lists m_pushed;
-    std::optional<std::uint64_t> m_pushed_version; ///< of the registry; none: push again
-    time_point m_installed;                        ///< of the tables in force
+    std::optional<std::uint64_t> m_pushed_version; ///< of the registry; nullopt forces a push
+    time_point m_installed;                        ///< when the current tables were installed
     std::size_t m_fleet_size = 0;
     kv_call_counts m_logged_calls;
     time_point m_next_call_report;
--- a/daemon/registry_daemon.h
+++ b/daemon/registry_daemon.h
@@ -1,6 +1,6 @@
-// One entry VM's process where backend servers register themselves and operators write their tables
-// into the platform's store: the same requests, groups and promises as `daemon`, with other
-// sources.
+// The process of one entry VM on a platform where backend servers register themselves in a store
+// and operators write their tables into it. It serves requests and forms groups with the same
+// guarantees as `daemon`; only the sources of tables, servers and groups differ.
 //
 //   auto made = registry_daemon::create(io, settings);
 //   made.value()->start();
@@ -31,20 +31,25 @@
     registry_daemon& operator=(const registry_daemon&) = delete;
 
     void start();
-    /// Graceful stop within the platform's bound: not ready at once, managers handed over, no new
-    /// connections once the balancer has seen it, everything in flight finished.
+    /// Graceful stop within the platform's time limit: reports not ready at once, hands over its
+    /// managers, accepts no new connections once the load balancer has noticed, and finishes
+    /// everything in flight.
     boost::asio::awaitable<void> stop();
-    /// The settings file has changed.
+    /// Applies a changed settings file. Only the seed peers take effect; other settings need a
+    /// restart.
     void reload(const daemon_settings& changed);
+    /// `handler` is called when a process that started later runs under the same node name; this
+    /// daemon must stop then.
     void on_superseded(std::function<void()> handler);
 
+    /// Whether the load balancer may send callers here: tables are installed and no stop has begun.
     [[nodiscard]] bool ready() const;
     [[nodiscard]] std::uint16_t listen_port() const;
-    [[nodiscard]] std::string peer_address() const; ///< "IP:port" bound
+    [[nodiscard]] std::string peer_address() const; ///< "IP:port" that is bound
     [[nodiscard]] daemon_counts counts() const;
-    /// Groups that may be given requests now.
+    /// Number of groups that may receive requests now.
     [[nodiscard]] std::size_t complete_groups() const;
-    /// Of the tables in force; 0 before the first.
+    /// Revision of the installed tables; 0 before the first were installed.
     [[nodiscard]] config_revision tables_revision() const;
 
 private:
--- a/daemon/registry_daemon_test.cc
+++ b/daemon/registry_daemon_test.cc
@@ -36,9 +36,9 @@
            keys + R"(,"priority":1}]})";
 }
 
-/// The platform's stand-ins, some daemons, and callers, on one io_context.
+/// Stand-ins of the platform, some daemons, and callers, all on one io_context.
 class registry_fleet {
-    boost::asio::io_context m_io; // first: everything else runs on it until the end
+    boost::asio::io_context m_io; // first member, since all others use it until they are destroyed
 
 public:
     explicit registry_fleet(std::size_t daemons = 1, std::size_t runners = 4,
@@ -92,7 +92,8 @@
         return done();
     }
 
-    /// Runs on paused time, which moves on in small steps until `done`; returns how long it took.
+    /// Runs on simulated time, which advances in small steps until `done`, at most for `longest`;
+    /// returns the simulated time that passed.
     template <class Done>
     duration time_until(Done done, duration longest)
     {
@@ -122,7 +123,7 @@
                                                       [](const auto& one) { return one->open(); }));
     }
 
-    /// Waits until every daemon would serve a stream.
+    /// Waits until two groups are open and every daemon knows them.
     void settle()
     {
         cr_assert(run_until([&] {
@@ -226,7 +227,7 @@
     cr_assert_eq(seen.headers.at("X-Own"), "kept");
     cr_assert(!seen.headers.contains("Authorization"));
     const int left = std::stoi(seen.headers.at("Jaynotch-Deadline-Ms"));
-    cr_assert(left > 0 && left <= 2000, "the route's time bounds it: %d", left);
+    cr_assert(left > 0 && left <= 2000, "the route's timeout must limit the deadline: %d", left);
 }
 
 Test(registry_daemon, unknown_keys_and_routes_are_refused)
@@ -240,8 +241,8 @@
     cr_assert_eq(total_executions(fleet.apps), 1U);
 }
 
-// The server of a stream dies in its middle. The caller sees one stream under one head, with every
-// event once: the rest comes from another group.
+// The server of a stream fails in the middle. The rest must come from another group, and the caller
+// must get one stream with every event exactly once.
 Test(registry_daemon, a_broken_stream_continues_on_another_group)
 {
     registry_fleet fleet;
@@ -255,9 +256,9 @@
     cr_assert_eq(total_executions(fleet.models), 2U);
 }
 
-// The first server of a stream dies in its middle, and the one that is to go on answers 500. The
-// caller's stream ends where the first server left it, told as cut short, or goes on from a server
-// that does: the head and the text of the failure must not stand among its events.
+// The first server of a stream fails in the middle, and the server that should continue it answers
+// 500. The caller's stream must end as incomplete where the first server left it, or be completed
+// by another server. The error response must not appear among its events.
 Test(registry_daemon, an_error_answer_never_completes_a_started_stream)
 {
     registry_fleet fleet;
@@ -280,11 +281,12 @@
         cr_assert_eq(answer.complete, answer.body == complete_stream);
         cr_assert(!answer.malformed);
     }
-    cr_assert_gt(begun, 0, "no stream began on the server that dies");
+    cr_assert_gt(begun, 0, "no stream began on the server that fails");
 }
 
-// An order's connection ends after its server ran it. Whether it took effect is not known here, so
-// it is not sent again, and no status may say that it never ran.
+// The server executes a non-idempotent request and closes the connection without an answer. The
+// daemon can't know whether the request ran, so it must neither send it again nor report it as not
+// run.
 Test(registry_daemon, a_request_that_may_have_run_is_not_repeated)
 {
     registry_fleet fleet;
@@ -308,8 +310,8 @@
     cr_assert_eq(total_executions(fleet.apps), 0U);
 }
 
-// A server's late second answer to an earlier request stands where the next one's is due. It must
-// not reach that caller, whose own answer follows on the connection.
+// A server sends a late second answer to an earlier request before the answer to the next request
+// on the same connection. The caller of the next request must get only its own answer.
 Test(registry_daemon, an_answer_to_another_request_is_dropped)
 {
     registry_fleet fleet;
@@ -343,8 +345,8 @@
     cr_assert_eq(fleet.apps[0]->ran.size(), before);
 }
 
-// The operators take a key away; both nodes refuse it soon, and an older version that turns up
-// later changes nothing.
+// The operators revoke a key. Both nodes must refuse it within a second, and an older version that
+// is written later must not be installed.
 Test(registry_daemon, a_changed_configuration_is_in_force_within_a_second)
 {
     registry_fleet fleet{2};
@@ -358,17 +360,18 @@
     }
     fleet.store().put("op/config", document(1));
     fleet.run(500ms);
-    cr_assert_eq(fleet.ask("/order/1").status, 401, "an older version never comes back");
+    cr_assert_eq(fleet.ask("/order/1").status, 401, "an older version must not be installed");
 }
 
 namespace {
 
-/// How long a lone node takes to put a revoked key into force after `trouble` befell its watch.
+/// How long a single node takes to put the revocation of a key into force if `inject_fault`
+/// disturbs its watch just after the change.
 duration time_to_revoke(const std::function<void(store_standin&)>& inject_fault)
 {
     registry_fleet fleet{1, 0};
     cr_assert(fleet.run_until([&] { return fleet.ask("/order/1").status == 200; }));
-    const duration start = 7s; // changes gather differently while a fleet starts
+    const duration start = 7s; // changes are batched differently while a fleet starts
     fleet.time_until([] { return false; }, start);
     fleet.store().withholds_news = true;
     fleet.store().put("op/config", document(2, R"(["key-2"])"));
@@ -380,27 +383,27 @@
 
 } // namespace
 
-// Guards against a node that waits for news of a history that the store has dropped.
+// Guards against a node that keeps waiting for changes of a history that the store has dropped.
 Test(registry_daemon, a_change_is_in_force_in_time_after_the_history_was_dropped)
 {
     const duration took = time_to_revoke([](store_standin& store) { store.drop_history(); });
     cr_assert_lt(took, site_bounds{}.config_apply);
 }
 
-// Guards against a node that waits too long on a connection that has gone silent.
+// Guards against a node that waits too long on a watch connection that stopped responding.
 Test(registry_daemon, a_change_is_in_force_in_time_after_the_watch_stopped_responding)
 {
     const duration took = time_to_revoke([](store_standin& store) { store.silence_watches(); });
     cr_assert_lt(took, site_bounds{}.config_apply);
 }
 
-// Guards against nodes that each keep to a server's limit by themselves, or not at all.
+// Guards against nodes that each use a server's full rate limit, so that their sum exceeds it, and
+// against nodes that ignore the limit.
 Test(registry_daemon, a_server_limit_bounds_all_nodes_together)
 {
     constexpr std::size_t nodes = 3;
     constexpr duration window = 4s;
-    constexpr std::size_t max_in_window =
-        2 * 4 * 3 / 2 + 5; // 2 a second, half as many again, and 5
+    constexpr std::size_t max_in_window = 2 * 4 * 3 / 2 + 5; // 2 a second, plus a half, plus 5
     registry_fleet fleet{nodes, 0, 1};
     for (std::size_t node = 0; node < nodes; ++node)
         cr_assert(fleet.run_until([&] { return fleet.ask("/read/1", {}, node).status == 200; }));
@@ -426,10 +429,11 @@
     }
     for (std::size_t at = max_in_window; at < arrivals.size(); ++at)
         cr_assert_gt(arrivals[at] - arrivals[at - max_in_window], window);
-    cr_assert_geq(arrivals.size(), 8U, "half of what the server takes is used");
+    cr_assert_geq(arrivals.size(), 8U, "less than half of the server's limit was used");
 }
 
-// While the store is down nothing can be learned, and everything that is known goes on serving.
+// While the store is down, the daemon must keep serving with the tables and servers that it knows,
+// and must continue its watch afterwards.
 Test(registry_daemon, a_store_outage_does_not_interrupt_service)
 {
     registry_fleet fleet;
@@ -441,11 +445,11 @@
     fleet.store().refuses = false;
     fleet.store().put("op/config", document(5, R"(["key-5"])"));
     fleet.run(2500ms);
-    cr_assert_eq(fleet.ask("/order/1").status, 401, "the watch goes on where it was");
+    cr_assert_eq(fleet.ask("/order/1").status, 401, "the watch must continue after the outage");
 }
 
-// Another writer has put things into the registry. Each is passed over with a line; the others
-// hold.
+// Another writer has put unreadable entries into the registry. Each must be logged and ignored, and
+// the other entries stay in use.
 Test(registry_daemon, unreadable_entries_are_ignored)
 {
     registry_fleet fleet;
@@ -462,8 +466,8 @@
         cr_assert_eq(fleet.ask("/order/1").status, 200);
 }
 
-// A planned stop under a running stream: the stream is finished, and so is one that comes while the
-// balancer has not yet noticed.
+// A node is stopped while it relays a stream. The stream must be completed, and so must one that
+// arrives before the load balancer has noticed the stop.
 Test(registry_daemon, a_planned_stop_truncates_no_stream)
 {
     registry_fleet fleet;
@@ -482,9 +486,8 @@
     cr_assert_eq(late.answer->body, complete_stream);
 }
 
-// A member of a group dies without a word. Its group's streams stop; they go on elsewhere, and the
-// group is made whole with a spare.
-Test(registry_daemon, a_silent_group_is_replaced)
+// The head of a group stops responding. The streams that it serves must continue on another group.
+Test(registry_daemon, streams_of_a_silent_group_continue_on_another_group)
 {
     registry_fleet fleet{1, 5};
     fleet.settle();
--- a/daemon/registry_feed.cc
+++ b/daemon/registry_feed.cc
@@ -10,18 +10,22 @@
 
 #include <set>
 
-// Two nodes of a failure domain watch and tell the others at once what is new, and how long ago the
-// store answered them; others stand in while neither is fresh (peers/store_followers.h). A watch
-// that waits is a call, so the calls grow with the failure domains and not with the nodes.
+// Two nodes of each failure domain, the followers, watch the store. They push changes to the other
+// nodes of the domain at once, together with the time since the store last answered. Other nodes
+// stand in while the answers of both followers are too old (peers/store_followers.h). Each wait on
+// a watch is a call to the store, so the number of calls grows with the number of failure domains
+// and not with the number of nodes.
 //
-// The feed reads everything once and then watches. After an error it goes on watching from the last
-// revision seen; only if the store has dropped that history, or this node has not watched for long,
-// does it read everything anew and work out what is gone. What it learns it also tells its peers
-// (peers/key_relay.h), so that a node that the store turns away keeps up with them.
+// The feed reads all documents once and then watches them. After an error it continues to watch
+// from the last revision received. It reads everything again, and works out which documents were
+// deleted, only if the store has dropped the history since that revision or if this node has not
+// watched for long. Changes also go to the peers (peers/key_relay.h), so that a node that the store
+// refuses stays up to date.
 //
-// Entries that lapsed while the store was away. Runners can't renew their leases then; those that
-// live are back within about two seconds of the store's return. Entries that vanish in that time
-// are therefore kept a little longer, or the whole fleet would be dropped for nothing.
+// Runners can't renew the leases of their entries while the store is down, so entries expire.
+// Runners that are alive register again within about two seconds after the store recovers. Entries
+// that are deleted in that time are therefore kept a little longer; otherwise the whole fleet would
+// be removed although it works.
 
 namespace jaynotch {
 
@@ -32,26 +36,27 @@
 constexpr duration min_retry_interval = std::chrono::milliseconds{50};
 constexpr duration max_retry_interval = std::chrono::milliseconds{800};
 constexpr duration watch_wait = std::chrono::seconds{10};
-/// Between two pushes of a watcher that has nothing new.
+/// Between two pushes of a follower that has no changes to send.
 constexpr duration push_interval = std::chrono::milliseconds{400};
-/// Each call costs the store the same whatever it brings, so changes gather, for a time that is
-/// short beside the time in which one must be in force.
+/// Each call costs the store the same whatever it returns, so changes are collected into batches.
+/// The delay is short compared with the time within which a change must be in force.
 constexpr watch_pace first_follower_pace{.gather = std::chrono::milliseconds{120}};
-/// While a watcher that ranks before is fresh, the next one only has to be ready to take over.
+/// While a follower of lower rank is up to date, this one only has to be ready to take over, so it
+/// may wait longer.
 constexpr watch_pace other_follower_pace{.gather = std::chrono::milliseconds{500}};
-/// Of a watcher that only informs itself.
+/// For a watcher on which no other node depends.
 constexpr watch_pace non_follower_pace{.gather = std::chrono::milliseconds{100}};
-/// While a large fleet starts, no node knows yet who else is there to follow, and all entries
+/// While a large fleet starts, no node knows its peers yet, so all of them watch, and all entries
 /// change.
 constexpr watch_pace start_pace{.gather = std::chrono::milliseconds{100},
                                 .gather_a_change = std::chrono::milliseconds{10},
                                 .most_gather = std::chrono::milliseconds{800}};
 constexpr duration startup_period = std::chrono::seconds{6};
-/// After this long without watching, reading everything costs less than what has changed since.
+/// After this long without a watch, reading everything costs less than reading all changes since.
 constexpr duration max_watch_gap = std::chrono::seconds{3};
-/// For living runners to be back in the registry once the store answers again.
+/// Time for live runners to register again once the store has recovered.
 constexpr duration reregistration_grace = std::chrono::milliseconds{2'200};
-/// A store that failed for shorter has let no lease lapse: runners write each second or so.
+/// No lease expires in a shorter outage, since runners renew about every second.
 constexpr duration min_outage = std::chrono::milliseconds{1'500};
 
 std::int64_t in_milliseconds(duration span)
@@ -164,14 +169,14 @@
             relay.push(*age);
     }
 
-    /// The store has answered, and what it said has been learned.
+    /// The store has answered and the changes in its answer were applied.
     void answered()
     {
         m_last_answer_at = runtime_clock::now();
         m_followers.answered(m_last_answer_at);
     }
 
-    /// True if the store answered.
+    /// Returns true if the store answered.
     net::awaitable<bool> read_or_watch()
     {
         bool fine = true;
@@ -210,7 +215,9 @@
                 held.revision < read.value().revision)
                 relay.read(deleted_entry(key, read.value().revision));
         }
-        relay.stop_pushing(); // the neighbours compare before they count on the next push
+        // Documents from a full read are not pushed. Neighbours must compare their documents with
+        // this node's before they rely on its next push.
+        relay.stop_pushing();
         m_revision = read.value().revision;
         m_read_once = true;
         answered();
@@ -242,15 +249,15 @@
                            {"revision", m_revision},
                            {"silent_ms", milliseconds_since(answered_last)}});
                 if (batch.error().kind == error_kind::not_found)
-                    m_revision = 0; // that history is gone: read everything anew
+                    m_revision = 0; // the store has dropped that history: read everything
                 else
                     lost(batch.error());
-                // One that ends again and again soon after its first answer must not be begun anew
-                // at once.
+                // A watch that ended soon after its start counts as failed, so that watches that
+                // keep ending early are retried with growing pauses.
                 co_return m_revision == 0 || runtime_clock::now() - begun >= max_retry_interval;
             }
             if (batch.value().revision == 0)
-                continue; // nothing came from the store yet
+                continue; // the store has sent nothing yet
             answered_last = runtime_clock::now();
             store_recovered();
             for (const kv_event& event : batch.value().events) {
@@ -272,14 +279,14 @@
         co_return false;
     }
 
-    /// Other watchers tell from now on.
+    /// Stops pushing, since this node is no longer a follower; the followers push from now on.
     void stop_watching()
     {
         relay.stop_pushing();
         set_current(false);
     }
 
-    /// An empty value stands for a key that is gone: no document is empty.
+    /// A deleted key is represented by an empty value; no document is empty.
     static kv_entry deleted_entry(const std::string& key, std::int64_t revision)
     {
         kv_entry made;
@@ -357,7 +364,7 @@
     void handle_configuration_entry(const kv_entry& entry, bool there)
     {
         if (!there)
-            return; // the last one stays in force
+            return; // the installed configuration stays in force
         result<configuration> read = platform::parse_configuration(entry);
         if (!read) {
             log_event(log_level::error, "configuration_unreadable",
@@ -385,18 +392,18 @@
     }
 
     timer m_pause;
-    bool m_shares_watches; ///< two nodes of a failure domain watch for all
-    bool m_first_start;    ///< of the whole fleet
+    bool m_shares_watches; ///< only followers watch the store
+    bool m_first_start;    ///< the whole fleet starts for the first time
     time_point m_started = runtime_clock::now();
     store_followers m_followers;
     time_point m_last_push_at;
-    time_point m_last_answer_at; ///< when the store answered this node last
-    std::int64_t m_revision = 0; ///< seen last; 0: everything has to be read
+    time_point m_last_answer_at; ///< when the store last answered this node
+    std::int64_t m_revision = 0; ///< last one received; 0: everything has to be read
     bool m_read_once = false;
     bool m_changed = false;
     std::optional<time_point> m_store_failed_since;
     time_point m_grace_until;
-    std::map<vm_id, time_point> m_missing_runners; ///< entries that vanished as the store came back
+    std::map<vm_id, time_point> m_missing_runners; ///< deleted, but kept until this time
     std::optional<config_revision> m_installed;
 };
 
--- a/daemon/registry_feed.h
+++ b/daemon/registry_feed.h
@@ -1,12 +1,12 @@
-// The documents of the platform's store as this node gets them: from the store itself, and from its
-// peers while the store turns it away.
+// Delivers the documents of the platform's store to this node: from the store itself, and from its
+// peers while the node does not watch the store or the store refuses it.
 //
 //   registry_feed feed{io, settings, kv, peers, hooks};
 //   feed.start();
-//   feed.tick();              // a few times a second
-//   feed.noticed(notice);     // a rumor
+//   feed.tick();                   // a few times a second
+//   feed.notice_received(notice);  // a peer has gossiped that a document changed
 //
-// Each document is handed on once for each revision, and revisions only rise.
+// Each hook is called at most once for each revision of a document, with rising revisions.
 #pragma once
 
 #include "base/base.h"
@@ -29,12 +29,12 @@
     std::function<void(std::shared_ptr<const configuration>)> on_configuration;
     std::function<void(const runner&)> on_runner;
     std::function<void(const vm_id&)> on_runner_removed;
-    /// Any other key, and whether it is there.
+    /// Any other key was written (`there`) or deleted.
     std::function<void(const kv_entry&, bool there)> on_key;
-    /// Whether the store answers this node and all it holds has been read; and the node's place
-    /// among the followers of its failure domain.
+    /// `current`: the store answers this node and all its documents have been read. `rank`: the
+    /// node's rank among the followers of the store in its failure domain.
     std::function<void(bool current, std::size_t rank)> on_current_changed;
-    /// Everything that came at once has been handed on.
+    /// All changes that arrived together have been delivered.
     std::function<void()> on_batch;
 };
 
@@ -51,6 +51,7 @@
     void stop();
     void tick();
     void noticed(const key_notice& notice);
+    /// Whether the store answers this node and all its documents have been read.
     [[nodiscard]] bool current() const;
 
 private:
--- a/daemon/registry_pages.cc
+++ b/daemon/registry_pages.cc
@@ -3,8 +3,8 @@
 #include "daemon/admin_answers.h"
 #include "tables/parse.h"
 
-// Every page is made from what this node knows. Changes and their history are the platform's: what
-// would write is refused with the place to go to.
+// Pages are built from this node's in-memory state. The platform's store keeps the tables and their
+// history; requests to change tables are refused with an error that names the store.
 
 namespace jaynotch {
 
--- a/daemon/registry_pages.h
+++ b/daemon/registry_pages.h
@@ -1,5 +1,5 @@
-// The admin port where operators write the platform's store: the same pages as elsewhere,
-// read-only.
+// HTTP handlers of the admin port of `registry_daemon`: the same pages as in daemon/admin.h, but
+// read-only, since operators change the tables in the platform's store.
 //
 //   registry_pages pages{sources};
 //   http_server::open(io, listen, settings, [&](http_exchange& e) { return pages.serve(e); });
@@ -18,7 +18,7 @@
 
 namespace jaynotch {
 
-/// Where the pages come from.
+/// Where the pages get their data. The referenced objects must outlive registry_pages.
 struct registry_page_sources {
     const daemon_settings& settings;
     const groups::runner_registry& registry;
--- a/daemon/settings.cc
+++ b/daemon/settings.cc
@@ -2,7 +2,7 @@
 
 #include <filesystem>
 
-// Each rule is one line that names the flag, so that what an operator reads is what he wrote.
+// Each rule names the flag, so that the error shows operators the name that they wrote.
 
 namespace jaynotch {
 
@@ -27,7 +27,7 @@
 {
     std::error_code ignored;
     if (!path.empty() && !std::filesystem::is_regular_file(path, ignored))
-        return setting_error(flag, "names \"" + path + "\", which can't be read",
+        return setting_error(flag, "is \"" + path + "\", which is not a regular file",
                              "give the path of a PEM file");
     return success();
 }
@@ -35,7 +35,7 @@
 result<void> check_tls(const std::string& prefix, const tls_files& files)
 {
     if (files.certificate.empty() != files.key.empty())
-        return setting_error(prefix + "_certificate", "and its key go together",
+        return setting_error(prefix + "_certificate", "and its key must be set together",
                              "set both --" + prefix + "_certificate and --" + prefix +
                                  "_key, or neither");
     if (!files.authority.empty() && !files.enabled())
@@ -71,11 +71,12 @@
 result<void> check_limits(const daemon_limits& limits)
 {
     if (limits.http.header_bytes < 1024)
-        return setting_error("max_header_bytes", "is under 1024", "give 1024 or more");
+        return setting_error("max_header_bytes", "is below 1024", "give 1024 or more");
     if (limits.model_body_bytes == 0 || limits.answer_bytes == 0 || limits.keyed_body_bytes == 0)
-        return setting_error("max_body_bytes", "or another body bound is 0", "give 1 or more");
+        return setting_error("max_body_bytes", "or --max_answer_bytes or --max_keyed_bytes is 0",
+                             "give 1 or more");
     if (limits.keyed_body_bytes > 900 * 1024)
-        return setting_error("max_keyed_bytes", "is over what the key-value service holds",
+        return setting_error("max_keyed_bytes", "is larger than the key-value service accepts",
                              "give 921600 or less");
     if (limits.http.connections == 0 || limits.requests == 0)
         return setting_error("max_connections", "or --max_requests is 0", "give 1 or more");
@@ -90,10 +91,9 @@
         return setting_error("node", "is empty",
                              "give the name of this VM, unique in the deployment");
     if (settings.failure_domain.value().empty())
-        return setting_error("failure_domain", "is empty",
-                             "give the failure domain this VM stands in");
+        return setting_error("failure_domain", "is empty", "give the failure domain of this VM");
     if (settings.deployment.empty())
-        return setting_error("deployment", "is empty", "give the deployment that both tables name");
+        return setting_error("deployment", "is empty", "give the deployment named in both tables");
     BOOST_OUTCOME_TRY(check_address("listen", settings.listen));
     BOOST_OUTCOME_TRY(check_address("peer_listen", settings.peer_listen));
     BOOST_OUTCOME_TRY(check_address("admin_listen", settings.admin_listen));
--- a/daemon/settings_test.cc
+++ b/daemon/settings_test.cc
@@ -26,8 +26,8 @@
 
 } // namespace
 
-// An operator mistypes one setting. The daemon must not come up half configured: it names the
-// flag and what to write, one by one.
+// An operator mistypes one setting. The daemon must refuse to start, with an error that names the
+// flag and a remedy.
 Test(settings, each_invalid_value_is_refused_with_its_flag)
 {
     cr_assert(check(valid_settings()).has_value());
