--- a/daemon/admin.h
+++ b/daemon/admin.h
@@ -1,4 +1,5 @@
-// The admin port: what `jaynotch` asks and orders, as JSON over HTTP, and /metrics.
+// HTTP handlers of the admin port: JSON pages for the `jaynotch` command-line tool, which reads
+// status and applies tables through them, and /metrics.
 //
 //   admin_pages admin{sources};
 //   http_server::open(io, listen, settings, [&](http_exchange& e) { return admin.serve(e); });
@@ -15,7 +16,7 @@
 
 namespace jaynotch {
 
-/// Where the pages come from.
+/// Where the pages get their data. The referenced objects must outlive admin_pages.
 struct admin_sources {
     const daemon_settings& settings;
     config_service& config;
@@ -39,7 +40,7 @@
     net::awaitable<void> show_config(http_exchange& exchange);
     net::awaitable<void> show_history(http_exchange& exchange);
     net::awaitable<void> show_diff(http_exchange& exchange);
-    net::awaitable<result<configuration>> tables_at(std::string revision);
+    net::awaitable<result<configuration>> configuration_at(std::string revision);
     [[nodiscard]] boost::json::object status_page() const;
     [[nodiscard]] boost::json::object nodes_page() const;
     [[nodiscard]] boost::json::object groups_page() const;
--- a/daemon/daemon.cc
+++ b/daemon/daemon.cc
@@ -8,18 +8,18 @@
 #include <boost/asio/redirect_error.hpp>
 #include <boost/asio/use_awaitable.hpp>
 
-// A graceful stop goes in this order: say "not ready" and go on serving until the balancer has seen
-// it; take no new connections; finish every request in flight, however long its stream is allowed
-// to be; leave the membership; end. Nothing that a caller or a peer still needs is taken away
-// before.
+// Order of a graceful stop: report "not ready" and keep serving until the load balancer has
+// noticed; accept no new connections; finish every request in flight, however long its stream may
+// take, up to the time limit for a stop; leave the membership; close everything. Each step comes
+// only after callers and peers no longer need what it closes.
 
 namespace jaynotch {
 
 namespace {
 
 constexpr duration second = std::chrono::seconds{1};
-/// Within it the tickets of complete groups have come round from the peers.
-constexpr duration longest_warm_up = std::chrono::seconds{10};
+/// Enough time for the tickets of complete groups to arrive from peers by gossip.
+constexpr duration max_warm_up = std::chrono::seconds{10};
 
 etcd_settings key_value_settings(const daemon_settings& settings)
 {
@@ -40,11 +40,11 @@
 
 result<void> daemon::impl::open()
 {
-    const std::uint64_t seed = drawn_seed(settings);
+    const std::uint64_t seed = seed_or_random(settings);
     BOOST_OUTCOME_TRY(spans, tracer::open(settings.trace_file, settings.node, seed ^ 1U));
     BOOST_OUTCOME_TRY(peers, peer_service::create(io, peer_settings_of(settings, seed ^ 2U)));
     BOOST_OUTCOME_TRY(open_cores(seed));
-    tie_together();
+    connect_parts();
     return open_ports();
 }
 
@@ -63,7 +63,7 @@
     hooks.on_released = [](const target_released& gone) {
         log_event(log_level::info, "target_released", {{"target", gone.target.value()}});
     };
-    hooks.on_share_demand = [this](const share_demand& own) { tell_demand(own); };
+    hooks.on_share_demand = [this](const share_demand& own) { publish_demand(own); };
     requests = std::make_unique<request_driver>(io, std::move(core), kv, std::move(hooks));
     return success();
 }
@@ -74,7 +74,7 @@
                                      settings.caller_tls};
     BOOST_OUTCOME_TRY(caller_server, http_server::open(io, settings.listen, for_callers,
                                                        [this](http_exchange& exchange) {
-                                                           return calls->serve(exchange);
+                                                           return caller_front->serve(exchange);
                                                        }));
     http_server_settings for_operators{settings.timeouts.http, settings.limits.http,
                                        settings.admin_tls};
@@ -116,16 +116,16 @@
     return !m_stopping && config->current() != nullptr && !warming_up();
 }
 
-// Without this a node that has just started would take callers from the balancer and refuse them
-// while all the other nodes serve: it has the tables within a moment, the tickets a little later.
-// The wait is bounded, since there may be no complete group at all.
+// A node that has just started gets the tables at once but the tickets of groups a little later. If
+// it reported ready in between, the load balancer would send it callers that it must refuse while
+// all other nodes serve. The wait is bounded, since there may be no complete group at all.
 bool daemon::impl::warming_up() const
 {
     const auto tables = config->current();
     const auto is_model = [](const pool& row) { return row.kind == pool_kind::model; };
     const bool groups_wanted =
         tables && std::any_of(tables->pools.begin(), tables->pools.end(), is_model);
-    return groups_wanted && m_pushed.empty() && runtime_clock::now() - m_started < longest_warm_up;
+    return groups_wanted && m_pushed.empty() && runtime_clock::now() - m_started < max_warm_up;
 }
 
 net::awaitable<void> daemon::impl::stop()
@@ -134,23 +134,24 @@
     if (m_stopping)
         co_return;
     m_stopping = true;
-    const time_point until = runtime_clock::now() + settings.timeouts.longest_stop;
+    const time_point until = runtime_clock::now() + settings.timeouts.max_stop_time;
     log_event(log_level::info, "daemon_stopping", {{"in_flight", counts.in_flight}});
     caller_server->wind_down();
-    co_await sleep_for(io, settings.timeouts.balancer);
-    co_await finish_callers(io, *caller_server, counts, until);
-    const std::uint64_t cut_off = counts.in_flight;
+    co_await sleep_for(io, settings.timeouts.balancer_wait);
+    co_await drain_callers(io, *caller_server, counts, until);
+    const std::uint64_t unfinished = counts.in_flight;
     config->stop();
     co_await peers->leave();
     m_stopped = true;
     m_timer.cancel();
     admin_server->stop_accepting();
-    log_event(cut_off == 0 ? log_level::info : log_level::error, "daemon_stopped",
-              {{"in_flight", cut_off}});
+    log_event(unfinished == 0 ? log_level::info : log_level::error, "daemon_stopped",
+              {{"in_flight", unfinished}});
     abort();
 }
 
-/// Ends every part; what still runs on the io_context holds its own state and ends by itself.
+/// Stops every component. Coroutines that still run on the io_context own the state that they use
+/// and end by themselves.
 void daemon::impl::abort()
 {
     m_stopping = true;
@@ -179,7 +180,7 @@
 daemon::~daemon()
 {
     m_impl->abort();
-    keep_for_calls(m_impl->io, m_impl);
+    keep_alive_for_pending_calls(m_impl->io, m_impl);
 }
 
 result<std::unique_ptr<daemon>> daemon::create(net::io_context& io, const daemon_settings& settings)
--- a/daemon/daemon_events.cc
+++ b/daemon/daemon_events.cc
@@ -1,7 +1,8 @@
 #include "daemon/daemon_impl.h"
 #include "daemon/daemon_setup.h"
 
-// What one part tells another: configurations, complete groups, demand, servers that leave.
+// Events that the daemon passes between its components: installed configurations, complete groups,
+// demand per workspace, and backend servers that are leaving.
 
 namespace jaynotch {
 
@@ -26,7 +27,7 @@
 
 } // namespace
 
-void daemon::impl::tie_together()
+void daemon::impl::connect_parts()
 {
     group_hooks for_groups;
     for_groups.on_changed = [this] { push_groups(); };
@@ -62,7 +63,7 @@
                            [this](const target_id& id) { plain->announced(id.value()); },
                            [this](const group_id& group) { return has_valid_ticket(group); },
                            {}});
-    calls = std::make_unique<front>(*services, [this] {
+    caller_front = std::make_unique<front>(*services, [this] {
         return front_state{config->current(), m_stopping, warming_up()};
     });
     admin.reset(new admin_pages{admin_sources{
@@ -71,8 +72,8 @@
 
     config->on_installed(
         [this](std::shared_ptr<const configuration> tables) { install(std::move(tables)); });
-    peers->on_rumor([this](const rumor& reported) { take_rumor(reported); });
-    peers->on_member([this](const member& changed) { take_member(changed); });
+    peers->on_rumor([this](const rumor& reported) { handle_rumor(reported); });
+    peers->on_member([this](const member& changed) { handle_member_change(changed); });
     peers->on_superseded([this] {
         log_event(log_level::error, "daemon_superseded",
                   {{"remedy", "give each daemon its own --node"}});
@@ -110,26 +111,27 @@
     requests->handle(std::move(changed));
 }
 
-/// A ticket may have run out since the groups were last told to the core.
+/// Checks the time, since a ticket may have expired after push_groups() last gave the groups to the
+/// request core.
 bool daemon::impl::has_valid_ticket(const group_id& group) const
 {
     const auto found = m_valid_until.find(group);
     return found != m_valid_until.end() && runtime_clock::now() < found->second;
 }
 
-void daemon::impl::take_rumor(const rumor& reported)
+void daemon::impl::handle_rumor(const rumor& reported)
 {
     if (const auto* ticket = std::get_if<ticket_digest>(&reported))
-        groups->take_ticket(*ticket);
+        groups->handle_ticket(*ticket);
     else if (const auto* newer = std::get_if<key_notice>(&reported))
-        groups->take_notice(*newer);
+        groups->handle_key_notice(*newer);
     else if (const auto* wanted = std::get_if<demand>(&reported))
-        take_demand(*wanted);
+        handle_demand(*wanted);
     else if (const auto* gone = std::get_if<leaving>(&reported))
         plain->reported(gone->server);
 }
 
-void daemon::impl::take_demand(const demand& reported)
+void daemon::impl::handle_demand(const demand& reported)
 {
     const auto pool_name = m_pools_by_key.find(reported.pool);
     const auto workspace = m_workspaces_by_key.find(reported.workspace);
@@ -152,7 +154,7 @@
     }
 }
 
-void daemon::impl::tell_demand(const share_demand& own)
+void daemon::impl::publish_demand(const share_demand& own)
 {
     for (const demand_row& row : own.rows) {
         demand told;
@@ -163,7 +165,7 @@
     }
 }
 
-void daemon::impl::take_member(const member& changed)
+void daemon::impl::handle_member_change(const member& changed)
 {
     if (changed.live() || changed.node == settings.node)
         return;
--- a/daemon/daemon_impl.h
+++ b/daemon/daemon_impl.h
@@ -1,4 +1,5 @@
-// The parts of a daemon and how they are tied together; private to daemon.cc and daemon_events.cc.
+// Implementation class of `daemon`, which owns its components and connects them; private to
+// daemon.cc and daemon_events.cc.
 #pragma once
 
 #include "config/config.h"
@@ -35,9 +36,9 @@
     net::awaitable<void> stop();
     void abort();
     [[nodiscard]] bool ready() const;
-    /// Whether this node has only just started and has heard of no complete group yet.
+    /// Whether this node started recently, has model pools and knows no complete group yet.
     [[nodiscard]] bool warming_up() const;
-    /// Groups that the request core knows to be complete.
+    /// Number of complete groups that the request core was last given.
     [[nodiscard]] std::size_t groups_in_use() const { return m_pushed.size(); }
 
     net::io_context& io;
@@ -53,7 +54,7 @@
     std::unique_ptr<group_driver> groups;
     std::unique_ptr<plain_watch> plain;
     std::unique_ptr<relay_services> services;
-    std::unique_ptr<front> calls;
+    std::unique_ptr<front> caller_front;
     std::unique_ptr<admin_pages> admin;
     std::unique_ptr<http_server> caller_server;
     std::unique_ptr<http_server> admin_server;
@@ -66,23 +67,23 @@
     net::awaitable<void> housekeeping();
 
     // daemon_events.cc
-    void tie_together();
+    void connect_parts();
     void install(std::shared_ptr<const configuration> tables);
     void push_groups();
-    void take_rumor(const rumor& reported);
-    void take_demand(const demand& reported);
-    void tell_demand(const share_demand& own);
-    void take_member(const member& changed);
+    void handle_rumor(const rumor& reported);
+    void handle_demand(const demand& reported);
+    void publish_demand(const share_demand& own);
+    void handle_member_change(const member& changed);
     [[nodiscard]] bool has_valid_ticket(const group_id& group) const;
     [[nodiscard]] std::string metrics_page();
 
-    struct peer_rows {
+    struct peer_demand_rows {
         std::map<std::pair<pool_id, workspace_id>, std::pair<demand_row, time_point>> rows;
     };
 
     std::vector<groups::complete_group> m_pushed;
     std::unordered_map<group_id, time_point> m_valid_until;
-    std::unordered_map<node_id, peer_rows> m_demand;
+    std::unordered_map<node_id, peer_demand_rows> m_demand;
     std::unordered_map<std::uint32_t, pool_id> m_pools_by_key;
     std::unordered_map<std::uint32_t, workspace_id> m_workspaces_by_key;
     time_point m_started;
--- a/daemon/formation_driver.cc
+++ b/daemon/formation_driver.cc
@@ -7,9 +7,9 @@
 #include <boost/asio/detached.hpp>
 #include <boost/asio/use_awaitable.hpp>
 
-// All managers read the node's one registry. What changes there concerns only the manager of the
-// runner's failure domain, and that one only while it leads; so following the registry costs a node
-// that manages nothing no more than keeping it.
+// All managers of a node read the same registry. A changed entry is passed only to the manager of
+// the runner's failure domain, which processes it only while it is the leader. A node that manages
+// nothing therefore spends no more than the cost of keeping its copy of the registry.
 
 namespace jaynotch {
 
@@ -17,16 +17,16 @@
 
 namespace net = boost::asio;
 
-/// A runner takes an order within some milliseconds, or with one retransmission by TCP (200 ms). At
-/// times runners leave orders unanswered; each such order holds its group up for this long, and a
-/// group takes three rounds of them.
+/// A runner answers an order within a few milliseconds, or within about 200 ms if TCP retransmits
+/// once. Runners sometimes leave an order unanswered; each such order delays its group by this
+/// timeout, and forming a group takes three rounds of orders.
 constexpr duration order_timeout = std::chrono::milliseconds{300};
-/// A runner answers within some milliseconds; one that is dark never does.
+/// A reachable runner answers within a few milliseconds; an unreachable one never does.
 constexpr duration probe_timeout = std::chrono::milliseconds{200};
-/// Nodes asked for their word on a silent runner. Some cuts leave a tenth of the nodes on its side;
-/// six miss such a cut in one of two cases, and then the rule for heads that may live is not
-/// applied.
-constexpr std::size_t most_asked = 6;
+/// Number of nodes that are asked whether an unresponsive runner answers them. A network partition
+/// may leave only a tenth of the nodes on the runner's side. Six nodes then include none of these
+/// in about half of all cases, and the rule for heads that may still be alive is not applied.
+constexpr std::size_t max_peers_asked = 6;
 
 } // namespace
 
@@ -42,10 +42,10 @@
     {
         outage_hooks hooks;
         hooks.on_confirmed = [this](const failure_domain_id& domain, time_point asked) {
-            tell_domain(domain, groups::outage_confirmed{asked});
+            dispatch_to_domain(domain, groups::outage_confirmed{asked});
         };
-        hooks.on_conceded = [this](const failure_domain_id& domain) {
-            tell_domain(domain, groups::outage_reported{});
+        hooks.on_outage_reported = [this](const failure_domain_id& domain) {
+            dispatch_to_domain(domain, groups::outage_reported{});
         };
         hooks.manages = [this](const failure_domain_id& domain) {
             const auto found = managers.find(domain);
@@ -54,30 +54,31 @@
         outage = std::make_shared<outage_inquiry>(io, settings, kv, peers, std::move(hooks));
     }
 
-    void tell(const groups::formation_event& happened)
+    void dispatch(const groups::formation_event& event)
     {
         for (auto& [domain, manager] : managers)
-            tell_one(domain, manager, happened);
+            dispatch_to(domain, manager, event);
     }
 
-    void tell_one(const failure_domain_id& domain, groups::formation_manager& manager,
-                  const groups::formation_event& happened)
+    void dispatch_to(const failure_domain_id& domain, groups::formation_manager& manager,
+                     const groups::formation_event& event)
     {
-        if (stopped || given_up.contains(domain))
+        if (stopped || resigned.contains(domain))
             return;
-        const groups::formation_commands wanted = manager.handle(happened, runtime_clock::now());
+        const groups::formation_commands wanted = manager.handle(event, runtime_clock::now());
         for (const groups::formation_command& command : wanted)
-            std::visit([&](const auto& one) { carry_out(domain, one); }, command);
+            std::visit([&](const auto& one) { execute(domain, one); }, command);
     }
 
-    void tell_domain(const failure_domain_id& domain, const groups::formation_event& happened)
+    void dispatch_to_domain(const failure_domain_id& domain, const groups::formation_event& event)
     {
         const auto found = managers.find(domain);
         if (found != managers.end())
-            tell_one(domain, found->second, happened);
+            dispatch_to(domain, found->second, event);
     }
 
-    /// A domain's manager is made when its first runner shows itself.
+    /// Creates a domain's manager, if there is none, and passes it the state known so far. Called
+    /// when a runner of the domain is registered.
     void add_domain(const failure_domain_id& domain)
     {
         if (managers.contains(domain) || stopping)
@@ -91,15 +92,15 @@
         groups::formation_manager& made =
             managers.emplace(domain, groups::formation_manager{std::move(chosen), registry})
                 .first->second;
-        tell_one(domain, made, groups::model_pools_updated{pools});
-        tell_one(domain, made, current);
-        tell_one(domain, made, groups::peers_seen{peer_rows()});
+        dispatch_to(domain, made, groups::model_pools_updated{pools});
+        dispatch_to(domain, made, current);
+        dispatch_to(domain, made, groups::peers_seen{peer_rows()});
         if (traffic)
-            tell_one(domain, made, groups::traffic_started{});
+            dispatch_to(domain, made, groups::traffic_started{});
         const auto key = keys.find(groups::formation_key(settings.deployment, domain));
-        tell_one(domain, made,
-                 groups::manager_key_updated{key == keys.end() ? std::optional<kv_entry>{}
-                                                               : std::optional{key->second}});
+        dispatch_to(domain, made,
+                    groups::manager_key_updated{key == keys.end() ? std::optional<kv_entry>{}
+                                                                  : std::optional{key->second}});
     }
 
     std::vector<groups::peer_row> peer_rows() const
@@ -112,19 +113,19 @@
         return rows;
     }
 
-    /// Another node asks, or says what we asked.
-    void take_message(const server_message& message)
+    /// A question from another node, or an answer to one of ours.
+    void handle_message(const server_message& message)
     {
         if (!stopped)
-            std::visit([&](const auto& body) { take(message.from, body); }, message.body);
+            std::visit([&](const auto& body) { receive(message.from, body); }, message.body);
     }
 
-    /// What the registry can't tell now: a runner's own word, its group changed. One that is of
-    /// another start than the registry's entry is passed over.
-    void install_word(const runner_word& word)
+    /// Applies a runner's own report of its group to the registry, for times when the store can't
+    /// deliver it. The registry ignores a report from another start of the runner than its entry.
+    void apply_runner_word(const runner_word& word)
     {
-        if (registry.tell(word, runtime_clock::now()) && on_word)
-            on_word();
+        if (registry.tell(word, runtime_clock::now()) && on_group_changed)
+            on_group_changed();
     }
 
     net::io_context& io;
@@ -136,107 +137,109 @@
     std::map<failure_domain_id, groups::formation_manager> managers;
     std::map<std::string, kv_entry> keys;
     std::vector<pool> pools;
-    std::function<bool(const vm_id&)> hears;
-    std::function<void()> on_word;
+    std::function<bool(const vm_id&)> responded_recently;
+    std::function<void()> on_group_changed;
     std::shared_ptr<outage_inquiry> outage;
     std::uint64_t members_version = 0;
     groups::registry_status current;
     bool traffic = false;
-    std::set<failure_domain_id> given_up; ///< on a planned stop
+    std::set<failure_domain_id> resigned; ///< during a planned stop
     bool stopping = false;
     bool stopped = false;
 
 private:
-    void take(const node_id& from, const server_question& asked)
+    void receive(const node_id& from, const server_question& asked)
     {
         net::co_spawn(io, answer_peer(from, asked), net::detached);
     }
-    void take(const node_id& from, const store_question& asked)
+    void receive(const node_id& from, const store_question& asked)
     {
-        // What this node has given up on its way out it never manages again.
-        if (given_up.contains(asked.domain))
-            outage->concede(from, asked);
+        // This node has resigned from the domain and will not manage it again, so it need not check
+        // the store.
+        if (resigned.contains(asked.domain))
+            outage->confirm_without_check(from, asked);
         else
-            outage->take(from, asked);
+            outage->receive(from, asked);
     }
-    void take(const node_id& from, const store_answer& told) { outage->take(from, told); }
-    void take(const node_id& /*from*/, const runner_word& word)
+    void receive(const node_id& from, const store_answer& told) { outage->receive(from, told); }
+    void receive(const node_id& /*from*/, const runner_word& word)
     {
-        // Whoever reaches the store knows better.
-        if (outage->conceded())
-            install_word(word);
+        // Nodes that reach the store get newer data from it.
+        if (outage->recently_reported_outage())
+            apply_runner_word(word);
     }
-    void take(const node_id& from, const server_answer& answer)
+    void receive(const node_id& from, const server_answer& answer)
     {
-        const auto found = m_asked.find(answer.vm);
-        if (found == m_asked.end() || found->second.erase(from) == 0)
+        const auto found = m_awaited_answers.find(answer.vm);
+        if (found == m_awaited_answers.end() || found->second.erase(from) == 0)
             return;
-        // One that is answered settles it; that nobody is takes the word of everyone asked.
+        // One node that the runner answers is enough. That it answers none is known only once every
+        // node asked has said so.
         if (!answer.answers && !found->second.empty())
             return;
         log_event(log_level::info, "peers_word",
                   {{"vm", answer.vm.value()}, {"answers", answer.answers}});
-        m_asked.erase(found);
-        tell(groups::peer_probe_result{answer.vm, answer.answers});
+        m_awaited_answers.erase(found);
+        dispatch(groups::peer_probe_result{answer.vm, answer.answers});
     }
 
-    void carry_out(const failure_domain_id& domain, const groups::kv_call& wanted)
+    void execute(const failure_domain_id& domain, const groups::kv_call& wanted)
     {
         net::co_spawn(io, transact(domain, wanted), net::detached);
     }
-    void carry_out(const failure_domain_id& domain, const groups::lease_grant& wanted)
+    void execute(const failure_domain_id& domain, const groups::lease_grant& wanted)
     {
         net::co_spawn(io, grant(domain, wanted), net::detached);
     }
-    void carry_out(const failure_domain_id& domain, const groups::lease_renew& wanted)
+    void execute(const failure_domain_id& domain, const groups::lease_renew& wanted)
     {
         net::co_spawn(io, renew(domain, wanted), net::detached);
     }
-    void carry_out(const failure_domain_id& /*domain*/, const groups::lease_end& wanted)
+    void execute(const failure_domain_id& /*domain*/, const groups::lease_end& wanted)
     {
         net::co_spawn(io, end_lease(wanted.lease), net::detached);
     }
-    void carry_out(const failure_domain_id& domain, const groups::send_order& wanted)
+    void execute(const failure_domain_id& domain, const groups::send_order& wanted)
     {
         net::co_spawn(io, send(domain, wanted), net::detached);
     }
-    void carry_out(const failure_domain_id& domain, const groups::probe_member& wanted)
+    void execute(const failure_domain_id& domain, const groups::probe_member& wanted)
     {
         net::co_spawn(io, probe(domain, wanted), net::detached);
     }
-    void carry_out(const failure_domain_id& /*domain*/, const groups::probe_through_peers& wanted)
+    void execute(const failure_domain_id& /*domain*/, const groups::probe_through_peers& wanted)
     {
-        std::set<node_id>& asked = m_asked[wanted.vm];
+        std::set<node_id>& asked = m_awaited_answers[wanted.vm];
         asked.clear();
         for (const member& one : peers.members()) {
             if (one.node == settings.node || one.state != member_state::alive)
                 continue;
-            if (asked.size() >= most_asked)
+            if (asked.size() >= max_peers_asked)
                 break;
             asked.insert(one.node);
             peers.send_server_message(one.node, server_question{wanted.vm, wanted.address});
         }
         if (asked.empty())
-            m_asked.erase(wanted.vm);
+            m_awaited_answers.erase(wanted.vm);
     }
-    void carry_out(const failure_domain_id& domain,
-                   const groups::query_peers_about_outage& /*wanted*/)
+    void execute(const failure_domain_id& domain,
+                 const groups::query_peers_about_outage& /*wanted*/)
     {
-        outage->ask(domain);
+        outage->start_round(domain);
     }
-    void carry_out(const failure_domain_id& domain, const groups::request_runner_report& wanted)
+    void execute(const failure_domain_id& domain, const groups::request_runner_report& wanted)
     {
         net::co_spawn(io, request_runner_report(domain, wanted), net::detached);
     }
-    void carry_out(const failure_domain_id& /*domain*/, const groups::broadcast_runner& wanted)
+    void execute(const failure_domain_id& /*domain*/, const groups::broadcast_runner& wanted)
     {
         for (const member& one : peers.members()) {
             if (one.node != settings.node && one.live())
                 peers.send_server_message(one.node, wanted.word);
         }
-        install_word(wanted.word);
+        apply_runner_word(wanted.word);
     }
-    void carry_out(const failure_domain_id& domain, const groups::notice& wanted)
+    void execute(const failure_domain_id& domain, const groups::notice& wanted)
     {
         log_event(
             wanted.level, wanted.kind,
@@ -246,8 +249,8 @@
     net::awaitable<void> answer_peer(node_id from, server_question asked)
     {
         const auto self = shared_from_this();
-        // Requests may still reach a runner that takes no orders any more.
-        bool answers = hears && hears(asked.vm);
+        // A runner that no longer answers orders may still respond to requests.
+        bool answers = responded_recently && responded_recently(asked.vm);
         if (!answers) {
             answers = co_await orders.answers(asked.address, probe_timeout);
         }
@@ -259,7 +262,7 @@
     {
         const auto self = shared_from_this();
         result<kv_outcome> outcome = co_await kv.transact(std::move(wanted.transaction));
-        tell_domain(domain, groups::kv_result{wanted.token, std::move(outcome)});
+        dispatch_to_domain(domain, groups::kv_result{wanted.token, std::move(outcome)});
     }
 
     net::awaitable<void> grant(failure_domain_id domain, groups::lease_grant wanted)
@@ -268,7 +271,7 @@
         const result<kv_lease> granted = co_await kv.grant(wanted.ttl);
         const result<lease_id> told =
             granted ? result<lease_id>{granted.value().id} : result<lease_id>{granted.error()};
-        tell_domain(domain, groups::lease_result{wanted.token, told});
+        dispatch_to_domain(domain, groups::lease_result{wanted.token, told});
     }
 
     net::awaitable<void> renew(failure_domain_id domain, groups::lease_renew wanted)
@@ -277,13 +280,13 @@
         const result<kv_lease> kept = co_await kv.keep_alive(wanted.lease);
         const result<lease_id> told =
             kept ? result<lease_id>{kept.value().id} : result<lease_id>{kept.error()};
-        tell_domain(domain, groups::lease_result{wanted.token, told});
+        dispatch_to_domain(domain, groups::lease_result{wanted.token, told});
     }
 
     net::awaitable<void> end_lease(lease_id lease)
     {
         const auto self = shared_from_this();
-        // One that could not be ended runs out by itself.
+        // A lease that could not be revoked expires by itself.
         (void)co_await kv.revoke(lease);
     }
 
@@ -295,7 +298,7 @@
         if (reply != order_reply::begun && reply != order_reply::holds)
             log_event(log_level::warning, "order_not_taken",
                       {{"vm", wanted.vm.value()}, {"reply", to_name(reply)}});
-        tell_domain(domain, groups::order_answered{wanted.token, wanted.vm, reply});
+        dispatch_to_domain(domain, groups::order_answered{wanted.token, wanted.vm, reply});
     }
 
     net::awaitable<void> request_runner_report(failure_domain_id domain,
@@ -305,7 +308,7 @@
         const result<runner_report> report =
             co_await orders.report(wanted.vm, wanted.address, probe_timeout);
         if (report)
-            tell_domain(domain, groups::runner_reported{report.value()});
+            dispatch_to_domain(domain, groups::runner_reported{report.value()});
         else
             log_event(log_level::warning, "runner_report_missing",
                       {{"vm", wanted.vm.value()}, {"reason", report.error().message}});
@@ -317,10 +320,11 @@
         const bool answers = co_await orders.answers(wanted.address, probe_timeout);
         if (!answers)
             log_event(log_level::warning, "runner_silent", {{"vm", wanted.vm.value()}});
-        tell_domain(domain, groups::member_probed{wanted.vm, answers});
+        dispatch_to_domain(domain, groups::member_probed{wanted.vm, answers});
     }
 
-    std::map<vm_id, std::set<node_id>> m_asked; ///< whose word on a runner is still awaited
+    std::map<vm_id, std::set<node_id>>
+        m_awaited_answers; ///< nodes whose answer about a runner is pending
 };
 
 formation_driver::formation_driver(net::io_context& io, const daemon_settings& settings,
@@ -332,7 +336,7 @@
     m_impl->start();
     peers.on_server_message([weak = std::weak_ptr{m_impl}](const server_message& message) {
         if (const auto self = weak.lock())
-            self->take_message(message);
+            self->handle_message(message);
     });
 }
 
@@ -341,14 +345,14 @@
     stop();
 }
 
-void formation_driver::on_asked(std::function<bool(const vm_id&)> hears)
+void formation_driver::set_response_check(std::function<bool(const vm_id&)> responded_recently)
 {
-    m_impl->hears = std::move(hears);
+    m_impl->responded_recently = std::move(responded_recently);
 }
 
-void formation_driver::on_word(std::function<void()> handler)
+void formation_driver::on_group_changed(std::function<void()> handler)
 {
-    m_impl->on_word = std::move(handler);
+    m_impl->on_group_changed = std::move(handler);
 }
 
 void formation_driver::stop()
@@ -363,7 +367,7 @@
         if (row.kind == pool_kind::model)
             m_impl->pools.push_back(row);
     }
-    m_impl->tell(groups::model_pools_updated{m_impl->pools});
+    m_impl->dispatch(groups::model_pools_updated{m_impl->pools});
 }
 
 void formation_driver::runner_updated(const runner& row)
@@ -371,15 +375,15 @@
     if (!row.joins_groups())
         return;
     m_impl->add_domain(row.failure_domain);
-    m_impl->tell_domain(row.failure_domain, groups::runner_updated{row});
+    m_impl->dispatch_to_domain(row.failure_domain, groups::runner_updated{row});
 }
 
 void formation_driver::runner_removed(const vm_id& vm)
 {
-    m_impl->tell(groups::runner_removed{vm});
+    m_impl->dispatch(groups::runner_removed{vm});
 }
 
-void formation_driver::key_seen(const kv_entry& entry, bool there)
+void formation_driver::store_key_updated(const kv_entry& entry, bool there)
 {
     if (there)
         m_impl->keys[entry.key] = entry;
@@ -387,38 +391,38 @@
         m_impl->keys.erase(entry.key);
     for (auto& [domain, manager] : m_impl->managers) {
         if (groups::formation_key(m_impl->settings.deployment, domain) == entry.key)
-            m_impl->tell_one(domain, manager,
-                             groups::manager_key_updated{there ? std::optional{entry}
-                                                               : std::optional<kv_entry>{}});
+            m_impl->dispatch_to(domain, manager,
+                                groups::manager_key_updated{there ? std::optional{entry}
+                                                                  : std::optional<kv_entry>{}});
     }
 }
 
 void formation_driver::set_current(bool current, std::size_t rank)
 {
     m_impl->current = {current, rank};
-    m_impl->tell(m_impl->current);
+    m_impl->dispatch(m_impl->current);
 }
 
 void formation_driver::traffic_started()
 {
     if (std::exchange(m_impl->traffic, true))
         return;
-    m_impl->tell(groups::traffic_started{});
+    m_impl->dispatch(groups::traffic_started{});
 }
 
-void formation_driver::silent(const vm_id& head)
+void formation_driver::report_unresponsive_head(const vm_id& head)
 {
-    m_impl->tell(groups::group_unresponsive{head});
+    m_impl->dispatch(groups::group_unresponsive{head});
 }
 
 void formation_driver::tick()
 {
     if (m_impl->members_version != m_impl->peers.members_version()) {
         m_impl->members_version = m_impl->peers.members_version();
-        m_impl->tell(groups::peers_seen{m_impl->peer_rows()});
+        m_impl->dispatch(groups::peers_seen{m_impl->peer_rows()});
     }
-    m_impl->outage->note_members();
-    m_impl->tell(groups::formation_tick{});
+    m_impl->outage->update_members();
+    m_impl->dispatch(groups::formation_tick{});
 }
 
 net::awaitable<void> formation_driver::resign(resignation which)
@@ -428,14 +432,14 @@
     std::vector<lease_id> leases;
     for (auto& [domain, manager] : kept->managers) {
         const bool nobody_else = manager.status(runtime_clock::now()).store_unreachable;
-        if (kept->given_up.contains(domain) ||
+        if (kept->resigned.contains(domain) ||
             (nobody_else && which == resignation::where_possible))
             continue;
         for (const groups::formation_command& command : manager.resign()) {
             if (const auto* end = std::get_if<groups::lease_end>(&command))
                 leases.push_back(end->lease);
         }
-        kept->given_up.insert(domain);
+        kept->resigned.insert(domain);
     }
     kept->stopped = which == resignation::all;
     for (const lease_id lease : leases) {
