--- a/base/address.cc
+++ b/base/address.cc
@@ -15,16 +15,18 @@
     if (colon == std::string_view::npos)
         return malformed;
     std::string_view host = address.substr(0, colon);
-    const std::string_view digits = address.substr(colon + 1);
+    const std::string_view port_text = address.substr(colon + 1);
     if (host.starts_with('[') && host.ends_with(']'))
         host = host.substr(1, host.size() - 2);
     std::uint16_t port = 0;
-    const auto [end, failed] = std::from_chars(digits.data(), digits.data() + digits.size(), port);
-    if (digits.empty() || failed != std::errc{} || end != digits.data() + digits.size())
+    const auto [end, port_error] =
+        std::from_chars(port_text.data(), port_text.data() + port_text.size(), port);
+    if (port_text.empty() || port_error != std::errc{} ||
+        end != port_text.data() + port_text.size())
         return malformed;
-    boost::system::error_code not_an_ip;
-    const auto ip = boost::asio::ip::make_address(std::string{host}, not_an_ip);
-    if (not_an_ip)
+    boost::system::error_code ip_error;
+    const auto ip = boost::asio::ip::make_address(std::string{host}, ip_error);
+    if (ip_error)
         return malformed;
     return tcp::endpoint{ip, port};
 }
--- a/base/base_test.cc
+++ b/base/base_test.cc
@@ -12,7 +12,7 @@
     cr_assert(!from_name<error_kind>("no such kind"));
 }
 
-Test(result, an_error_throws_when_asked_for_its_value)
+Test(result, value_of_an_error_throws)
 {
     const result<int> failed = error{error_kind::conflict, "row taken", "fetch and edit again"};
     cr_assert(!failed);
@@ -51,7 +51,7 @@
     cr_assert(fired);
 }
 
-Test(hash, rendezvous_moves_only_what_left)
+Test(hash, rendezvous_keeps_the_remaining_choices)
 {
     const std::vector<std::string> all{"a", "b", "c", "d", "e"};
     for (int key = 0; key < 100; ++key) {
@@ -76,13 +76,13 @@
 // that quietly does something else.
 Test(mechanisms, are_switched_off_by_name)
 {
-    const auto some = mechanism_set::all_but({"newest_first", "warm_spares"});
+    const auto some = mechanism_set::all_except({"newest_first", "warm_spares"});
     cr_assert(some);
     cr_assert(!some.value().has(mechanism::newest_first));
     cr_assert(some.value().has(mechanism::sure_places));
-    cr_assert_eq(some.value().off_names(), "newest_first, warm_spares");
-    cr_assert(mechanism_set::all_but({}).value().off_names().empty());
-    const auto slip = mechanism_set::all_but({"newest_frist"});
+    cr_assert_eq(some.value().disabled_names(), "newest_first, warm_spares");
+    cr_assert(mechanism_set::all_except({}).value().disabled_names().empty());
+    const auto slip = mechanism_set::all_except({"newest_frist"});
     cr_assert(!slip);
     cr_assert(slip.error().remedy.find("newest_first") != std::string::npos);
 }
--- a/base/environment.cc
+++ b/base/environment.cc
@@ -27,11 +27,11 @@
         const char* value = std::getenv(variable.c_str());
         if (value == nullptr || !std::string_view{flag->Filename()}.ends_with(source_file))
             continue;
-        std::string why;
-        if (!flag->ParseFrom(value, &why))
+        std::string parse_error;
+        if (!flag->ParseFrom(value, &parse_error))
             return error{error_kind::invalid_argument,
                          variable + " is \"" + value + "\", which --" + name + " does not take" +
-                             (why.empty() ? "" : " (" + why + ")"),
+                             (parse_error.empty() ? "" : " (" + parse_error + ")"),
                          "set it as --help says for --" + name};
     }
     return success();
--- a/base/json_fields.cc
+++ b/base/json_fields.cc
@@ -7,7 +7,7 @@
 
 namespace {
 
-constexpr std::size_t most_list_items = 100'000;
+constexpr std::size_t max_list_items = 100'000;
 
 } // namespace
 
@@ -30,12 +30,12 @@
     return found == nullptr || found->is_null() ? nullptr : found;
 }
 
-void json_fields::fail(std::string_view name, std::string_view why)
+void json_fields::fail(std::string_view name, std::string_view reason)
 {
     if (m_failure)
         return;
     m_failure = error{error_kind::protocol,
-                      std::string{m_what} + ": " + std::string{name} + " " + std::string{why},
+                      std::string{m_what} + ": " + std::string{name} + " " + std::string{reason},
                       "compare the sender's version with the wire forms in docs/DESIGN.md"};
 }
 
@@ -132,7 +132,7 @@
     const boost::json::value* found = find(name);
     if (found == nullptr)
         return nullptr;
-    if (!found->is_array() || found->get_array().size() > most_list_items) {
+    if (!found->is_array() || found->get_array().size() > max_list_items) {
         fail(name, "is not a list, or too long");
         return nullptr;
     }
--- a/base/json_fields.h
+++ b/base/json_fields.h
@@ -65,18 +65,18 @@
     void require(std::string_view name);
     /// The enumerator that the member names.
     template <class Enum>
-    Enum name_of(std::string_view name, Enum missing)
+    Enum enumerator(std::string_view name, Enum default_value)
     {
-        const std::string written = text(name);
-        if (written.empty())
-            return missing;
-        const auto found = from_name<Enum>(written);
+        const std::string text_value = text(name);
+        if (text_value.empty())
+            return default_value;
+        const auto found = from_name<Enum>(text_value);
         if (!found)
             fail(name, "must be one of " + list_names<Enum>());
-        return found.value_or(missing);
+        return found.value_or(default_value);
     }
 
-    void fail(std::string_view name, std::string_view why);
+    void fail(std::string_view name, std::string_view reason);
     [[nodiscard]] const std::optional<error>& failure() const { return m_failure; }
 
 private:
--- a/base/log.cc
+++ b/base/log.cc
@@ -18,14 +18,14 @@
 
 namespace {
 
-constexpr std::size_t pipe_write = 4096;     // PIPE_BUF on Linux
-constexpr std::size_t flush_from = 8 * 1024; // held bytes that are worth a system call
-constexpr int last_wait_ms = 100;            // for a reader at the process's end
+constexpr std::size_t max_pipe_write = 4096;      // PIPE_BUF on Linux
+constexpr std::size_t flush_threshold = 8 * 1024; // held bytes that are worth a system call
+constexpr int exit_flush_timeout_ms = 100;        // for a reader at the process's end
 
 /// The one log of a process.
 class log_output {
 public:
-    void begin(std::string_view program, std::string_view instance)
+    void set_identity(std::string_view program, std::string_view instance)
     {
         const std::lock_guard lock{m_mutex};
         m_program = program;
@@ -35,12 +35,13 @@
     void add(log_level level, std::string_view kind, boost::json::object fields)
     {
         const std::lock_guard lock{m_mutex};
-        put(level, kind, std::move(fields));
-        if (!m_timed || level != log_level::info || m_lines.held() >= flush_from)
+        append(level, kind, std::move(fields));
+        if (!m_defer_routine || level != log_level::info ||
+            m_lines.buffered_bytes() >= flush_threshold)
             write_out(0);
     }
 
-    void flush_by_timer() { m_timed = true; }
+    void defer_routine_lines() { m_defer_routine = true; }
 
     void flush(int wait_ms)
     {
@@ -50,7 +51,7 @@
             boost::json::object counts;
             for (const auto& [kind, count] : dropped)
                 counts[kind] = count;
-            put(log_level::warning, "log_dropped", {{"lines", std::move(counts)}});
+            append(log_level::warning, "log_dropped", {{"lines", std::move(counts)}});
         }
         write_out(wait_ms);
     }
@@ -62,7 +63,7 @@
     }
 
 private:
-    void put(log_level level, std::string_view kind, boost::json::object fields)
+    void append(log_level level, std::string_view kind, boost::json::object fields)
     {
         boost::json::object entry;
         entry["ts_ms"] = wall_time_ms();
@@ -77,8 +78,8 @@
 
     void write_out(int wait_ms)
     {
-        for (std::string_view next = m_lines.front(pipe_write); !next.empty();
-             next = m_lines.front(pipe_write))
+        for (std::string_view next = m_lines.front(max_pipe_write); !next.empty();
+             next = m_lines.front(max_pipe_write))
         {
             pollfd out{STDOUT_FILENO, POLLOUT, 0};
             if (poll(&out, 1, wait_ms) <= 0 || (out.revents & POLLOUT) == 0)
@@ -94,7 +95,7 @@
     std::string m_program;
     std::string m_instance;
     log_buffer m_lines{log_limits{}};
-    bool m_timed = false;
+    bool m_defer_routine = false;
 };
 
 log_output& output()
@@ -135,7 +136,7 @@
     for (int severity = 0; severity < google::NUM_SEVERITIES; ++severity)
         google::SetLogDestination(severity, "");
     static json_sink sink;
-    output().begin(program, instance);
+    output().set_identity(program, instance);
     google::AddLogSink(&sink);
 }
 
@@ -147,9 +148,9 @@
     output().add(level, kind, std::move(entry));
 }
 
-void flush_log_by_timer()
+void defer_routine_log_lines()
 {
-    output().flush_by_timer();
+    output().defer_routine_lines();
 }
 
 void flush_log()
@@ -157,9 +158,9 @@
     output().flush(0);
 }
 
-void end_log()
+void flush_log_at_exit()
 {
-    output().flush(last_wait_ms);
+    output().flush(exit_flush_timeout_ms);
 }
 
 std::uint64_t log_lines_dropped()
--- a/base/log.h
+++ b/base/log.h
@@ -34,8 +34,8 @@
 struct log_field {
     /// Takes whatever Boost.JSON can convert: numbers, strings of either kind, names, lists.
     template <class T>
-    log_field(std::string_view called, const T& given)
-        : name{called}, value(boost::json::value_from(given))
+    log_field(std::string_view field_name, const T& field_value)
+        : name{field_name}, value(boost::json::value_from(field_value))
     {}
 
     std::string_view name;
@@ -50,11 +50,11 @@
 
 /// From now on routine lines wait for flush_log, which the process calls some times a second;
 /// warnings and errors still go out at once.
-void flush_log_by_timer();
+void defer_routine_log_lines();
 /// Writes out what standard output takes now, and a line that says what was dropped, by kind.
 void flush_log();
 /// The same at the process's end, where a slow reader is waited for a moment.
-void end_log();
+void flush_log_at_exit();
 std::uint64_t log_lines_dropped();
 
 } // namespace jaynotch
--- a/base/log_buffer.cc
+++ b/base/log_buffer.cc
@@ -10,38 +10,40 @@
     m_urgent.tokens = limits.urgent_bytes_s * limits.burst_s;
 }
 
-bool log_buffer::pay(lane& of, double rate, std::size_t bytes, time_point now) const
+bool log_buffer::consume_tokens(line_queue& queue, double rate, std::size_t bytes,
+                                time_point now) const
 {
-    if (of.filled != time_point{}) {
-        const double passed = std::chrono::duration<double>(now - of.filled).count();
-        of.tokens = std::min(rate * m_limits.burst_s, of.tokens + passed * rate);
+    if (queue.last_refill != time_point{}) {
+        const double passed = std::chrono::duration<double>(now - queue.last_refill).count();
+        queue.tokens = std::min(rate * m_limits.burst_s, queue.tokens + passed * rate);
     }
-    of.filled = now;
-    if (of.tokens < static_cast<double>(bytes))
+    queue.last_refill = now;
+    if (queue.tokens < static_cast<double>(bytes))
         return false;
-    of.tokens -= static_cast<double>(bytes);
+    queue.tokens -= static_cast<double>(bytes);
     return true;
 }
 
 bool log_buffer::add(log_level level, std::string_view kind, std::string line, time_point now)
 {
     const bool routine = level == log_level::info;
-    lane& into = routine ? m_routine : m_urgent;
+    line_queue& queue = routine ? m_routine : m_urgent;
     const std::size_t size = line.size();
-    const bool room = held() + size <= m_limits.held_bytes &&
-                      (!routine || m_routine.bytes + size <= m_limits.held_routine_bytes);
+    const bool has_room =
+        buffered_bytes() + size <= m_limits.max_buffered_bytes &&
+        (!routine || m_routine.bytes + size <= m_limits.max_buffered_routine_bytes);
     const double rate = routine ? m_limits.routine_bytes_s : m_limits.urgent_bytes_s;
-    if (!room || !pay(into, rate, size, now)) {
+    if (!has_room || !consume_tokens(queue, rate, size, now)) {
         ++m_dropped[std::string{kind}];
-        ++m_dropped_in_all;
+        ++m_dropped_total;
         return false;
     }
-    into.bytes += size;
-    into.lines.push_back(std::move(line));
+    queue.bytes += size;
+    queue.lines.push_back(std::move(line));
     return true;
 }
 
-std::string_view log_buffer::front(std::size_t most)
+std::string_view log_buffer::front(std::size_t max_bytes)
 {
     // A line that was begun is ended first, or it would be mixed with another.
     if (m_current == nullptr)
@@ -50,7 +52,7 @@
         m_current = nullptr;
         return {};
     }
-    return std::string_view{m_current->lines.front()}.substr(m_written, most);
+    return std::string_view{m_current->lines.front()}.substr(m_written, max_bytes);
 }
 
 void log_buffer::consume(std::size_t written)
--- a/base/log_buffer.h
+++ b/base/log_buffer.h
@@ -24,11 +24,11 @@
 /// What the log may take. A node that answers 40 requests a second writes about 40 KB/s of routine
 /// lines; a day of a busy fleet must not fill its operators' disks.
 struct log_limits {
-    std::size_t held_bytes = 256 * 1024;         ///< in all
-    std::size_t held_routine_bytes = 192 * 1024; ///< of these, routine lines
-    double routine_bytes_s = 96.0 * 1024;        ///< in the long run
-    double urgent_bytes_s = 96.0 * 1024;         ///< warnings and errors, besides
-    double burst_s = 4.0;                        ///< seconds of rate that may be saved up
+    std::size_t max_buffered_bytes = 256 * 1024;         ///< in all
+    std::size_t max_buffered_routine_bytes = 192 * 1024; ///< of these, routine lines
+    double routine_bytes_s = 96.0 * 1024;                ///< in the long run
+    double urgent_bytes_s = 96.0 * 1024;                 ///< warnings and errors, besides
+    double burst_s = 4.0;                                ///< seconds of rate that may be saved up
 };
 
 class log_buffer {
@@ -38,30 +38,30 @@
     /// Takes one line with its line end.
     bool add(log_level level, std::string_view kind, std::string line, time_point now);
     /// Bytes to write next, at most `most`; empty if there are none.
-    [[nodiscard]] std::string_view front(std::size_t most);
+    [[nodiscard]] std::string_view front(std::size_t max_bytes);
     void consume(std::size_t written);
-    [[nodiscard]] std::size_t held() const { return m_routine.bytes + m_urgent.bytes; }
+    [[nodiscard]] std::size_t buffered_bytes() const { return m_routine.bytes + m_urgent.bytes; }
     /// Lines dropped since the last call, by kind.
     std::map<std::string, std::uint64_t> take_dropped();
-    [[nodiscard]] std::uint64_t dropped() const { return m_dropped_in_all; }
+    [[nodiscard]] std::uint64_t dropped() const { return m_dropped_total; }
 
 private:
-    struct lane {
+    struct line_queue {
         std::deque<std::string> lines;
         std::size_t bytes = 0;
         double tokens = 0.0;
-        time_point filled;
+        time_point last_refill;
     };
 
-    bool pay(lane& of, double rate, std::size_t bytes, time_point now) const;
+    bool consume_tokens(line_queue& queue, double rate, std::size_t bytes, time_point now) const;
 
     log_limits m_limits;
-    lane m_routine;
-    lane m_urgent;
-    lane* m_current = nullptr; ///< whose first line is partly written
-    std::size_t m_written = 0; ///< of that line
+    line_queue m_routine;
+    line_queue m_urgent;
+    line_queue* m_current = nullptr; ///< whose first line is partly written
+    std::size_t m_written = 0;       ///< of that line
     std::map<std::string, std::uint64_t> m_dropped;
-    std::uint64_t m_dropped_in_all = 0;
+    std::uint64_t m_dropped_total = 0;
 };
 
 } // namespace jaynotch
--- a/base/log_test.cc
+++ b/base/log_test.cc
@@ -26,7 +26,7 @@
 
 } // namespace
 
-Test(log_buffer, what_is_urgent_goes_out_first)
+Test(log_buffer, urgent_lines_are_written_first)
 {
     log_buffer lines{{}};
     lines.add(log_level::info, "a", line('a'), start);
@@ -36,7 +36,7 @@
 }
 
 // A line that is partly out is ended before any other, however urgent: two lines mixed are none.
-Test(log_buffer, a_line_that_was_begun_is_ended_first)
+Test(log_buffer, a_partly_written_line_is_completed_first)
 {
     log_buffer lines{{}};
     lines.add(log_level::info, "a", line('a'), start);
@@ -49,13 +49,13 @@
 // what it dropped.
 Test(log_buffer, an_unread_log_stays_within_its_bounds)
 {
-    log_buffer lines{{.held_bytes = 1'000, .held_routine_bytes = 700}};
+    log_buffer lines{{.max_buffered_bytes = 1'000, .max_buffered_routine_bytes = 700}};
     for (int index = 0; index < 50; ++index)
         lines.add(log_level::info, "routine", line('a'), start);
-    cr_assert_eq(lines.held(), 700U);
+    cr_assert_eq(lines.buffered_bytes(), 700U);
     for (int index = 0; index < 50; ++index)
         lines.add(log_level::error, "urgent", line('b'), start);
-    cr_assert_eq(lines.held(), 1'000U);
+    cr_assert_eq(lines.buffered_bytes(), 1'000U);
     const auto dropped = lines.take_dropped();
     cr_assert_eq(dropped.at("routine"), 43U);
     cr_assert_eq(dropped.at("urgent"), 47U);
@@ -63,7 +63,7 @@
     cr_assert_eq(lines.dropped(), 90U);
 }
 
-Test(log_buffer, a_flood_of_routine_lines_is_held_to_its_rate)
+Test(log_buffer, routine_lines_are_rate_limited)
 {
     log_buffer lines{{.routine_bytes_s = 1'000.0, .burst_s = 2.0}};
     std::size_t taken = 0;
--- a/base/mechanisms.h
+++ b/base/mechanisms.h
@@ -1,7 +1,7 @@
 // Mechanisms of the decision cores that can be switched off, to measure what each is worth or when
 // an operator suspects one of doing harm. All are on unless a setting says otherwise.
 //
-//   BOOST_OUTCOME_TRY(const mechanism_set on, mechanism_set::all_but({"newest_first"}));
+//   BOOST_OUTCOME_TRY(const mechanism_set on, mechanism_set::all_except({"newest_first"}));
 //   if (on.has(mechanism::warm_spares)) ...
 //
 // Not listed is what keeps a promise: completeness, fencing, leases, claims, drains, budgets.
@@ -66,27 +66,27 @@
 class mechanism_set {
 public:
     /// An unknown name is an error that lists the known ones.
-    static result<mechanism_set> all_but(const std::vector<std::string>& names)
+    static result<mechanism_set> all_except(const std::vector<std::string>& names)
     {
-        mechanism_set made;
+        mechanism_set mechanisms;
         for (const std::string& name : names) {
-            const std::optional<mechanism> off = from_name<mechanism>(name);
-            if (!off)
+            const std::optional<mechanism> disabled = from_name<mechanism>(name);
+            if (!disabled)
                 return error{error_kind::invalid_argument,
                              "no mechanism is called \"" + name + "\"",
                              "write some of " + list_names<mechanism>()};
-            made.m_off.set(static_cast<std::size_t>(*off));
+            mechanisms.m_disabled.set(static_cast<std::size_t>(*disabled));
         }
-        return made;
+        return mechanisms;
     }
 
     [[nodiscard]] bool has(mechanism one) const
     {
-        return !m_off.test(static_cast<std::size_t>(one));
+        return !m_disabled.test(static_cast<std::size_t>(one));
     }
 
     /// "a, b" of those that are off; empty if all are on.
-    [[nodiscard]] std::string off_names() const
+    [[nodiscard]] std::string disabled_names() const
     {
         std::string joined;
         for (const auto& entry : enum_names<mechanism>::entries) {
@@ -97,7 +97,7 @@
     }
 
 private:
-    std::bitset<enum_names<mechanism>::entries.size()> m_off;
+    std::bitset<enum_names<mechanism>::entries.size()> m_disabled;
 };
 
 } // namespace jaynotch
--- a/config/accept.cc
+++ b/config/accept.cc
@@ -132,7 +132,7 @@
     head_record alone = plan.next;
     alone.history.resize(1);
 
-    const std::vector<std::string> standing_pages = pages_of(seen.head.manifest);
+    const std::vector<std::string> standing_pages = referenced_digests(seen.head.manifest);
     std::vector<kv_operation> puts;
     for (const table_page& page : paged.pages) {
         if (!std::binary_search(standing_pages.begin(), standing_pages.end(), page.digest))
--- a/config/collect.cc
+++ b/config/collect.cc
@@ -40,7 +40,7 @@
 {
     needed out;
     const auto keep_pages = [&](const page_manifest& manifest) {
-        for (const std::string& digest : pages_of(manifest))
+        for (const std::string& digest : referenced_digests(manifest))
             out.keys.insert(keys.page(digest));
     };
     keep_pages(head.manifest);
--- a/config/spread.cc
+++ b/config/spread.cc
@@ -388,7 +388,7 @@
     std::map<std::string, std::string> had;
     if (m_fetch)
         had = std::move(m_fetch->got);
-    for (const std::string& digest : pages_of(head.manifest)) {
+    for (const std::string& digest : referenced_digests(head.manifest)) {
         const auto got = had.find(digest);
         if (got != had.end())
             next.got.insert(*got);
@@ -440,7 +440,7 @@
     m_fetch.reset();
     std::map<std::string, std::string> pages = std::move(done.got);
     std::vector<table_page> parts;
-    remembered past{done.head, pages_of(done.head.manifest)};
+    remembered past{done.head, referenced_digests(done.head.manifest)};
     past.head.history.resize(1);
     for (const std::string& digest : past.digests) {
         const auto kept = m_pages.find(digest);
--- a/config/spread_test.cc
+++ b/config/spread_test.cc
@@ -213,7 +213,7 @@
     const time_point now{seconds{5}};
     (void)core.tick(now);
     config_reply reply{head.revision(), render_head(head), {}, {}};
-    for (const std::string& digest : pages_of(head.manifest))
+    for (const std::string& digest : referenced_digests(head.manifest))
         reply.pages.push_back({digest, "[]"});
     (void)core.peer_spoke(now, {node_id{"y"}, config_digest{head.revision(), false}});
     (void)core.peer_spoke(now, {node_id{"y"}, reply});
@@ -295,7 +295,7 @@
         }
         cr_assert_gt(planned, 0U, "nothing to collect: the test would prove nothing");
         const head_record head = parse_head(store.find(keys.head())->value).value();
-        for (const std::string& digest : pages_of(head.manifest))
+        for (const std::string& digest : referenced_digests(head.manifest))
             cr_assert(store.find(keys.page(digest)) != nullptr, "order %s", order.c_str());
         for (const history_entry& kept : head.history)
             cr_assert(store.find(keys.revision(kept.revision)) != nullptr);
--- a/config/store.cc
+++ b/config/store.cc
@@ -67,7 +67,7 @@
 {
     std::vector<table_page> pages;
     std::vector<std::string> missing;
-    for (const std::string& digest : pages_of(head.manifest)) {
+    for (const std::string& digest : referenced_digests(head.manifest)) {
         const auto held = known.find(digest);
         if (held != known.end())
             pages.push_back({digest, held->second});
--- a/daemon/flags.cc
+++ b/daemon/flags.cc
@@ -170,7 +170,7 @@
                         absl::GetFlag(FLAGS_admin_authority)};
     chosen.trace_file = absl::GetFlag(FLAGS_trace_file);
     chosen.seed = absl::GetFlag(FLAGS_seed);
-    BOOST_OUTCOME_TRY(chosen.mechanisms, mechanism_set::all_but(absl::GetFlag(FLAGS_without)));
+    BOOST_OUTCOME_TRY(chosen.mechanisms, mechanism_set::all_except(absl::GetFlag(FLAGS_without)));
     chosen.timeouts = timeouts_from_flags();
     chosen.limits = limits_from_flags();
     const std::string site_file = absl::GetFlag(FLAGS_settings);
--- a/daemon/forward_front.cc
+++ b/daemon/forward_front.cc
@@ -68,21 +68,21 @@
         co_return error{error_kind::overloaded, "this node holds as many requests as it may",
                         "come back later, or raise --max_requests"};
     asked.body = std::move(body).value();
-    result<call_facts> facts = platform::read_call(exchange.request());
-    if (!facts)
-        co_return facts.error();
+    result<call_metadata> metadata = platform::read_call(exchange.request());
+    if (!metadata)
+        co_return metadata.error();
     request_info& info = asked.info;
     info.kind = request_kind::plain;
     info.method = std::string{exchange.request().method_string()};
     info.path = std::string{exchange.path()};
     info.host = host_of(exchange.header("Host"));
-    info.model = facts.value().model;
-    info.credential = facts.value().credential;
-    info.prompt_tokens = facts.value().prompt_tokens;
-    info.answer_tokens = facts.value().answer_tokens;
-    if (facts.value().patience)
-        info.deadline = asked.arrived + *facts.value().patience;
-    asked.facts = std::move(facts).value();
+    info.model = metadata.value().model;
+    info.credential = metadata.value().credential;
+    info.prompt_tokens = metadata.value().prompt_tokens;
+    info.answer_tokens = metadata.value().answer_tokens;
+    if (metadata.value().caller_timeout)
+        info.deadline = asked.arrived + *metadata.value().caller_timeout;
+    asked.metadata = std::move(metadata).value();
     co_return success();
 }
 
--- a/daemon/jaynotchd_main.cc
+++ b/daemon/jaynotchd_main.cc
@@ -64,9 +64,9 @@
     running->on_superseded(end);
     running->start();
     if (settings.form == source_form::registry)
-        flush_log_by_timer(); // it flushes several times a second
+        defer_routine_log_lines(); // it flushes several times a second
     io.run();
-    end_log();
+    flush_log_at_exit();
     return 0;
 }
 
--- a/daemon/registry_daemon.cc
+++ b/daemon/registry_daemon.cc
@@ -117,7 +117,7 @@
         log_event(log_level::info, "daemon_started",
                   {{"listen", settings.listen},
                    {"first_start", settings.first_start},
-                   {"without", settings.mechanisms.off_names()}});
+                   {"without", settings.mechanisms.disabled_names()}});
     }
 
     net::awaitable<void> stop()
--- a/daemon/registry_feed.cc
+++ b/daemon/registry_feed.cc
@@ -36,16 +36,16 @@
 constexpr duration push_interval = std::chrono::milliseconds{400};
 /// Each call costs the store the same whatever it brings, so changes gather, for a time that is
 /// short beside the time in which one must be in force.
-constexpr watch_pace first_pace{.gather = std::chrono::milliseconds{120}};
+constexpr watch_pace first_pace{.batch_delay = std::chrono::milliseconds{120}};
 /// While a watcher that ranks before is fresh, the next one only has to be ready to take over.
-constexpr watch_pace second_pace{.gather = std::chrono::milliseconds{500}};
+constexpr watch_pace second_pace{.batch_delay = std::chrono::milliseconds{500}};
 /// Of a watcher that only informs itself.
-constexpr watch_pace own_pace{.gather = std::chrono::milliseconds{100}};
+constexpr watch_pace own_pace{.batch_delay = std::chrono::milliseconds{100}};
 /// While a large fleet starts, no node knows yet who else is there to follow, and all entries
 /// change.
-constexpr watch_pace start_pace{.gather = std::chrono::milliseconds{100},
-                                .gather_a_change = std::chrono::milliseconds{10},
-                                .most_gather = std::chrono::milliseconds{800}};
+constexpr watch_pace start_pace{.batch_delay = std::chrono::milliseconds{100},
+                                .batch_delay_per_change = std::chrono::milliseconds{10},
+                                .max_batch_delay = std::chrono::milliseconds{800}};
 constexpr duration start_span = std::chrono::seconds{6};
 /// After this long without watching, reading everything costs less than what has changed since.
 constexpr duration longest_gap = std::chrono::seconds{3};
--- a/daemon/relay.cc
+++ b/daemon/relay.cc
@@ -47,8 +47,9 @@
 
 relay_request::way::way(relay_services& services, http_exchange& exchange, asked_request asked)
     : m_services{services}, m_exchange{exchange}, m_asked{std::move(asked)},
-      m_attempt_ended{services.io, time_point::max()}, m_log{m_asked.facts ? m_asked.facts->attempt
-                                                                           : std::string{},
+      m_attempt_ended{services.io, time_point::max()}, m_log{m_asked.metadata
+                                                                 ? m_asked.metadata->attempt
+                                                                 : std::string{},
                                                              m_asked.arrived}
 {}
 
@@ -63,10 +64,10 @@
         driver.handle(caller_gone{id});
     };
     m_admission = m_services.spans.begin("admission", span_kind::internal, m_asked.caller.context);
-    if (m_asked.facts)
-        m_log.admitted(m_asked.info, *m_asked.facts);
+    if (m_asked.metadata)
+        m_log.admitted(m_asked.info, *m_asked.metadata);
     m_services.driver.handle(request_arrived{m_asked.info});
-    m_exchange.watch_caller(gone, m_asked.model.has_value() || m_asked.facts.has_value());
+    m_exchange.watch_caller(gone, m_asked.model.has_value() || m_asked.metadata.has_value());
     bool done = false;
     while (!done) {
         const command wanted = co_await m_inbox->next();
@@ -119,7 +120,7 @@
         attempt.stream->cancel();
     else
         attempt.stop.emit(net::cancellation_type::terminal);
-    if (attempt.sent && attempt.order.kind == pool_kind::model && !m_asked.facts)
+    if (attempt.sent && attempt.order.kind == pool_kind::model && !m_asked.metadata)
         net::co_spawn(m_services.io,
                       cancel_at_engine(m_services.io.get_executor(), attempt.order.address,
                                        attempt.order.attempt),
@@ -179,7 +180,7 @@
             fine = co_await m_exchange.write(m_held->body);
         }
     }
-    else if (m_streaming_events && !m_asked.facts) {
+    else if (m_streaming_events && !m_asked.metadata) {
         fine = co_await m_exchange.write(done_event);
     }
     if (fine) {
@@ -217,7 +218,7 @@
         m_exchange.abort();
     }
     else {
-        if (m_streaming_events && !m_asked.facts) {
+        if (m_streaming_events && !m_asked.metadata) {
             const refusal shown{.failure = wanted.failure, .ran = ran_state::unknown};
             const std::string last = error_event(refusal_body(shown));
             co_await m_exchange.write(last);
@@ -230,7 +231,7 @@
 net::awaitable<void> relay_request::way::forget_caller()
 {
     m_log.abandoned(m_sent, m_events);
-    if (!m_asked.facts && !m_exchange.begun() && m_exchange.half_closed() && !m_writing) {
+    if (!m_asked.metadata && !m_exchange.begun() && m_exchange.half_closed() && !m_writing) {
         const refusal shown{.failure = {error_kind::cancelled,
                                         "the connection's sending half was closed before the "
                                         "answer came, which counts as giving up",
--- a/daemon/relay.h
+++ b/daemon/relay.h
@@ -49,7 +49,7 @@
     request_info info;                  ///< its id is filled in by the relay
     std::optional<model_request> model; ///< chat and completion
     /// Set if the request is passed on as it came, with what its headers say.
-    std::optional<call_facts> facts;
+    std::optional<call_metadata> metadata;
     std::string body;         ///< as received; plain, if it was kept
     bool stream_body = false; ///< plain: the body is still to be read
     span caller;              ///< the caller's hop
--- a/daemon/relay_attempt.cc
+++ b/daemon/relay_attempt.cc
@@ -141,7 +141,7 @@
 
 net::awaitable<void> relay_request::way::send(attempt_state& attempt)
 {
-    if (m_asked.facts) {
+    if (m_asked.metadata) {
         co_await forward(attempt);
         co_return;
     }
--- a/daemon/relay_forward.cc
+++ b/daemon/relay_forward.cc
@@ -36,7 +36,7 @@
 refusal relay_request::way::shown_to_caller(const refuse& wanted) const
 {
     refusal shown{.failure = wanted.failure, .ran = wanted.ran, .retry_after = wanted.retry_after};
-    if (!m_asked.facts)
+    if (!m_asked.metadata)
         return shown;
     shown.fractions = true;
     // 503 and 429 promise that the request never ran, whatever else the answer says.
@@ -53,13 +53,13 @@
 http_request relay_request::way::build_forwarded_request(const attempt_state& attempt) const
 {
     const auto& received = m_exchange.request();
-    const auto left = std::chrono::duration_cast<std::chrono::milliseconds>(attempt.order.deadline -
-                                                                            runtime_clock::now());
-    call_dress told;
-    told.left = std::max(left, std::chrono::milliseconds{1});
+    const auto time_left = std::chrono::duration_cast<std::chrono::milliseconds>(
+        attempt.order.deadline - runtime_clock::now());
+    forwarded_metadata told;
+    told.time_left = std::max(time_left, std::chrono::milliseconds{1});
     told.instance = attempt.order.instance;
     told.workspace = attempt.order.workspace;
-    told.after_event = m_last_event ? m_last_event : m_asked.facts->after_event;
+    told.after_event = m_last_event ? m_last_event : m_asked.metadata->after_event;
     http_request request;
     request.method = received.method();
     request.target = std::string{received.target()};
@@ -79,9 +79,9 @@
         co_return;
     http_stream& answer = *opened;
     attempt.stream = &answer;
-    answer_facts facts = platform::read_answer(answer.status(), answer.headers());
+    answer_metadata metadata = platform::read_answer(answer.status(), answer.headers());
     for (std::size_t skipped = 0;
-         !facts.attempt.empty() && facts.attempt != m_asked.facts->attempt &&
+         !metadata.attempt.empty() && metadata.attempt != m_asked.metadata->attempt &&
          skipped < most_foreign_answers;
          ++skipped)
     {
@@ -93,58 +93,59 @@
             report_failure(attempt, attempt_failure::wrong_attempt);
             co_return;
         }
-        facts = platform::read_answer(answer.status(), answer.headers());
+        metadata = platform::read_answer(answer.status(), answer.headers());
     }
-    if (facts.idle_limit)
-        answer.set_idle_limit(*facts.idle_limit - idle_margin);
-    if (facts.running && !facts.did_not_run)
+    if (metadata.idle_limit)
+        answer.set_idle_limit(*metadata.idle_limit - idle_margin);
+    if (metadata.running && !metadata.did_not_run)
         m_services.driver.handle(
-            load_seen{attempt.order.target, {*facts.running, facts.waiting, 0.0}, {}});
-    note_limit(attempt, facts);
-    const bool unmarked = is_success(answer.status()) && !facts.sealed;
+            load_seen{attempt.order.target, {*metadata.running, metadata.waiting, 0.0}, {}});
+    note_limit(attempt, metadata);
+    const bool unmarked = is_success(answer.status()) && !metadata.sealed;
     if (unmarked || !answer.header("Content-Encoding").empty()) {
         report_failure(attempt, attempt_failure::protocol);
     }
     else if (answer.status() == http::status::ok &&
              answer.header("Content-Type").starts_with(event_stream))
     {
-        co_await forward_events(attempt, answer, facts);
+        co_await forward_events(attempt, answer, metadata);
     }
     else {
-        co_await forward_whole(attempt, answer, facts);
+        co_await forward_whole(attempt, answer, metadata);
     }
     attempt.stream = nullptr;
 }
 
 /// Of every answer, whatever its status: what the server says of the requests that it takes.
-void relay_request::way::note_limit(const attempt_state& attempt, const answer_facts& facts)
+void relay_request::way::note_limit(const attempt_state& attempt, const answer_metadata& metadata)
 {
-    if (facts.wrong_instance)
+    if (metadata.wrong_instance)
         return; // another server's word
-    if (!facts.unreadable_limit.empty()) {
-        log_event(log_level::warning, "server_limit_unreadable",
-                  {{"server", attempt.order.instance.value()}, {"text", facts.unreadable_limit}});
+    if (!metadata.unreadable_limit.empty()) {
+        log_event(
+            log_level::warning, "server_limit_unreadable",
+            {{"server", attempt.order.instance.value()}, {"text", metadata.unreadable_limit}});
         return;
     }
-    m_services.driver.handle(limit_answered{attempt.order.target, facts.rate_limit});
+    m_services.driver.handle(limit_answered{attempt.order.target, metadata.rate_limit});
 }
 
 bool relay_request::way::report_forwarded_head(attempt_state& attempt, const http_stream& answer,
-                                               const answer_facts& facts, answer_shape shape)
+                                               const answer_metadata& metadata, answer_shape shape)
 {
     attempt_head head = head_of(attempt, answer, shape);
-    head.says_did_not_run = facts.did_not_run;
-    head.wrong_instance = facts.wrong_instance;
-    if (!facts.attempt.empty() && facts.attempt != m_asked.facts->attempt)
+    head.says_did_not_run = metadata.did_not_run;
+    head.wrong_instance = metadata.wrong_instance;
+    if (!metadata.attempt.empty() && metadata.attempt != m_asked.metadata->attempt)
         head.echoed = attempt_id{0}; // names none of ours
     return report_head(attempt, head);
 }
 
 net::awaitable<bool> relay_request::way::begin_forwarded(attempt_state& attempt,
                                                          const http_stream& answer,
-                                                         const answer_facts& facts)
+                                                         const answer_metadata& metadata)
 {
-    if (!report_forwarded_head(attempt, answer, facts, answer_shape::parts))
+    if (!report_forwarded_head(attempt, answer, metadata, answer_shape::parts))
         co_return false;
     if (m_streaming_events)
         co_return true; // goes on under the head of the first server
@@ -154,7 +155,7 @@
 }
 
 net::awaitable<void> relay_request::way::forward_events(attempt_state& attempt, http_stream& answer,
-                                                        const answer_facts& facts)
+                                                        const answer_metadata& metadata)
 {
     sse_splitter events{longest_event};
     bool begun = false;
@@ -192,7 +193,7 @@
         if (count == 0)
             continue;
         if (!begun) {
-            begun = co_await begin_forwarded(attempt, answer, facts);
+            begun = co_await begin_forwarded(attempt, answer, metadata);
             if (!begun)
                 co_return;
         }
@@ -205,7 +206,7 @@
 }
 
 net::awaitable<void> relay_request::way::forward_whole(attempt_state& attempt, http_stream& answer,
-                                                       const answer_facts& facts)
+                                                       const answer_metadata& metadata)
 {
     std::optional<std::string> body =
         co_await read_whole(attempt, answer, m_services.settings.limits.answer_bytes);
@@ -217,7 +218,7 @@
         report_failure(attempt, attempt_failure::protocol);
         co_return;
     }
-    if (!report_forwarded_head(attempt, answer, facts, answer_shape::whole))
+    if (!report_forwarded_head(attempt, answer, metadata, answer_shape::whole))
         co_return;
     m_held = held_answer{answer.status(), platform::forwarded(answer.headers()), std::move(*body)};
     report_finished(attempt);
--- a/daemon/relay_way.h
+++ b/daemon/relay_way.h
@@ -102,15 +102,15 @@
     // relay_forward.cc
     net::awaitable<void> forward(attempt_state& attempt);
     http_request build_forwarded_request(const attempt_state& attempt) const;
-    void note_limit(const attempt_state& attempt, const answer_facts& facts);
+    void note_limit(const attempt_state& attempt, const answer_metadata& metadata);
     bool report_forwarded_head(attempt_state& attempt, const http_stream& answer,
-                               const answer_facts& facts, answer_shape shape);
+                               const answer_metadata& metadata, answer_shape shape);
     net::awaitable<void> forward_events(attempt_state& attempt, http_stream& answer,
-                                        const answer_facts& facts);
+                                        const answer_metadata& metadata);
     net::awaitable<void> forward_whole(attempt_state& attempt, http_stream& answer,
-                                       const answer_facts& facts);
+                                       const answer_metadata& metadata);
     net::awaitable<bool> begin_forwarded(attempt_state& attempt, const http_stream& answer,
-                                         const answer_facts& facts);
+                                         const answer_metadata& metadata);
     [[nodiscard]] refusal shown_to_caller(const refuse& wanted) const;
     [[nodiscard]] bool keyed() const { return !m_asked.info.idempotency_key.empty(); }
 
--- a/daemon/request_log.cc
+++ b/daemon/request_log.cc
@@ -25,7 +25,7 @@
     return to_ms(runtime_clock::now() - m_arrived);
 }
 
-void request_log::admitted(const request_info& info, const call_facts& facts) const
+void request_log::admitted(const request_info& info, const call_metadata& metadata) const
 {
     if (m_request.empty())
         return;
@@ -36,8 +36,8 @@
                {"path", info.path},
                {"model", info.model},
                {"prompt_tokens", info.prompt_tokens},
-               {"patience_ms", facts.patience ? facts.patience->count() : -1},
-               {"after_event", facts.after_event.value_or(0)}});
+               {"patience_ms", metadata.caller_timeout ? metadata.caller_timeout->count() : -1},
+               {"after_event", metadata.after_event.value_or(0)}});
 }
 
 void request_log::sent(const send_attempt& order) const
--- a/daemon/request_log.h
+++ b/daemon/request_log.h
@@ -20,7 +20,7 @@
     /// Writes nothing for requests without a name.
     request_log(std::string request, time_point arrived);
 
-    void admitted(const request_info& info, const call_facts& facts) const;
+    void admitted(const request_info& info, const call_metadata& metadata) const;
     void sent(const send_attempt& order) const;
     void attempt_ended(const send_attempt& order, std::string_view reason, bool sent) const;
     /// The node gave the sending up.
--- a/groups/fake_runner.cc
+++ b/groups/fake_runner.cc
@@ -103,7 +103,7 @@
 {
     if (order.epoch < at.epoch)
         return order_reply::outdated;
-    if (order.orders_before && *order.orders_before != at.begun_orders)
+    if (order.expected_order_count && *order.expected_order_count != at.begun_orders)
         return order_reply::misfit;
     const bool same =
         at.row.group && at.row.group->group == order.group && at.row.group->epoch == order.epoch;
--- a/groups/formation_orders_test.cc
+++ b/groups/formation_orders_test.cc
@@ -151,7 +151,7 @@
     manager.form();
     const join_group* join = manager.join_of("r-1");
     cr_assert_not_null(join);
-    cr_assert(join->orders_before == 4);
+    cr_assert(join->expected_order_count == 4);
 }
 
 // Guards against a join that is ordered, until it is answered, to a runner that has turned up in a
@@ -183,7 +183,7 @@
     manager.pass(1s);
     const join_group* join = manager.join_of("r-1");
     cr_assert_not_null(join);
-    cr_assert(join->orders_before == 3);
+    cr_assert(join->expected_order_count == 3);
 }
 
 // Guards against a report from before a join that arrives after the lease has ended: its runner
--- a/outside/kv_store.cc
+++ b/outside/kv_store.cc
@@ -22,7 +22,7 @@
     return matching;
 }
 
-bool kv_store::holds(const std::vector<kv_compare>& compares) const
+bool kv_store::compares_match(const std::vector<kv_compare>& compares) const
 {
     return std::all_of(compares.begin(), compares.end(), [&](const kv_compare& compare) {
         const kv_entry* entry = find(compare.key);
@@ -41,21 +41,21 @@
 result<kv_outcome> kv_store::transact(const kv_transaction& transaction)
 {
     kv_outcome outcome;
-    outcome.succeeded = holds(transaction.compares);
+    outcome.succeeded = compares_match(transaction.compares);
     const auto& operations = outcome.succeeded ? transaction.then : transaction.otherwise;
     if (!leases_exist(operations))
         return error{error_kind::not_found, "requested lease not found", "grant a new lease"};
     const bool writes = std::any_of(operations.begin(), operations.end(), [&](const auto& op) {
-        const auto* gone = std::get_if<kv_delete>(&op);
-        return std::holds_alternative<kv_put>(op) || (gone != nullptr && find(gone->key));
+        const auto* deletion = std::get_if<kv_delete>(&op);
+        return std::holds_alternative<kv_put>(op) || (deletion != nullptr && find(deletion->key));
     });
     if (writes)
         ++m_revision;
     for (const auto& operation : operations) {
         if (const auto* write = std::get_if<kv_put>(&operation))
             put(*write);
-        else if (const auto* gone = std::get_if<kv_delete>(&operation))
-            erase(gone->key);
+        else if (const auto* deletion = std::get_if<kv_delete>(&operation))
+            erase(deletion->key);
         else if (const kv_entry* entry = find(std::get<kv_get>(operation).key))
             outcome.entries.push_back(*entry);
     }
@@ -92,7 +92,7 @@
 {
     m_history.push_back(std::move(event));
     while (m_history.size() > history_limit) {
-        m_forgotten = m_history.front().entry.mod_revision;
+        m_compacted_revision = m_history.front().entry.mod_revision;
         m_history.pop_front();
     }
 }
@@ -109,7 +109,7 @@
     const auto found = m_leases.find(lease);
     if (found == m_leases.end())
         return std::nullopt;
-    found->second.ends = now + found->second.ttl;
+    found->second.expires_at = now + found->second.ttl;
     return found->second.ttl;
 }
 
@@ -117,42 +117,42 @@
 {
     if (m_leases.erase(lease) == 0)
         return false;
-    std::vector<std::string> held;
+    std::vector<std::string> keys;
     for (const auto& [key, entry] : m_entries) {
         if (entry.lease == lease)
-            held.push_back(key);
+            keys.push_back(key);
     }
-    if (!held.empty())
+    if (!keys.empty())
         ++m_revision;
-    for (const auto& key : held)
+    for (const auto& key : keys)
         erase(key);
     return true;
 }
 
 void kv_store::expire(time_point now)
 {
-    std::vector<lease_id> lapsed;
-    for (const auto& [id, row] : m_leases) {
-        if (row.ends <= now)
-            lapsed.push_back(id);
+    std::vector<lease_id> expired;
+    for (const auto& [id, state] : m_leases) {
+        if (state.expires_at <= now)
+            expired.push_back(id);
     }
-    for (const lease_id id : lapsed)
+    for (const lease_id id : expired)
         revoke(id);
 }
 
 std::optional<time_point> kv_store::next_expiry() const
 {
     std::optional<time_point> next;
-    for (const auto& [id, row] : m_leases) {
-        if (!next || row.ends < *next)
-            next = row.ends;
+    for (const auto& [id, state] : m_leases) {
+        if (!next || state.expires_at < *next)
+            next = state.expires_at;
     }
     return next;
 }
 
 result<std::vector<kv_event>> kv_store::changes(std::string_view prefix, std::int64_t from) const
 {
-    if (from <= m_forgotten)
+    if (from <= m_compacted_revision)
         return error{error_kind::not_found, "required revision has been compacted",
                      "read the prefix and watch from its revision + 1"};
     const auto first = std::lower_bound(m_history.begin(), m_history.end(), from,
--- a/outside/kv_store.h
+++ b/outside/kv_store.h
@@ -43,22 +43,22 @@
                                                         std::int64_t from) const;
 
 private:
-    struct lease_row {
+    struct lease_state {
         duration ttl{0};
-        time_point ends;
+        time_point expires_at;
     };
 
-    [[nodiscard]] bool holds(const std::vector<kv_compare>& compares) const;
+    [[nodiscard]] bool compares_match(const std::vector<kv_compare>& compares) const;
     [[nodiscard]] bool leases_exist(const std::vector<kv_operation>& operations) const;
     void put(const kv_put& operation);
     void erase(const std::string& key);
     void record(kv_event event);
 
     std::map<std::string, kv_entry, std::less<>> m_entries;
-    std::map<lease_id, lease_row> m_leases;
+    std::map<lease_id, lease_state> m_leases;
     std::deque<kv_event> m_history;
     std::int64_t m_revision = 1;
-    std::int64_t m_forgotten = 0; ///< highest revision that has left the history
+    std::int64_t m_compacted_revision = 0; ///< highest revision that has left the history
     std::int64_t m_last_lease = 1000;
 };
 
--- a/outside/kv_watch.cc
+++ b/outside/kv_watch.cc
@@ -11,7 +11,7 @@
 
 namespace {
 
-constexpr std::size_t most_queued_events = 10'000;
+constexpr std::size_t max_queued_events = 10'000;
 
 } // namespace
 
@@ -19,10 +19,10 @@
 
 void kv_watch_queue::push(kv_watch_batch batch)
 {
-    if (m_end)
+    if (m_close_reason)
         return;
     m_events += batch.events.size();
-    if (m_events > most_queued_events) {
+    if (m_events > max_queued_events) {
         close({error_kind::too_large, "the watch's reader lags too far behind",
                "read the prefix and watch from its revision + 1"});
         return;
@@ -33,20 +33,20 @@
 
 void kv_watch_queue::close(error reason)
 {
-    if (!m_end)
-        m_end = std::move(reason);
+    if (!m_close_reason)
+        m_close_reason = std::move(reason);
     m_wake.cancel();
 }
 
-awaitable<result<kv_watch_batch>> kv_watch_queue::next(duration longest_wait)
+awaitable<result<kv_watch_batch>> kv_watch_queue::next(duration timeout)
 {
-    const time_point ends = runtime_clock::now() + longest_wait;
+    const time_point deadline = runtime_clock::now() + timeout;
     while (m_batches.empty()) {
-        if (m_end)
-            co_return *m_end;
-        if (runtime_clock::now() >= ends)
+        if (m_close_reason)
+            co_return *m_close_reason;
+        if (runtime_clock::now() >= deadline)
             co_return kv_watch_batch{};
-        m_wake.expires_at(ends);
+        m_wake.expires_at(deadline);
         boost::system::error_code ignored;
         co_await m_wake.async_wait(
             boost::asio::redirect_error(boost::asio::use_awaitable, ignored));
@@ -61,10 +61,10 @@
     : m_queue{std::move(queue)}, m_source{std::move(source)}
 {}
 
-awaitable<result<kv_watch_batch>> kv_watch::next(duration longest_wait)
+awaitable<result<kv_watch_batch>> kv_watch::next(duration timeout)
 {
     const auto queue = m_queue;
-    co_return co_await queue->next(longest_wait);
+    co_return co_await queue->next(timeout);
 }
 
 } // namespace jaynotch
--- a/outside/kv_watch.h
+++ b/outside/kv_watch.h
@@ -51,14 +51,14 @@
     explicit kv_watch_queue(const boost::asio::any_io_executor& executor);
     void push(kv_watch_batch batch);
     void close(error reason);
-    [[nodiscard]] bool closed() const { return m_end.has_value(); }
-    awaitable<result<kv_watch_batch>> next(duration longest_wait);
+    [[nodiscard]] bool closed() const { return m_close_reason.has_value(); }
+    awaitable<result<kv_watch_batch>> next(duration timeout);
 
 private:
     timer m_wake;
     std::deque<kv_watch_batch> m_batches;
     std::size_t m_events = 0;
-    std::optional<error> m_end;
+    std::optional<error> m_close_reason;
 };
 
 /// How often a watch that is made of waiting calls calls. Takes effect with the next call.
@@ -66,16 +66,17 @@
     /// One call waits for a change for this long. A connection that went silent is noticed only
     /// after it and `slack`, so both together must be shorter than a change may take.
     std::chrono::milliseconds wait{1'000};
-    std::chrono::milliseconds slack{800}; ///< after `wait`, for the answer to arrive
+    std::chrono::milliseconds response_margin{800}; ///< after `wait`, for the answer to arrive
     /// Between a call that brought changes and the next, so that changes come in batches.
-    duration gather = std::chrono::milliseconds{40};
-    duration gather_a_change{0}; ///< longer by this for each change that the call brought, ...
-    duration most_gather{0};     ///< ... up to this
+    duration batch_delay = std::chrono::milliseconds{40};
+    duration batch_delay_per_change{
+        0};                      ///< longer by this for each change that the call brought, ...
+    duration max_batch_delay{0}; ///< ... up to this
 
     [[nodiscard]] duration pause_after(std::size_t changes) const
     {
-        const duration longer = static_cast<duration::rep>(changes) * gather_a_change;
-        return std::max(gather, std::min(gather + longer, most_gather));
+        const duration longer = static_cast<duration::rep>(changes) * batch_delay_per_change;
+        return std::max(batch_delay, std::min(batch_delay + longer, max_batch_delay));
     }
 };
 
@@ -89,9 +90,9 @@
 class kv_watch {
 public:
     kv_watch(std::shared_ptr<kv_watch_queue> queue, std::shared_ptr<void> source);
-    /// Waits for changes. An empty batch means that none came within `longest_wait`. After an
+    /// Waits for changes. An empty batch means that none came within `timeout`. After an
     /// error the watch is over: read the prefix and watch anew from its revision + 1.
-    awaitable<result<kv_watch_batch>> next(duration longest_wait);
+    awaitable<result<kv_watch_batch>> next(duration timeout);
 
 private:
     std::shared_ptr<kv_watch_queue> m_queue;
--- a/outside/runner.h
+++ b/outside/runner.h
@@ -87,7 +87,7 @@
     std::vector<vm_id> members; ///< by rank
     /// A misfit unless the runner has begun just so many orders in this start. So a join that is
     /// carried out late, or was ordered on an old belief, moves nobody.
-    std::optional<std::int64_t> orders_before;
+    std::optional<std::int64_t> expected_order_count;
 };
 /// Has a head whose members are all ready begin to serve.
 struct open_group {
--- a/routing/engine_model.cc
+++ b/routing/engine_model.cc
@@ -26,21 +26,23 @@
 
 double pass_ms(const engine_figures& figures, double writers)
 {
-    const double context = writers * (figures.usual_prompt + figures.usual_answer / 2.0);
+    const double context =
+        writers * (figures.mean_prompt_tokens + figures.mean_answer_tokens / 2.0);
     const double step = figures.step_ms + figures.sequence_ms * writers +
                         figures.context_ms_per_1k * context / tokens_in_unit;
-    return figures.steps_in_pass * step * figures.pace;
+    return figures.steps_per_pass * step * figures.time_factor;
 }
 
 double prompt_ms(const engine_figures& figures, double tokens)
 {
     const double pairs = tokens * tokens / 2.0 / pairs_in_unit;
-    return (tokens / figures.prompt_tokens_per_ms + pairs * figures.pairs_ms_per_1m) * figures.pace;
+    return (tokens / figures.prompt_tokens_per_ms + pairs * figures.pairs_ms_per_1m) *
+           figures.time_factor;
 }
 
 double answer_ms(const engine_figures& figures, double writers)
 {
-    const double passes = std::ceil(figures.usual_answer / double(figures.steps_in_pass));
+    const double passes = std::ceil(figures.mean_answer_tokens / double(figures.steps_per_pass));
     return passes * pass_ms(figures, writers);
 }
 
@@ -52,7 +54,7 @@
     // The pass under way is half done on average; the first event comes with a whole one.
     double ms = (work.running > 0.0 ? 1.5 : 1.0) * pass;
     ms += prompt_ms(figures, prompt_tokens) + prompt_ms(figures, work.pending_tokens);
-    ms += work.waiting * prompt_ms(figures, figures.usual_prompt);
+    ms += work.waiting * prompt_ms(figures, figures.mean_prompt_tokens);
     // Until so many of the running ones have ended.
     const double beyond = work.running + work.waiting + 1.0 - places;
     ms += mean_above_zero(beyond, work.deviation) * answer_ms(figures, writers + 1.0) / places;
@@ -62,8 +64,8 @@
 duration longest_pause(const engine_figures& figures, double places, double pending_tokens)
 {
     constexpr double others = 4.0; // usual prompts of other nodes that may wait besides
-    const double in_one_pass = double(figures.steps_in_pass) * figures.chunk_tokens;
-    const double read = std::min(in_one_pass, pending_tokens + others * figures.usual_prompt);
+    const double in_one_pass = double(figures.steps_per_pass) * figures.chunk_tokens;
+    const double read = std::min(in_one_pass, pending_tokens + others * figures.mean_prompt_tokens);
     const double ms = pass_ms(figures, places) + prompt_ms(figures, read);
     return std::chrono::duration_cast<duration>(std::chrono::duration<double, std::milli>{ms});
 }
--- a/routing/modelled_fixture.h
+++ b/routing/modelled_fixture.h
@@ -21,9 +21,9 @@
     made.prompt_tokens_per_ms = 50.0;
     made.pairs_ms_per_1m = 0.37;
     made.chunk_tokens = 2048;
-    made.steps_in_pass = 7;
-    made.usual_prompt = 1'100;
-    made.usual_answer = 180;
+    made.steps_per_pass = 7;
+    made.mean_prompt_tokens = 1'100;
+    made.mean_answer_tokens = 180;
     return made;
 }
 
@@ -42,7 +42,7 @@
     chat.streaming = true;
     chat.resumable = true;
     chat.repeat = repeat_policy::idempotent;
-    chat.repeat_failures = true;
+    chat.retry_server_errors = true;
     chat.most_servers = 2;
     chat.retries = 1;
     chat.timeout = 8s;
--- a/routing/policy_run.cc
+++ b/routing/policy_run.cc
@@ -99,7 +99,7 @@
         settings.pick = m_options.pick;
         settings.admission = m_options.admission;
         if (!m_options.adaptive)
-            settings.mechanisms = mechanism_set::all_but({"adaptive_limit"}).value();
+            settings.mechanisms = mechanism_set::all_except({"adaptive_limit"}).value();
         settings.retry_budget = m_options.retry_budget;
         request_core made =
             request_core::create(settings, random_source{m_random.bits()}, now()).value();
--- a/routing/request_arrival.cc
+++ b/routing/request_arrival.cc
@@ -163,7 +163,7 @@
     row.terms.timeout = taken->timeout;
     row.terms.longest_stream = taken->longest_stream;
     row.terms.key_keeping = taken->key_keeping;
-    row.terms.repeat_failures = taken->repeat_failures;
+    row.terms.retry_server_errors = taken->retry_server_errors;
     row.terms.most_servers = taken->most_servers;
     const bool engine_stream = row.info.kind != request_kind::plain && row.info.stream;
     const bool may_resume = settings.mechanisms.has(mechanism::resumption);
--- a/routing/request_attempt.cc
+++ b/routing/request_attempt.cc
@@ -128,7 +128,7 @@
             return drop(attempt_failure::cut);
     }
     constexpr std::uint32_t server_error = 500;
-    if (head.status == server_error && row->terms.repeat_failures && !row->head_given &&
+    if (head.status == server_error && row->terms.retry_server_errors && !row->head_given &&
         may_send_again(*row, attempt_failure::cut) && pools.at(row->terms.pool).budget.has_one())
         return drop(attempt_failure::cut);
     note_success(targets.at(row->attempt.target).health);
--- a/routing/request_state.h
+++ b/routing/request_state.h
@@ -55,9 +55,9 @@
     std::chrono::milliseconds timeout{0};
     std::chrono::milliseconds longest_stream{0};
     std::chrono::seconds key_keeping{0};
-    bool resumable = false;         ///< a stream that was cut may go on from another target
-    bool repeat_failures = false;   ///< a server's 500 may be asked for elsewhere
-    std::uint32_t most_servers = 0; ///< that it may run on; 0: as `retries` allow
+    bool resumable = false;           ///< a stream that was cut may go on from another target
+    bool retry_server_errors = false; ///< a server's 500 may be asked for elsewhere
+    std::uint32_t most_servers = 0;   ///< that it may run on; 0: as `retries` allow
 };
 
 struct request_row {
--- a/services/engine_wire.cc
+++ b/services/engine_wire.cc
@@ -71,7 +71,7 @@
     report.model = fields.text("model");
     report.version = fields.text("version");
     report.adapters = fields.texts("adapters");
-    report.state = fields.name_of("state", engine_state::failed);
+    report.state = fields.enumerator("state", engine_state::failed);
     report.progress = within_one(fields, "progress");
     report.running = static_cast<std::uint32_t>(fields.count("running", most_requests));
     report.waiting = static_cast<std::uint32_t>(fields.count("waiting", most_requests));
@@ -179,7 +179,7 @@
         cache_event event;
         event.sequence = static_cast<std::uint64_t>(
             inner.count("seq", std::numeric_limits<std::int64_t>::max()));
-        event.change = inner.name_of("kind", cache_change::stored);
+        event.change = inner.enumerator("kind", cache_change::stored);
         event.prefix = inner.text("prefix");
         if (inner.failure())
             return *inner.failure();
--- a/services/vm_list.cc
+++ b/services/vm_list.cc
@@ -25,7 +25,7 @@
     entry.failure_domain = failure_domain_id{fields.text("failure_domain")};
     entry.accelerators =
         static_cast<std::uint32_t>(fields.count("accelerators", most_accelerators));
-    entry.state = fields.name_of("state", vm_state::live);
+    entry.state = fields.enumerator("state", vm_state::live);
     entry.leave_by_ms = fields.integer("leave_by_ms");
     return entry;
 }
--- a/services/wire_test.cc
+++ b/services/wire_test.cc
@@ -120,10 +120,10 @@
 Test(watch_pace, many_changes_gather_longer_up_to_a_bound)
 {
     using std::chrono::milliseconds;
-    const watch_pace pace{.gather = milliseconds{100},
-                          .gather_a_change = milliseconds{10},
-                          .most_gather = milliseconds{800}};
+    const watch_pace pace{.batch_delay = milliseconds{100},
+                          .batch_delay_per_change = milliseconds{10},
+                          .max_batch_delay = milliseconds{800}};
     cr_assert(pace.pause_after(1) == milliseconds{110});
     cr_assert(pace.pause_after(500) == milliseconds{800});
-    cr_assert(watch_pace{}.pause_after(500) == watch_pace{}.gather);
+    cr_assert(watch_pace{}.pause_after(500) == watch_pace{}.batch_delay);
 }
--- a/tables/check.cc
+++ b/tables/check.cc
@@ -155,16 +155,17 @@
 
 void check_ambiguity(const reporter& report, const std::vector<route>& routes)
 {
-    std::map<match_key, route_id> taken;
+    std::map<match_key, route_id> matched_by;
     const std::vector<std::string> any_method{"*"};
     for (const route& row : routes) {
         for (const std::string& workspace : row.workspaces) {
             for (const std::string& method : row.methods.empty() ? any_method : row.methods) {
                 const match_key key{row.kind, row.model, row.path_prefix, workspace, method};
-                const auto [place, fresh] = taken.emplace(key, row.name);
-                if (!fresh && place->second != row.name)
+                const auto [existing, inserted] = matched_by.emplace(key, row.name);
+                if (!inserted && existing->second != row.name)
                     report.add(row.name.value(), "workspaces",
-                               "matches the same requests as route '" + place->second.value() + "'",
+                               "matches the same requests as route '" + existing->second.value() +
+                                   "'",
                                "change kind, model, path_prefix, methods or workspaces of one");
             }
         }
--- a/tables/merge.cc
+++ b/tables/merge.cc
@@ -23,7 +23,7 @@
 }
 
 template <class Row>
-bool same(const Row* a, const Row* b)
+bool equal_rows(const Row* a, const Row* b)
 {
     if (a == nullptr || b == nullptr)
         return a == b;
@@ -46,7 +46,8 @@
 }
 
 template <class Row>
-row_change change_of(table_kind table, const std::string& name, const Row* before, const Row* after)
+row_change make_change(table_kind table, const std::string& name, const Row* before,
+                       const Row* after)
 {
     if (before == nullptr)
         return {table, name, change_kind::added, {}};
@@ -73,22 +74,24 @@
     for (const std::string& name : names_of(before, after)) {
         const Row* old_row = find_row(before, name);
         const Row* new_row = find_row(after, name);
-        if (!same(old_row, new_row))
-            changes.push_back(change_of(table, name, old_row, new_row));
+        if (!equal_rows(old_row, new_row))
+            changes.push_back(make_change(table, name, old_row, new_row));
     }
 }
 
 template <class Row>
-void find_conflicts(table_kind table, const std::vector<Row>& base, const std::vector<Row>& theirs,
-                    const std::vector<Row>& ours, std::vector<row_change>& found)
+void collect_conflicts(table_kind table, const std::vector<Row>& base,
+                       const std::vector<Row>& theirs, const std::vector<Row>& ours,
+                       std::vector<row_change>& found)
 {
     for (const std::string& name : names_of(base, ours)) {
         const Row* original = find_row(base, name);
         const Row* their_row = find_row(theirs, name);
         const Row* our_row = find_row(ours, name);
-        const bool both_changed = !same(original, their_row) && !same(original, our_row);
-        if (both_changed && !same(their_row, our_row))
-            found.push_back(change_of(table, name, original, their_row));
+        const bool both_changed =
+            !equal_rows(original, their_row) && !equal_rows(original, our_row);
+        if (both_changed && !equal_rows(their_row, our_row))
+            found.push_back(make_change(table, name, original, their_row));
     }
 }
 
@@ -99,8 +102,8 @@
     std::vector<Row> merged;
     for (const std::string& name : names_of(theirs, ours)) {
         const Row* our_row = find_row(ours, name);
-        const bool we_changed = !same(find_row(base, name), our_row);
-        const Row* chosen = we_changed ? our_row : find_row(theirs, name);
+        const bool our_change = !equal_rows(find_row(base, name), our_row);
+        const Row* chosen = our_change ? our_row : find_row(theirs, name);
         if (chosen != nullptr)
             merged.push_back(*chosen);
     }
@@ -121,8 +124,8 @@
                                   const configuration& ours)
 {
     std::vector<row_change> found;
-    find_conflicts(table_kind::routes, base.routes, theirs.routes, ours.routes, found);
-    find_conflicts(table_kind::pools, base.pools, theirs.pools, ours.pools, found);
+    collect_conflicts(table_kind::routes, base.routes, theirs.routes, ours.routes, found);
+    collect_conflicts(table_kind::pools, base.pools, theirs.pools, ours.pools, found);
     return found;
 }
 
@@ -134,12 +137,13 @@
                      "the tables are of deployment '" + ours.deployment + "', this is '" +
                          theirs.deployment + "'",
                      "apply them to their own deployment"};
-    const std::vector<row_change> clashes = conflicts(base, theirs, ours);
-    if (!clashes.empty()) {
+    const std::vector<row_change> conflicting_rows = conflicts(base, theirs, ours);
+    if (!conflicting_rows.empty()) {
         std::string message =
             "edited on both sides since revision " + std::to_string(base.revision.value()) + ":";
-        for (const row_change& clash : clashes)
-            message += " " + std::string{to_name(clash.table)} + "/" + clash.row;
+        for (const row_change& conflicting_row : conflicting_rows)
+            message +=
+                " " + std::string{to_name(conflicting_row.table)} + "/" + conflicting_row.row;
         return error{error_kind::conflict, std::move(message),
                      "fetch the current tables, edit these rows again and apply"};
     }
--- a/tables/pages.cc
+++ b/tables/pages.cc
@@ -17,7 +17,7 @@
 
 using page_index = std::unordered_map<std::string_view, const table_page*>;
 
-page_index index_of(std::span<const table_page> pages)
+page_index index_pages(std::span<const table_page> pages)
 {
     page_index index;
     for (const table_page& page : pages)
@@ -26,7 +26,8 @@
 }
 
 template <class Row>
-result<std::vector<std::string>> cut(const std::vector<Row>& rows, std::vector<table_page>& pages)
+result<std::vector<std::string>> split_into_pages(const std::vector<Row>& rows,
+                                                  std::vector<table_page>& pages)
 {
     const std::size_t buckets = std::bit_ceil(rows.size() / rows_per_page + 1);
     std::vector<boost::json::array> contents(buckets);
@@ -51,7 +52,8 @@
 }
 
 template <class Row>
-result<std::vector<Row>> join(const std::vector<std::string>& digests, const page_index& pages)
+result<std::vector<Row>> join_pages(const std::vector<std::string>& digests,
+                                    const page_index& pages)
 {
     std::vector<Row> rows;
     for (const std::string& digest : digests) {
@@ -94,8 +96,8 @@
 {
     paged_tables paged;
     paged.manifest.deployment = tables.deployment;
-    BOOST_OUTCOME_TRY(paged.manifest.routes, cut(tables.routes, paged.pages));
-    BOOST_OUTCOME_TRY(paged.manifest.pools, cut(tables.pools, paged.pages));
+    BOOST_OUTCOME_TRY(paged.manifest.routes, split_into_pages(tables.routes, paged.pages));
+    BOOST_OUTCOME_TRY(paged.manifest.pools, split_into_pages(tables.pools, paged.pages));
     std::sort(paged.pages.begin(), paged.pages.end(),
               [](const table_page& a, const table_page& b) { return a.digest < b.digest; });
     return paged;
@@ -105,16 +107,16 @@
 {
     table_report report;
     report.tables.deployment = manifest.deployment;
-    const page_index index = index_of(pages);
-    BOOST_OUTCOME_TRY(report.tables.routes, join<route>(manifest.routes, index));
-    BOOST_OUTCOME_TRY(report.tables.pools, join<pool>(manifest.pools, index));
+    const page_index index = index_pages(pages);
+    BOOST_OUTCOME_TRY(report.tables.routes, join_pages<route>(manifest.routes, index));
+    BOOST_OUTCOME_TRY(report.tables.pools, join_pages<pool>(manifest.pools, index));
     check_tables(report);
     if (!report.problems.empty())
         return to_error(report.problems);
     return std::move(report.tables);
 }
 
-std::vector<std::string> pages_of(const page_manifest& manifest)
+std::vector<std::string> referenced_digests(const page_manifest& manifest)
 {
     std::vector<std::string> digests = manifest.routes;
     digests.insert(digests.end(), manifest.pools.begin(), manifest.pools.end());
--- a/tables/pages.h
+++ b/tables/pages.h
@@ -53,7 +53,7 @@
 result<configuration> from_pages(const page_manifest& manifest, std::span<const table_page> pages);
 
 /// The digests that `manifest` names, each once, sorted.
-std::vector<std::string> pages_of(const page_manifest& manifest);
+std::vector<std::string> referenced_digests(const page_manifest& manifest);
 
 /// The name that these bytes have as a page.
 std::string page_digest(std::string_view bytes);
--- a/tables/parse.cc
+++ b/tables/parse.cc
@@ -51,27 +51,29 @@
     template <class Value>
     void operator()(std::string_view name, Value& value)
     {
-        m_known.push_back(name);
+        m_known_names.push_back(name);
         const toml::node* node = m_source.get(name);
         if (node != nullptr)
             read(*node, name, value);
     }
 
     /// Reports keys that no field of the row has.
-    void refuse_unknown_keys() const
+    void report_unknown_keys() const
     {
         for (const auto& [key, node] : m_source) {
-            if (std::find(m_known.begin(), m_known.end(), key.str()) != m_known.end())
+            if (std::find(m_known_names.begin(), m_known_names.end(), key.str()) !=
+                m_known_names.end())
                 continue;
             std::string remedy = "remove it, or write one of:";
-            for (const std::string_view name : m_known)
+            for (const std::string_view name : m_known_names)
                 remedy += " " + std::string{name};
             m_context.add(line_of(node), key.str(), "unknown field", std::move(remedy));
         }
     }
 
 private:
-    void refuse(const toml::node& node, std::string_view name, std::string expected) const
+    void report_wrong_value(const toml::node& node, std::string_view name,
+                            std::string expected) const
     {
         m_context.add(line_of(node), name, "wrong type or value", "write " + std::move(expected));
     }
@@ -81,7 +83,7 @@
         if (const auto text = node.value_exact<std::string>())
             value = *text;
         else
-            refuse(node, name, "a text in quotes");
+            report_wrong_value(node, name, "a text in quotes");
     }
 
     template <class Tag>
@@ -98,7 +100,7 @@
         if (const auto flag = node.value_exact<bool>())
             value = *flag;
         else
-            refuse(node, name, "true or false");
+            report_wrong_value(node, name, "true or false");
     }
 
     void read(const toml::node& node, std::string_view name, double& value) const
@@ -107,7 +109,7 @@
         if (number && std::isfinite(*number) && node.is_number())
             value = *number;
         else
-            refuse(node, name, "a finite number");
+            report_wrong_value(node, name, "a finite number");
     }
 
     void read(const toml::node& node, std::string_view name, std::uint32_t& value) const
@@ -116,7 +118,7 @@
         if (number && *number >= 0 && *number <= std::numeric_limits<std::int32_t>::max())
             value = static_cast<std::uint32_t>(*number);
         else
-            refuse(node, name, "a whole number from 0 to 2147483647");
+            report_wrong_value(node, name, "a whole number from 0 to 2147483647");
     }
 
     template <class Rep, class Period>
@@ -139,7 +141,7 @@
         if (parsed)
             value = *parsed;
         else
-            refuse(node, name, "one of: " + list_names<Enum>());
+            report_wrong_value(node, name, "one of: " + list_names<Enum>());
     }
 
     template <class Item>
@@ -147,7 +149,7 @@
     {
         const toml::array* items = node.as_array();
         if (items == nullptr) {
-            refuse(node, name, "a list in brackets");
+            report_wrong_value(node, name, "a list in brackets");
             return;
         }
         value.clear();
@@ -163,12 +165,13 @@
         if (const toml::table* table = node.as_table())
             read_row(*table, value, m_context);
         else
-            refuse(node, name, "{ workspace = \"...\", weight = 1.0, max_in_flight = 0 }");
+            report_wrong_value(node, name,
+                               "{ workspace = \"...\", weight = 1.0, max_in_flight = 0 }");
     }
 
     const toml::table& m_source;
     const row_context& m_context;
-    std::vector<std::string_view> m_known;
+    std::vector<std::string_view> m_known_names;
 };
 
 template <class Row>
@@ -176,7 +179,7 @@
 {
     field_reader reader{source, context};
     visit_fields(row, reader);
-    reader.refuse_unknown_keys();
+    reader.report_unknown_keys();
 }
 
 /// Retries that are not written default to none where a repeat is not allowed.
@@ -215,14 +218,14 @@
 
 /// Reads one file: `deployment`, then the array of rows called `rows_key`.
 template <class Row>
-std::string read_file(std::string_view text, std::string_view file, std::string_view rows_key,
-                      std::vector<Row>& rows, std::vector<row_location>& lines,
-                      std::vector<table_problem>& problems)
+std::string read_table(std::string_view text, std::string_view file, std::string_view rows_key,
+                       std::vector<Row>& rows, std::vector<row_location>& lines,
+                       std::vector<table_problem>& problems)
 {
-    const row_context whole{problems, file, "", 0};
+    const row_context file_context{problems, file, "", 0};
     if (text.size() > max_table_bytes) {
-        whole.add(0, "", "larger than " + std::to_string(max_table_bytes) + " bytes",
-                  "split the deployment");
+        file_context.add(0, "", "larger than " + std::to_string(max_table_bytes) + " bytes",
+                         "split the deployment");
         return {};
     }
     toml::table parsed;
@@ -230,8 +233,8 @@
         parsed = toml::parse(text);
     }
     catch (const toml::parse_error& failure) {
-        whole.add(failure.source().begin.line, "", std::string{failure.description()},
-                  "write valid TOML");
+        file_context.add(failure.source().begin.line, "", std::string{failure.description()},
+                         "write valid TOML");
         return {};
     }
     std::string deployment;
@@ -241,12 +244,13 @@
         else if (key.str() == rows_key && node.is_array())
             read_rows(*node.as_array(), file, rows, lines, problems);
         else
-            whole.add(line_of(node), key.str(), "unknown or wrong at the top of the file",
-                      "write deployment = \"...\" and rows under [[" + std::string{rows_key} +
-                          "]]");
+            file_context.add(line_of(node), key.str(), "unknown or wrong at the top of the file",
+                             "write deployment = \"...\" and rows under [[" +
+                                 std::string{rows_key} + "]]");
     }
     if (deployment.empty())
-        whole.add(0, "deployment", "missing", "write deployment = \"...\" as the first line");
+        file_context.add(0, "deployment", "missing",
+                         "write deployment = \"...\" as the first line");
     return deployment;
 }
 
@@ -279,16 +283,19 @@
 {
     table_report report;
     configuration& tables = report.tables;
-    const std::string routes_of = read_file(routes_text, routes_file, "route", tables.routes,
-                                            report.route_lines, report.problems);
-    const std::string pools_of =
-        read_file(pools_text, pools_file, "pool", tables.pools, report.pool_lines, report.problems);
-    if (!routes_of.empty() && !pools_of.empty() && routes_of != pools_of) {
-        report.problems.push_back({std::string{pools_file}, 0, "", "deployment",
-                                   "'" + pools_of + "', but the routes are of '" + routes_of + "'",
-                                   "name the same deployment in both files"});
+    const std::string routes_deployment = read_table(
+        routes_text, routes_file, "route", tables.routes, report.route_lines, report.problems);
+    const std::string pools_deployment = read_table(pools_text, pools_file, "pool", tables.pools,
+                                                    report.pool_lines, report.problems);
+    if (!routes_deployment.empty() && !pools_deployment.empty() &&
+        routes_deployment != pools_deployment)
+    {
+        report.problems.push_back(
+            {std::string{pools_file}, 0, "", "deployment",
+             "'" + pools_deployment + "', but the routes are of '" + routes_deployment + "'",
+             "name the same deployment in both files"});
     }
-    tables.deployment = routes_of;
+    tables.deployment = routes_deployment;
     sort_by_name(tables.routes);
     sort_by_name(tables.pools);
     if (report.problems.empty())
--- a/tables/render.cc
+++ b/tables/render.cc
@@ -70,10 +70,10 @@
 }
 route defaults_for(const route& row)
 {
-    route fresh;
+    route defaults;
     if (row.repeat != repeat_policy::idempotent)
-        fresh.retries = 0;
-    return fresh;
+        defaults.retries = 0;
+    return defaults;
 }
 
 /// What routes.toml has no fields for; shown so that operators see where requests go.
@@ -104,11 +104,12 @@
 void write_row(std::ostream& out, std::string_view key, const Row& row)
 {
     out << "\n[[" << key << "]]\n";
-    const Row fresh = defaults_for(row);
+    const Row defaults = defaults_for(row);
     visit_fields(row, [&](std::string_view name, const auto& value) {
-        visit_fields(fresh, [&](std::string_view other_name, const auto& other) {
-            if constexpr (std::is_same_v<decltype(value), decltype(other)>) {
-                if (name == other_name && (name == "name" || name == "kind" || value != other))
+        visit_fields(defaults, [&](std::string_view default_name, const auto& default_value) {
+            if constexpr (std::is_same_v<decltype(value), decltype(default_value)>) {
+                if (name == default_name &&
+                    (name == "name" || name == "kind" || value != default_value))
                     write_field(out, name, value);
             }
         });
--- a/tables/tables.h
+++ b/tables/tables.h
@@ -100,7 +100,7 @@
     bool open = false;                   ///< needs no key
     bool streaming = false;              ///< the answer is a series of events
     bool resumable = false;              ///< such a series may go on from another server
-    bool repeat_failures = false;        ///< idempotent: a server's 500 is asked for elsewhere
+    bool retry_server_errors = false;    ///< idempotent: a server's 500 is asked for elsewhere
     std::uint32_t most_servers = 0;      ///< that one request may run on; 0: as `retries` allow
     std::chrono::milliseconds first_target{0}; ///< an answer later than this is worth less; 0: none
     std::chrono::milliseconds gap_target{0};   ///< the same for a pause between events
@@ -119,16 +119,16 @@
 
 /// How fast an engine works, as its operators publish it.
 struct engine_figures {
-    double step_ms = 0.0;              ///< one token for all requests that write
-    double sequence_ms = 0.0;          ///< more for each request that writes
-    double context_ms_per_1k = 0.0;    ///< more for each 1,000 tokens of their contexts
-    double prompt_tokens_per_ms = 0.0; ///< reading of prompts; 0: no figures are known
-    double pairs_ms_per_1m = 0.0;      ///< more for each million pairs of tokens in a prompt
-    std::uint32_t chunk_tokens = 0;    ///< of prompts read in one step
-    std::uint32_t steps_in_pass = 1;   ///< tokens of one event
-    double pace = 1.0;                 ///< factor on all of this model's times
-    std::uint32_t usual_prompt = 0;    ///< mean tokens
-    std::uint32_t usual_answer = 0;
+    double step_ms = 0.0;                 ///< one token for all requests that write
+    double sequence_ms = 0.0;             ///< more for each request that writes
+    double context_ms_per_1k = 0.0;       ///< more for each 1,000 tokens of their contexts
+    double prompt_tokens_per_ms = 0.0;    ///< reading of prompts; 0: no figures are known
+    double pairs_ms_per_1m = 0.0;         ///< more for each million pairs of tokens in a prompt
+    std::uint32_t chunk_tokens = 0;       ///< of prompts read in one step
+    std::uint32_t steps_per_pass = 1;     ///< tokens of one event
+    double time_factor = 1.0;             ///< factor on all of this model's times
+    std::uint32_t mean_prompt_tokens = 0; ///< mean tokens
+    std::uint32_t mean_answer_tokens = 0;
 
     [[nodiscard]] bool known() const { return prompt_tokens_per_ms > 0.0 && step_ms > 0.0; }
     friend bool operator==(const engine_figures&, const engine_figures&) = default;
@@ -173,8 +173,8 @@
     std::vector<share> shares; ///< workspaces not named get weight 1
 
     // What only an operator's store says, not pools.toml.
-    std::string service;                ///< pools of one service differ in their model
-    std::uint32_t most_connections = 0; ///< that one server takes from all nodes; 0: no bound
+    std::string service;               ///< pools of one service differ in their model
+    std::uint32_t max_connections = 0; ///< that one server takes from all nodes; 0: no bound
     engine_figures engine;
     forming_figures forming;
 
--- a/tables/tables_fuzz.cc
+++ b/tables/tables_fuzz.cc
@@ -9,7 +9,7 @@
 
 namespace {
 
-void check(bool holds)
+void require(bool holds)
 {
     if (!holds)
         std::abort();
@@ -28,10 +28,10 @@
     if (tables) {
         const auto again =
             parse_tables(render_routes(tables.value()), render_pools(tables.value()));
-        check(again && again.value() == tables.value());
+        require(again && again.value() == tables.value());
         const auto paged = to_pages(tables.value());
-        check(paged &&
-              from_pages(paged.value().manifest, paged.value().pages).value() == tables.value());
+        require(paged &&
+                from_pages(paged.value().manifest, paged.value().pages).value() == tables.value());
     }
     const table_page page{page_digest(text), std::string{text}};
     const page_manifest manifest{"d", {page.digest}, {}};
--- a/tables/tables_test.cc
+++ b/tables/tables_test.cc
@@ -54,19 +54,19 @@
     return parse_tables(good_routes, good_pools).value();
 }
 
-std::string replaced(std::string_view text, std::string_view from, std::string_view to)
+std::string replaced(std::string_view text, std::string_view old_text, std::string_view new_text)
 {
     std::string changed{text};
-    const std::size_t at = changed.find(from);
+    const std::size_t at = changed.find(old_text);
     cr_assert(at != std::string::npos, "the test's table lacks what it replaces");
-    return changed.replace(at, from.size(), to);
+    return changed.replace(at, old_text.size(), new_text);
 }
 
 /// One edit that makes the good tables bad, and where the problem has to be seen.
 struct bad_edit {
     bool in_routes;
-    std::string_view from;
-    std::string_view to;
+    std::string_view old_text;
+    std::string_view new_text;
     std::uint32_t line;
     std::string_view field;
 };
@@ -121,7 +121,7 @@
 
 // An operator mistypes one thing. Each report has to name the file, the line and the field, since a
 // table of a thousand rows can't be searched by eye at night.
-Test(parse, each_mistake_is_named_with_its_place)
+Test(parse, each_problem_names_its_line_and_field)
 {
     const std::vector<bad_edit> edits{
         {true, "priority = \"critical\"", "prioritty = \"critical\"", 9, "prioritty"},
@@ -149,12 +149,14 @@
         {false, "127.0.0.1:9001", "127.0.0.1:99999", 3, "servers"},
     };
     for (const bad_edit& edit : edits) {
-        const std::string routes =
-            edit.in_routes ? replaced(good_routes, edit.from, edit.to) : std::string{good_routes};
-        const std::string pools =
-            edit.in_routes ? std::string{good_pools} : replaced(good_pools, edit.from, edit.to);
+        const std::string routes = edit.in_routes
+                                       ? replaced(good_routes, edit.old_text, edit.new_text)
+                                       : std::string{good_routes};
+        const std::string pools = edit.in_routes
+                                      ? std::string{good_pools}
+                                      : replaced(good_pools, edit.old_text, edit.new_text);
         const table_report report = read_tables(routes, pools);
-        const std::string label{edit.to};
+        const std::string label{edit.new_text};
         cr_assert_eq(report.problems.size(), 1, "%s: %zu problems", label.c_str(),
                      report.problems.size());
         const table_problem& problem = report.problems[0];
@@ -181,7 +183,7 @@
     cr_assert_eq(read_tables(routes, good_pools).problems.size(), max_problems);
 }
 
-Test(check, two_routes_that_match_the_same_are_refused)
+Test(check, two_routes_that_match_the_same_requests_are_refused)
 {
     const std::string routes = std::string{good_routes} +
                                "\n[[route]]\nname = \"twin\"\n"
@@ -192,7 +194,7 @@
     cr_assert(report.problems[0].message.find("summary") != std::string::npos);
 }
 
-Test(check, a_replica_larger_than_its_fabric_domains)
+Test(check, a_replica_larger_than_its_fabric_domains_is_reported)
 {
     const table_report report = read_tables(good_routes, good_pools);
     const std::vector<fabric_domain_size> small{{fabric_domain_id{"f1"}, 3}};
@@ -220,22 +222,22 @@
         const configuration tables = random_tables(random);
         const paged_tables paged = to_pages(tables).value();
         cr_assert(from_pages(paged.manifest, paged.pages).value() == tables, "seed %lu", seed);
-        cr_assert_eq(pages_of(paged.manifest).size(), paged.pages.size());
+        cr_assert_eq(referenced_digests(paged.manifest).size(), paged.pages.size());
     }
 }
 
-Test(pages, one_changed_row_moves_one_page)
+Test(pages, one_changed_row_changes_one_page)
 {
     for (std::uint64_t seed = 0; seed < 50; ++seed) {
         random_source random{seed};
         configuration tables = random_tables(random);
-        const auto before = pages_of(to_pages(tables).value().manifest);
+        const auto before = referenced_digests(to_pages(tables).value().manifest);
         tables.pools[random.index(tables.pools.size())].replicas += 1;
-        const auto after = pages_of(to_pages(tables).value().manifest);
-        std::vector<std::string> fresh;
+        const auto after = referenced_digests(to_pages(tables).value().manifest);
+        std::vector<std::string> new_digests;
         std::set_difference(after.begin(), after.end(), before.begin(), before.end(),
-                            std::back_inserter(fresh));
-        cr_assert_eq(fresh.size(), 1);
+                            std::back_inserter(new_digests));
+        cr_assert_eq(new_digests.size(), 1);
     }
 }
 
@@ -280,7 +282,7 @@
 
 // One operator removes a pool while another adds a route to it: no row is edited twice, yet the
 // merged tables would send requests nowhere.
-Test(merge, rows_that_no_longer_join_are_refused)
+Test(merge, a_route_to_a_removed_pool_is_refused)
 {
     const configuration base = good();
     configuration theirs = base;
@@ -307,9 +309,9 @@
         for (pool& row : ours.pools)
             row.replica_vms += random.chance(0.3) ? 1 : 0;
         const auto merged = merge(base, theirs, ours);
-        const bool clash = !conflicts(base, theirs, ours).empty();
-        cr_assert_eq(merged.has_value(), !clash, "seed %lu", seed);
-        if (clash)
+        const bool has_conflict = !conflicts(base, theirs, ours).empty();
+        cr_assert_eq(merged.has_value(), !has_conflict, "seed %lu", seed);
+        if (has_conflict)
             continue;
         const std::size_t edits = diff(base, theirs).size() + diff(base, ours).size();
         cr_assert_eq(diff(base, merged.value()).size(), edits, "seed %lu", seed);
