--- a/base/address.h
+++ b/base/address.h
@@ -1,7 +1,7 @@
-// Addresses as settings, tables and peers write them.
+// Parses and formats the "IP:port" addresses of settings, tables and peer messages.
 //
-//   result<boost::asio::ip::tcp::endpoint> where = parse_endpoint("10.0.0.5:8080");
-//   to_text(where.value());     // "10.0.0.5:8080"
+//   result<boost::asio::ip::tcp::endpoint> endpoint = parse_endpoint("10.0.0.5:8080");
+//   to_text(endpoint.value());     // "10.0.0.5:8080"
 #pragma once
 
 #include "base/result.h"
@@ -13,10 +13,11 @@
 
 namespace jaynotch {
 
-/// Reads "IP:port" or "[IPv6]:port". Names are not looked up; port 0 is let through, for listeners
-/// that take a free one. invalid_argument otherwise.
+/// Parses "IP:port" or "[IPv6]:port"; anything else is an invalid_argument error. Host names are
+/// not resolved. Port 0 is accepted, for listeners that bind to any free port.
 result<boost::asio::ip::tcp::endpoint> parse_endpoint(std::string_view address);
 
+/// "IP:port", or "[IP]:port" for IPv6.
 std::string to_text(const boost::asio::ip::tcp::endpoint& endpoint);
 
 } // namespace jaynotch
--- a/base/awaitable.h
+++ b/base/awaitable.h
@@ -1,4 +1,4 @@
-// What a coroutine of this project returns.
+// Return type of the project's coroutines.
 #pragma once
 
 #include <boost/asio/awaitable.hpp>
--- a/base/base64.cc
+++ b/base/base64.cc
@@ -1,5 +1,6 @@
-// Decoding goes through OpenSSL, since Beast's decoder stops silently at the first byte that is no
-// base64. OpenSSL counts padding as bytes; they are taken off again.
+// Decodes with OpenSSL, since Beast's decoder stops without an error at the first character that is
+// not base64. OpenSSL counts padding as decoded bytes, so the padding is subtracted from the
+// length.
 #include "base/base64.h"
 
 #include <boost/beast/core/detail/base64.hpp>
--- a/base/base64.h
+++ b/base/base64.h
@@ -12,7 +12,7 @@
 namespace jaynotch {
 
 std::string base64_encode(std::string_view bytes);
-/// protocol error if `text` is not base64.
+/// Returns a protocol error if `text` is not valid base64.
 result<std::string> base64_decode(std::string_view text);
 
 } // namespace jaynotch
--- a/base/base_test.cc
+++ b/base/base_test.cc
@@ -72,8 +72,8 @@
               "e3b0c44298fc1c149afbf4c8996fb92427ae41e4649b934ca495991b7852b855");
 }
 
-// An operator suspects a mechanism and switches it off; a slip of the pen must not start a daemon
-// that quietly does something else.
+// A misspelt mechanism name must be an error that lists the valid names; otherwise the daemon would
+// start with the mechanism still on.
 Test(mechanisms, are_switched_off_by_name)
 {
     const auto some = mechanism_set::all_except({"newest_first", "warm_spares"});
--- a/base/boost_impl.cc
+++ b/base/boost_impl.cc
@@ -1,5 +1,5 @@
-// The one translation unit that compiles Asio's and Beast's bodies; all others only see
-// declarations, which halves the time to compile a file.
+// The only translation unit that compiles the function bodies of Asio and Beast. All others see
+// only their declarations, which halves the time to compile a file.
 #include <boost/asio/impl/src.hpp>
 #include <boost/asio/ssl/impl/src.hpp>
 #include <boost/beast/src.hpp>
--- a/base/clock.cc
+++ b/base/clock.cc
@@ -4,8 +4,8 @@
 #include <atomic>
 #include <ctime>
 
-// now() = steady time + offset while running, or a frozen value while paused. Both live in atomics
-// since the log sink and tests read the clock from other threads.
+// now() is steady time plus an offset while the clock runs, and a frozen value while it is paused.
+// Both are atomics since the log sink and tests read the clock from other threads.
 
 namespace jaynotch {
 
@@ -17,8 +17,8 @@
 std::atomic<std::int64_t> g_frozen{0};
 std::atomic<std::int64_t> g_offset{0};
 
-/// Time since boot, suspended time included: a VM that was frozen must not believe that a lease or
-/// a deadline still runs because the time it slept through is missing from its clock.
+/// Time since boot in nanoseconds, including time spent suspended. With a clock that stops during
+/// suspension, a resumed VM would treat expired leases and deadlines as still valid.
 std::int64_t steady_now() noexcept
 {
     timespec now{};
--- a/base/environment.h
+++ b/base/environment.h
@@ -1,7 +1,7 @@
-// Settings from the environment: each flag of a program may also be set as JAYNOTCH_<FLAG>.
+// Settings from the environment: each flag of a program may also be set by JAYNOTCH_<FLAG>.
 //
 //   BOOST_OUTCOME_TRY(read_environment("daemon/flags.cc"));   // before the command line is parsed,
-//   absl::ParseCommandLine(argc, argv);                       // so that a flag wins
+//   absl::ParseCommandLine(argc, argv);                       // so that flags take precedence
 #pragma once
 
 #include "base/result.h"
@@ -11,11 +11,11 @@
 
 namespace jaynotch {
 
-/// The variable of a flag: "JAYNOTCH_" and its name in capitals.
+/// Name of a flag's environment variable: "JAYNOTCH_" and the flag's name in capitals.
 std::string environment_name(std::string_view flag);
 
-/// Sets every flag that is defined in the source file with this ending from its variable, if that
-/// is set. The error names the variable and what --help says of it.
+/// Sets each flag that is defined in a source file whose path ends with `source_file` from its
+/// environment variable, if that is set. The error names the variable, its value and the flag.
 result<void> read_environment(std::string_view source_file);
 
 } // namespace jaynotch
--- a/base/error.h
+++ b/base/error.h
@@ -1,5 +1,5 @@
-// Typed errors. An error says what went wrong, what the reader can do about it, and, where it
-// concerns a request, whether a backend server may have run it.
+// Typed errors, each with a message and a remedy. `ran_state` says for a failed request whether a
+// backend server may have run it.
 //
 //   return error{error_kind::invalid_table, "pools.toml:7: replica_vms is 0", "write 1 or more"};
 //
@@ -13,22 +13,22 @@
 
 namespace jaynotch {
 
-/// What kind of thing went wrong. The kind decides the HTTP status and the exit code.
+/// Category of an error. It determines the HTTP status and the exit code.
 enum class error_kind {
     invalid_argument,  ///< a flag, a setting or a request is malformed
-    invalid_table,     ///< routes or pools do not parse, check or join
-    conflict,          ///< another writer was first
+    invalid_table,     ///< routes or pools are malformed or inconsistent
+    conflict,          ///< another writer committed first
     not_found,         ///< no such route, model, key or revision
-    unauthorized,      ///< no or a foreign key or certificate
-    too_large,         ///< over a stated size
-    rate_limited,      ///< over a stated rate; come back later
-    overloaded,        ///< no capacity before the deadline; come back later
-    unavailable,       ///< the other side can't be reached or is not ready
-    deadline_exceeded, ///< time ran out
-    cancelled,         ///< the caller went away
-    protocol,          ///< the other side broke its protocol
-    unknown_outcome,   ///< it may have happened and must not be repeated blindly
-    internal,          ///< a defect of ours
+    unauthorized,      ///< missing or unknown key or certificate
+    too_large,         ///< exceeds a size limit
+    rate_limited,      ///< exceeds a rate limit; retry later
+    overloaded,        ///< no capacity before the deadline; retry later
+    unavailable,       ///< the remote side is unreachable or not ready
+    deadline_exceeded, ///< not finished before its deadline
+    cancelled,         ///< the caller disconnected
+    protocol,          ///< the remote side violated its protocol
+    unknown_outcome,   ///< may have taken effect; must not be repeated blindly
+    internal,          ///< a defect of this program
 };
 
 template <>
@@ -51,7 +51,7 @@
     };
 };
 
-/// Whether a backend server ran the request. `no` is said only when it is certain.
+/// Whether a backend server ran the request. `no` is reported only if that is certain.
 enum class ran_state { no, unknown, yes };
 
 template <>
@@ -63,7 +63,6 @@
     };
 };
 
-/// An error as a value.
 struct error {
     error_kind kind = error_kind::internal;
     std::string message; ///< what went wrong, in one sentence
@@ -75,7 +74,7 @@
 /// "kind: message; remedy".
 std::string to_string(const error& failure);
 
-/// An error as an exception, for code that has no result to return.
+/// Carries an error out of code that can't return a result.
 class exception : public std::runtime_error {
 public:
     explicit exception(error failure);
--- a/base/hash.cc
+++ b/base/hash.cc
@@ -41,7 +41,7 @@
     std::iota(order.begin(), order.end(), std::size_t{0});
     const std::size_t kept = std::min(count, order.size());
     const auto middle = order.begin() + static_cast<std::ptrdiff_t>(kept);
-    // Equal weights fall back to the name, so that the order never depends on the input's order.
+    // Equal weights are ordered by name, so that the result does not depend on the input's order.
     std::partial_sort(order.begin(), middle, order.end(), [&](std::size_t a, std::size_t b) {
         return weights[a] != weights[b] ? weights[a] > weights[b] : candidates[a] < candidates[b];
     });
--- a/base/hash.h
+++ b/base/hash.h
@@ -1,5 +1,5 @@
-// Hashes: XXH3 for placing and finding, SHA-256 (OpenSSL) for naming content, and rendezvous
-// hashing for letting every node choose the same few of many without talking.
+// Hashes: XXH3 for placement and lookup, SHA-256 (OpenSSL) for content digests, and rendezvous
+// hashing, by which all nodes select the same candidates for a key without communicating.
 #pragma once
 
 #include <cstddef>
@@ -11,14 +11,14 @@
 
 namespace jaynotch {
 
-/// Fast 64-bit hash (XXH3); not for anything an adversary may choose.
+/// Fast 64-bit hash (XXH3). Not collision-resistant, so not for input that an adversary chooses.
 std::uint64_t hash64(std::string_view bytes, std::uint64_t seed = 0) noexcept;
 
 /// SHA-256 of `bytes` in lower-case hexadecimal, 64 characters.
 std::string content_digest(std::string_view bytes);
 
-/// The indices of the `count` candidates that rank highest for `key`, best first. A candidate that
-/// comes or goes changes only the choices it takes part in (highest random weight hashing, Thaler
+/// Indices of the `count` candidates that rank highest for `key`, best first. Adding or removing a
+/// candidate changes only the selections that include it (highest random weight hashing, Thaler
 /// and Ravishankar 1998).
 std::vector<std::size_t> rendezvous(std::string_view key, std::span<const std::string> candidates,
                                     std::size_t count);
--- a/base/ids.h
+++ b/base/ids.h
@@ -1,4 +1,5 @@
-// Identifiers that can't be mixed up: each is a string or a number with a tag of its own.
+// Strongly typed identifiers: strings or numbers with a tag type each, so that identifiers of
+// different kinds can't be mixed up.
 #pragma once
 
 #include <compare>
@@ -10,7 +11,7 @@
 
 namespace jaynotch {
 
-/// A value of type Rep that only compares with its own kind.
+/// A value of type Rep that compares only with values of the same tag.
 template <class Tag, class Rep>
 class strong_id {
 public:
@@ -27,19 +28,19 @@
     Rep m_value{};
 };
 
-using node_id = strong_id<struct node_tag, std::string>; ///< an entry VM's daemon
+using node_id = strong_id<struct node_tag, std::string>; ///< the daemon of an entry VM
 using vm_id = strong_id<struct vm_tag, std::string>;     ///< a backend VM (a runner)
 using fabric_domain_id = strong_id<struct fabric_tag, std::string>;
 using failure_domain_id = strong_id<struct failure_tag, std::string>;
 using pool_id = strong_id<struct pool_tag, std::string>;
 using route_id = strong_id<struct route_tag, std::string>;
 using workspace_id = strong_id<struct workspace_tag, std::string>;
-using group_id = strong_id<struct group_tag, std::string>;       ///< one replica: some VMs
+using group_id = strong_id<struct group_tag, std::string>;       ///< the VMs of one replica
 using request_id = strong_id<struct request_tag, std::uint64_t>; ///< local to one node
-using attempt_id = strong_id<struct attempt_tag, std::uint64_t>; ///< one sending of a request
-/// Revision of the fabric domain's assignment record; also the fencing number of orders.
+using attempt_id = strong_id<struct attempt_tag, std::uint64_t>; ///< one attempt to send a request
+/// Revision of the fabric domain's assignment record, which orders carry as fencing number.
 using fencing_number = strong_id<struct fencing_tag, std::int64_t>;
-/// Revision of the two tables; grows by one for each accepted change.
+/// Revision of the two tables; each accepted change raises it by one.
 using config_revision = strong_id<struct config_tag, std::int64_t>;
 
 } // namespace jaynotch
--- a/base/json_fields.h
+++ b/base/json_fields.h
@@ -1,4 +1,4 @@
-// Reads the members of a JSON object, remembering the first one that is wrong:
+// Reads the members of a JSON object and keeps the first error:
 //
 //   BOOST_OUTCOME_TRY(auto object, parse_json_object(body, "engine report"));
 //   json_fields fields{object, "engine report"};
@@ -6,7 +6,7 @@
 //   if (fields.failure()) return *fields.failure();
 //
 // A missing member reads as empty, zero or false, as in the JSON mapping of protocol buffers;
-// `require` refuses one that must be there. Used by adapters and stand-ins.
+// `require` makes a missing member an error. Used by adapters and stand-ins.
 #pragma once
 
 #include "base/error.h"
@@ -22,7 +22,7 @@
 
 namespace jaynotch {
 
-/// Parses a body that must be one JSON object; `what` names it in errors.
+/// Parses a body that must be one JSON object; `what` names the document in errors.
 result<boost::json::object> parse_json_object(std::string_view body, std::string_view what);
 
 class json_fields {
@@ -32,18 +32,19 @@
     {}
 
     std::string text(std::string_view name);
-    /// A number, or a string of digits as 64-bit numbers are written.
+    /// An integer, or a string of decimal digits, as 64-bit integers may be written in JSON.
     std::int64_t integer(std::string_view name);
     /// An integer within [0, limit].
     std::uint64_t count(std::string_view name, std::uint64_t limit);
     double real(std::string_view name);
     bool flag(std::string_view name);
     std::vector<std::string> texts(std::string_view name);
-    /// Null if it is missing.
+    /// Null if the member is missing.
     const boost::json::array* list(std::string_view name);
+    /// Null if the member is missing.
     const boost::json::object* object(std::string_view name);
-    /// Calls `read(object)`, which returns a result<void>, for each item of a list; a missing list
-    /// is an empty one.
+    /// Calls `read(object)`, which returns a result<void>, for each object of a list, up to the
+    /// first error. A missing list counts as empty.
     template <class Read>
     result<void> for_each_object(std::string_view name, Read read)
     {
@@ -63,7 +64,7 @@
         return success();
     }
     void require(std::string_view name);
-    /// The enumerator that the member names.
+    /// The enumerator named by the member, or `default_value` if it is missing or unknown.
     template <class Enum>
     Enum enumerator(std::string_view name, Enum default_value)
     {
@@ -76,6 +77,7 @@
         return found.value_or(default_value);
     }
 
+    /// Records an error of a member, unless an earlier one is recorded.
     void fail(std::string_view name, std::string_view reason);
     [[nodiscard]] const std::optional<error>& failure() const { return m_failure; }
 
--- a/base/log.cc
+++ b/base/log.cc
@@ -9,20 +9,20 @@
 
 #include <mutex>
 
-// Our lines and, through a sink, those that libraries write with glog go into one bounded buffer,
-// which is written out as far as standard output takes it without a wait. A pipe that poll calls
-// writable takes PIPE_BUF bytes at once (POSIX, write), so that the descriptor's own flags, which
-// it shares with others, stay as they are.
+// Lines of this program and, through a LogSink, those that libraries write with glog go into one
+// bounded buffer, which is written to standard output as far as that is possible without blocking.
+// A pipe that poll reports as writable accepts PIPE_BUF bytes at once (POSIX, write). So O_NONBLOCK
+// is not needed, which would affect other processes that share the descriptor's flags.
 
 namespace jaynotch {
 
 namespace {
 
 constexpr std::size_t max_pipe_write = 4096;      // PIPE_BUF on Linux
-constexpr std::size_t flush_threshold = 8 * 1024; // held bytes that are worth a system call
-constexpr int exit_flush_timeout_ms = 100;        // for a reader at the process's end
+constexpr std::size_t flush_threshold = 8 * 1024; // buffered bytes that justify a system call
+constexpr int exit_flush_timeout_ms = 100;        // how long a slow reader is waited for at exit
 
-/// The one log of a process.
+/// The log of the process; thread-safe.
 class log_output {
 public:
     void set_identity(std::string_view program, std::string_view instance)
@@ -83,7 +83,7 @@
         {
             pollfd out{STDOUT_FILENO, POLLOUT, 0};
             if (poll(&out, 1, wait_ms) <= 0 || (out.revents & POLLOUT) == 0)
-                return; // its reader is slow or gone: what does not fit is dropped and counted
+                return; // slow or absent reader; lines that no longer fit are dropped and counted
             const ssize_t written = write(STDOUT_FILENO, next.data(), next.size());
             if (written <= 0)
                 return;
@@ -131,7 +131,7 @@
 {
     static const std::string name{program};
     FLAGS_logtostderr = false;
-    FLAGS_stderrthreshold = google::NUM_SEVERITIES; // the sink is the only way out
+    FLAGS_stderrthreshold = google::NUM_SEVERITIES; // the sink is the only destination
     google::InitGoogleLogging(name.c_str());
     for (int severity = 0; severity < google::NUM_SEVERITIES; ++severity)
         google::SetLogDestination(severity, "");
--- a/base/log.h
+++ b/base/log.h
@@ -1,11 +1,11 @@
-// Logs: one JSON object a line on standard output. Their volume is bounded and writing them never
-// waits (base/log_buffer.h); lines of libraries that log through glog come along.
+// Structured logs: one JSON object per line on standard output. Their volume is bounded and logging
+// never blocks (base/log_buffer.h).
 //
 //   install_json_log("jaynotchd", "entry-1");
 //   log_event(log_level::info, "config_installed", {{"revision", 7}, {"rows", 3}});
 //
-// The kind is a fixed word that docs/OPERATIONS.md lists; what varies goes into the fields.
-// Lines of libraries come out with the kind "library".
+// The kind is one of the fixed names that docs/OPERATIONS.md lists; variable data goes into the
+// fields. Lines that libraries log through glog are included with the kind "library".
 #pragma once
 
 #include "base/names.h"
@@ -30,9 +30,9 @@
     };
 };
 
-/// One named value of a log line.
+/// One field of a log line.
 struct log_field {
-    /// Takes whatever Boost.JSON can convert: numbers, strings of either kind, names, lists.
+    /// Accepts any type that Boost.JSON can convert, such as numbers, strings and lists.
     template <class T>
     log_field(std::string_view field_name, const T& field_value)
         : name{field_name}, value(boost::json::value_from(field_value))
@@ -42,19 +42,21 @@
     boost::json::value value;
 };
 
-/// Makes glog write JSON lines only; call once, first thing in main.
+/// Starts the log and redirects glog to it. Call once, at the start of main.
 void install_json_log(std::string_view program, std::string_view instance);
 
 /// Writes one line.
 void log_event(log_level level, std::string_view kind, std::initializer_list<log_field> fields);
 
-/// From now on routine lines wait for flush_log, which the process calls some times a second;
-/// warnings and errors still go out at once.
+/// From now on lines of level info stay buffered until flush_log, which the process calls several
+/// times a second, or until the buffer is worth a write. Warnings and errors are written at once.
 void defer_routine_log_lines();
-/// Writes out what standard output takes now, and a line that says what was dropped, by kind.
+/// Writes as much as standard output accepts without blocking. If lines were dropped, a line that
+/// counts them by kind is added first.
 void flush_log();
-/// The same at the process's end, where a slow reader is waited for a moment.
+/// The same at process exit, with a short wait for a slow reader.
 void flush_log_at_exit();
+/// Lines dropped since the process started.
 std::uint64_t log_lines_dropped();
 
 } // namespace jaynotch
--- a/base/log_buffer.cc
+++ b/base/log_buffer.cc
@@ -1,3 +1,6 @@
+// One queue for routine lines (level info) and one for urgent lines (warnings and errors), each
+// with a token bucket that limits its rate. A line that finds no space or no tokens is dropped, so
+// memory and output volume stay bounded whatever the reader does.
 #include "base/log_buffer.h"
 
 #include <algorithm>
@@ -45,7 +48,7 @@
 
 std::string_view log_buffer::front(std::size_t max_bytes)
 {
-    // A line that was begun is ended first, or it would be mixed with another.
+    // A partly written line is completed first; otherwise two lines would be interleaved.
     if (m_current == nullptr)
         m_current = !m_urgent.lines.empty() ? &m_urgent : &m_routine;
     if (m_current->lines.empty()) {
--- a/base/log_test.cc
+++ b/base/log_test.cc
@@ -35,7 +35,8 @@
     cr_assert_eq(out, line('b') + line('a'));
 }
 
-// A line that is partly out is ended before any other, however urgent: two lines mixed are none.
+// Interleaved lines would both be unreadable, so a partly written line is completed before any
+// other, even an urgent one.
 Test(log_buffer, a_partly_written_line_is_completed_first)
 {
     log_buffer lines{{}};
@@ -45,8 +46,8 @@
     cr_assert_eq(drain(lines), line('a').substr(10) + line('b'));
 }
 
-// Nobody reads the log. It holds what it may and no more, keeps room for what is urgent, and says
-// what it dropped.
+// Without a reader the buffer must not grow beyond its limits. It keeps space for urgent lines and
+// counts the lines that it drops.
 Test(log_buffer, an_unread_log_stays_within_its_bounds)
 {
     log_buffer lines{{.max_buffered_bytes = 1'000, .max_buffered_routine_bytes = 700}};
@@ -71,7 +72,7 @@
         taken += lines.add(log_level::info, "routine", line('a'), start + step * 10ms) ? 1 : 0;
         drain(lines);
     }
-    cr_assert_leq(taken, 121U); // ten seconds at ten lines, and what was saved up
+    cr_assert_leq(taken, 121U); // ten seconds at ten lines a second, and a full bucket
     cr_assert_geq(taken, 115U);
     cr_assert(lines.add(log_level::error, "urgent", line('b'), start + 10s));
 }
--- a/base/mechanisms.h
+++ b/base/mechanisms.h
@@ -1,10 +1,11 @@
-// Mechanisms of the decision cores that can be switched off, to measure what each is worth or when
-// an operator suspects one of doing harm. All are on unless a setting says otherwise.
+// Mechanisms of the decision cores that can be switched off by name, to measure the effect of each
+// or when an operator suspects one of a malfunction. All are on by default.
 //
 //   BOOST_OUTCOME_TRY(const mechanism_set on, mechanism_set::all_except({"newest_first"}));
 //   if (on.has(mechanism::warm_spares)) ...
 //
-// Not listed is what keeps a promise: completeness, fencing, leases, claims, drains, budgets.
+// What guarantees depend on is not listed and is always on: completeness, fencing, leases, claims,
+// drains, budgets.
 #pragma once
 
 #include "base/error.h"
@@ -19,25 +20,25 @@
 
 enum class mechanism {
     // Requests.
-    late_gives_way,      ///< what begins late anyway takes only what others can spare
-    returning_gives_way, ///< who comes back after a refusal counts as late
-    newest_first,        ///< of those that wait, where the engines' speed is known
-    sure_places,         ///< each node's part of a group, also when others seem to fill it
-    prompt_limit,        ///< of prompts that wait at one group
-    far_penalty,         ///< for groups in other failure domains
-    slowness,            ///< a group slower than the others of its pool counts as such
-    silence_detection,   ///< of groups that stand still
-    outlier_ejection,    ///< of targets that fail many times in a row
-    refusal_pause,       ///< after a group has said that it is not whole
-    adaptive_limit,      ///< of pools whose engines' speed is not known
-    resumption,          ///< of streams that were cut
+    late_gives_way,      ///< requests that are late anyway leave places free for others
+    returning_gives_way, ///< requests sent again after a refusal count as late
+    newest_first,        ///< order of the queue where the engines' speed is known
+    sure_places,         ///< guaranteed places per node, even in a group that seems full
+    prompt_limit,        ///< bounds the prompts that wait at one group
+    far_penalty,         ///< added to predicted times of groups in other failure domains
+    slowness,            ///< scales predicted times of groups slower than their pool
+    silence_detection,   ///< of groups that send no events
+    outlier_ejection,    ///< excludes targets that fail many times in a row
+    refusal_pause,       ///< after a group has reported that it is incomplete
+    adaptive_limit,      ///< of concurrency, where the engines' speed is not known
+    resumption,          ///< of interrupted streams on another server
     // Groups.
-    warm_spares,          ///< spares join a group of their own in advance
-    guard_largest,        ///< newcomers are staged for the largest groups first
-    probes_before_ending, ///< of members whose entries have run out
-    outage_inquiry,       ///< managers go on while no node reaches the store
+    warm_spares,          ///< spare runners warm up staged weights in groups of their own
+    guard_largest,        ///< spare runners are staged for the largest groups first
+    probes_before_ending, ///< of members whose registry entries have expired
+    outage_inquiry,       ///< managers continue while no node reaches the store
     // The registry.
-    shared_watches, ///< two nodes of a failure domain watch for all
+    shared_watches, ///< two nodes per failure domain watch the store for all
 };
 
 template <>
@@ -62,19 +63,18 @@
         named{mechanism::shared_watches, "shared_watches"}};
 };
 
-/// Which of them are on.
+/// The set of enabled mechanisms.
 class mechanism_set {
 public:
-    /// An unknown name is an error that lists the known ones.
+    /// All mechanisms but the named ones. An unknown name is an error that lists the valid ones.
     static result<mechanism_set> all_except(const std::vector<std::string>& names)
     {
         mechanism_set mechanisms;
         for (const std::string& name : names) {
             const std::optional<mechanism> disabled = from_name<mechanism>(name);
             if (!disabled)
-                return error{error_kind::invalid_argument,
-                             "no mechanism is called \"" + name + "\"",
-                             "write some of " + list_names<mechanism>()};
+                return error{error_kind::invalid_argument, "unknown mechanism \"" + name + "\"",
+                             "use names of this list: " + list_names<mechanism>()};
             mechanisms.m_disabled.set(static_cast<std::size_t>(*disabled));
         }
         return mechanisms;
@@ -85,7 +85,7 @@
         return !m_disabled.test(static_cast<std::size_t>(one));
     }
 
-    /// "a, b" of those that are off; empty if all are on.
+    /// Names of the disabled mechanisms as "a, b"; empty if all are enabled.
     [[nodiscard]] std::string disabled_names() const
     {
         std::string joined;
--- a/base/names.h
+++ b/base/names.h
@@ -1,9 +1,9 @@
-// Tables of names for scoped enumerations.
+// Name tables of scoped enumerations: conversion between enumerators and their names.
 //
 //   enum class colour { red, green };
 //   template <> struct jaynotch::enum_names<colour> {
-//       static constexpr std::array entries{named{colour::red, "red"}, named{colour::green,
-//       "green"}};
+//       static constexpr std::array entries{named{colour::red, "red"},
+//                                           named{colour::green, "green"}};
 //   };
 //   to_name(colour::red);           // "red"
 //   from_name<colour>("green");     // std::optional{colour::green}
@@ -16,7 +16,7 @@
 
 namespace jaynotch {
 
-/// One row of a name table.
+/// One entry of a name table.
 template <class Enum>
 struct named {
     Enum value;
@@ -26,7 +26,7 @@
 template <class Enum>
 named(Enum, const char*) -> named<Enum>;
 
-/// Specialised beside each enumeration; `entries` is its name table.
+/// Specialized next to each enumeration; `entries` is its name table.
 template <class Enum>
 struct enum_names;
 
@@ -41,7 +41,7 @@
     return "?";
 }
 
-/// The enumerator called `name`, if there is one.
+/// The enumerator with this name, if there is one.
 template <class Enum>
 constexpr std::optional<Enum> from_name(std::string_view name) noexcept
 {
@@ -52,7 +52,7 @@
     return std::nullopt;
 }
 
-/// All names of the table as "a, b, c", for messages that say what may be written.
+/// All names of the table as "a, b, c", for messages that list the valid values.
 template <class Enum>
 std::string list_names()
 {
--- a/base/pch.h
+++ b/base/pch.h
@@ -1,4 +1,4 @@
-// Precompiled for every target: the headers that are slow to parse. Never included by hand.
+// Precompiled header of every target: headers that are slow to parse. Never include it in a file.
 #pragma once
 
 #include <boost/asio.hpp>
--- a/base/random.h
+++ b/base/random.h
@@ -1,5 +1,6 @@
-// Seeded random numbers, the same on every machine for the same seed: Boost.Random's engine and
-// distributions, since the standard library's distributions differ between implementations.
+// Seeded random numbers, identical on every machine for the same seed. They use the engine and the
+// distributions of Boost.Random, since the standard library's distributions differ between
+// implementations.
 #pragma once
 
 #include <boost/random/bernoulli_distribution.hpp>
@@ -14,12 +15,12 @@
 
 namespace jaynotch {
 
-/// One stream of random numbers. Decision cores are handed one and own no other.
+/// A stream of random numbers. Decision cores receive one and use no other source.
 class random_source {
 public:
     explicit random_source(std::uint64_t seed) : m_engine{seed} {}
 
-    /// Any 64 bits.
+    /// 64 random bits.
     std::uint64_t bits() { return m_engine(); }
     /// Uniform in [0, count); count must be at least 1.
     std::size_t index(std::size_t count)
--- a/base/result.h
+++ b/base/result.h
@@ -1,9 +1,9 @@
-// result<T>: a value or an error, what static factories return.
+// result<T>: a value or an error. Static factories and other functions that can fail return it.
 //
 //   result<settings> parsed = settings::parse(argv);
 //   if (!parsed) report(parsed.error());
 //   settings s = std::move(parsed).value();   // throws jaynotch::exception if it is an error
-//   BOOST_OUTCOME_TRY(auto s, settings::parse(argv));   // hands an error on to the caller
+//   BOOST_OUTCOME_TRY(auto s, settings::parse(argv));   // returns an error to the caller
 //
 // std::expected does not compile with the clang that lints this project, hence Boost.Outcome.
 #pragma once
@@ -16,7 +16,7 @@
 
 namespace jaynotch {
 
-/// Boost.Outcome policy: asking an error for its value throws it.
+/// Boost.Outcome policy: value() of an error throws the error as an exception.
 struct throw_on_error : BOOST_OUTCOME_V2_NAMESPACE::policy::base {
     template <class Impl>
     static constexpr void wide_value_check(Impl&& self)
@@ -28,7 +28,8 @@
     static constexpr void wide_error_check(Impl&& self)
     {
         if (!base::_has_error(self))
-            throw exception{error{error_kind::internal, "asked a value for its error", ""}};
+            throw exception{
+                error{error_kind::internal, "error() was called on a result that has a value", ""}};
     }
     template <class Impl>
     static constexpr void wide_exception_check(Impl&& /*self*/)
@@ -38,7 +39,7 @@
 template <class T>
 using result = BOOST_OUTCOME_V2_NAMESPACE::basic_result<T, error, throw_on_error>;
 
-/// A result<void> that is fine.
+/// A successful result<void>.
 inline auto success()
 {
     return BOOST_OUTCOME_V2_NAMESPACE::success();
--- a/outside/call_facts.h
+++ b/outside/call_facts.h
@@ -1,5 +1,5 @@
-// What a caller's request and a backend server's answer say beside their bodies, in our own terms.
-// `platform/` reads and writes the headers that carry it.
+// Metadata of a caller's request and of a backend server's answer, beside their bodies.
+// `platform/` translates it from and to HTTP headers.
 #pragma once
 
 #include "base/base.h"
@@ -11,38 +11,39 @@
 
 namespace jaynotch {
 
-/// What a caller says of its request.
+/// Metadata of a caller's request.
 struct call_metadata {
-    std::string attempt; ///< the caller's own name for this sending
+    std::string attempt; ///< the caller's identifier of this attempt
     std::optional<std::chrono::milliseconds> caller_timeout; ///< how long the caller waits
-    std::string credential; ///< key that proves the caller's workspace
+    std::string credential; ///< key that identifies the caller's workspace
     std::string model;      ///< empty for plain calls
     std::uint32_t prompt_tokens = 0;
-    std::uint32_t answer_tokens = 0;          ///< most that it may generate
-    std::optional<std::uint64_t> after_event; ///< resume a stream behind this event
+    std::uint32_t answer_tokens = 0;          ///< upper bound of generated tokens
+    std::optional<std::uint64_t> after_event; ///< resume a stream after this event
 };
 
-/// What a node tells the backend server along with a caller's request.
+/// Metadata that a node adds to a request that it forwards to a backend server.
 struct forwarded_metadata {
     std::chrono::milliseconds time_left{0};   ///< until the caller stops waiting
-    vm_id instance;                           ///< the only server that may run it
-    workspace_id workspace;                   ///< empty if the caller proved none
-    std::optional<std::uint64_t> after_event; ///< resume behind this event
+    vm_id instance;                           ///< the only server that may run the request
+    workspace_id workspace;                   ///< empty if the caller sent no valid key
+    std::optional<std::uint64_t> after_event; ///< resume a stream after this event
 };
 
-/// What a backend server says of its answer and of itself.
+/// Metadata of a backend server's answer, and what it reports about the server.
 struct answer_metadata {
-    std::string attempt;         ///< whose answer it is; empty if it names none
-    bool did_not_run = false;    ///< the server's own word that the request never ran there
-    bool wrong_instance = false; ///< another server has the address
-    bool sealed = false;         ///< bears the server's own mark, so it is no one else's answer
-    std::optional<std::uint32_t> running; ///< requests at work there; with `waiting`, if told
+    std::string attempt;         ///< attempt that it answers; empty if not stated
+    bool did_not_run = false;    ///< the server reports that the request never ran there
+    bool wrong_instance = false; ///< another server answers at the address
+    bool sealed = false;         ///< has the server's seal, so it comes from no other process
+    std::optional<std::uint32_t> running; ///< requests running there; reported with `waiting`
     std::uint32_t waiting = 0;
-    /// Requests a second that the server takes of all entry VMs together, for as long as it says
-    /// so.
+    /// Requests per second that the server accepts from all entry VMs together, in force as long
+    /// as its answers state it.
     std::optional<double> rate_limit;
-    std::string unreadable_limit; ///< what it says instead of a number; empty if it is readable
-    std::optional<std::chrono::milliseconds> idle_limit; ///< an idle connection is closed after it
+    std::string unreadable_limit; ///< a rate limit that is not a number; otherwise empty
+    /// Time after which the server closes an idle connection.
+    std::optional<std::chrono::milliseconds> idle_limit;
 };
 
 } // namespace jaynotch
--- a/outside/kv_store.cc
+++ b/outside/kv_store.cc
@@ -1,7 +1,7 @@
 #include "outside/kv_store.h"
 
-// One revision for each transaction that changes anything, as in etcd: all its writes bear it, so
-// a watcher sees them together.
+// As in etcd, each transaction that changes anything has one revision. All its writes carry it, so
+// that a watcher sees them together.
 
 namespace jaynotch {
 
--- a/outside/kv_store.h
+++ b/outside/kv_store.h
@@ -1,5 +1,6 @@
-// The key-value service's data: entries with revisions, leases and a bounded history of changes.
-// Pure and deterministic: time is a parameter. The in-memory adapter and the stand-in run on it.
+// In-memory key-value store with the semantics of the key-value service: entries with revisions,
+// leases and a bounded history of changes. It does no I/O and takes the time as a parameter, so it
+// is deterministic. The in-memory adapter and the stand-in are built on it.
 //
 //   kv_store store;
 //   kv_outcome done = store.transact({.then = {kv_put{"a", "1"}}});
@@ -20,25 +21,26 @@
 
 class kv_store {
 public:
-    /// How many changes a watch may lie behind before its revisions count as compacted.
+    /// Number of changes kept. Revisions before them count as compacted.
     static constexpr std::size_t history_limit = 20'000;
 
     [[nodiscard]] std::int64_t revision() const { return m_revision; }
     [[nodiscard]] const kv_entry* find(const std::string& key) const;
     [[nodiscard]] std::vector<kv_entry> with_prefix(std::string_view prefix) const;
-    /// Does a transaction at once; not_found if a put names a lease that does not exist.
+    /// Runs a transaction atomically; not_found if a put names a lease that does not exist.
     result<kv_outcome> transact(const kv_transaction& transaction);
 
     lease_id grant(duration ttl, time_point now);
-    /// Starts the lease's time anew and returns it; empty if the lease does not exist.
+    /// Restarts the lease's time to live and returns it; empty if the lease does not exist.
     std::optional<duration> keep_alive(lease_id lease, time_point now);
+    /// Deletes the lease and its entries. Returns false if the lease does not exist.
     bool revoke(lease_id lease);
-    /// Ends the leases whose time has run out.
+    /// Revokes the leases whose time to live has ended.
     void expire(time_point now);
-    /// When the next lease ends, if there is one.
+    /// When the next lease expires; empty if there are no leases.
     [[nodiscard]] std::optional<time_point> next_expiry() const;
 
-    /// Changes under `prefix` at `from` and later; not_found if they are no longer kept.
+    /// Changes under `prefix` at revision `from` and later; not_found if they are compacted.
     [[nodiscard]] result<std::vector<kv_event>> changes(std::string_view prefix,
                                                         std::int64_t from) const;
 
@@ -58,7 +60,7 @@
     std::map<lease_id, lease_state> m_leases;
     std::deque<kv_event> m_history;
     std::int64_t m_revision = 1;
-    std::int64_t m_compacted_revision = 0; ///< highest revision that has left the history
+    std::int64_t m_compacted_revision = 0; ///< highest revision removed from the history
     std::int64_t m_last_lease = 1000;
 };
 
--- a/outside/kv_types.h
+++ b/outside/kv_types.h
@@ -1,6 +1,6 @@
-// What the key-value service can do, in the core's terms: entries with revisions, and
-// transactions that compare, then write. Decision cores emit `kv_transaction` and receive
-// `kv_outcome`; services/kv.h carries them out.
+// Data types of the key-value service: entries with revisions, and transactions that compare, then
+// write. Decision cores emit `kv_transaction` and receive `kv_outcome`; services/kv.h executes
+// them.
 #pragma once
 
 #include "base/base.h"
@@ -15,7 +15,7 @@
 
 using lease_id = strong_id<struct lease_tag, std::int64_t>;
 
-/// One key and its value.
+/// A key with its value and the revisions of its first and last write.
 struct kv_entry {
     std::string key;
     std::string value;
@@ -26,7 +26,7 @@
     friend bool operator==(const kv_entry&, const kv_entry&) = default;
 };
 
-/// Holds if `key` was last written at `mod_revision`; 0 means that it does not exist.
+/// True if `key` was last written at `mod_revision`; 0 means that the key does not exist.
 struct kv_compare {
     std::string key;
     std::int64_t mod_revision = 0;
@@ -48,23 +48,24 @@
 
 using kv_operation = std::variant<kv_put, kv_delete, kv_get>;
 
-/// If all of `compares` hold, `then` is done at once, otherwise `otherwise`.
+/// Atomically runs the operations of `then` if all of `compares` are true, else of `otherwise`.
 struct kv_transaction {
     std::vector<kv_compare> compares;
     std::vector<kv_operation> then;
     std::vector<kv_operation> otherwise;
 };
 
-/// What a transaction did. `revision` is the store's after it; a put's new mod_revision is that.
+/// Result of a transaction. `revision` is the store's revision after it, and the mod_revision of
+/// every key that it wrote.
 struct kv_outcome {
     bool succeeded = false;
     std::int64_t revision = 0;
-    std::vector<kv_entry> entries; ///< answers of the kv_get operations that were done
+    std::vector<kv_entry> entries; ///< entries found by its kv_get operations
 
     friend bool operator==(const kv_outcome&, const kv_outcome&) = default;
 };
 
-/// A change seen by a watch; a deletion has an entry with an empty value and `deleted` set.
+/// A change reported by a watch. A deletion has `deleted` set and an entry with an empty value.
 struct kv_event {
     kv_entry entry;
     bool deleted = false;
--- a/outside/kv_watch.cc
+++ b/outside/kv_watch.cc
@@ -3,9 +3,9 @@
 #include <boost/asio/redirect_error.hpp>
 #include <boost/asio/use_awaitable.hpp>
 
-// The queue's timer stands for "something may have come": a push cancels it, which wakes the
-// reader. A reader too slow for the queue's bound loses the watch and reads the prefix anew, so
-// memory stays bounded and no change is skipped unnoticed.
+// The timer serves as a condition variable: push and close cancel it, which wakes the reader. If
+// the reader is too slow for the queue's bound, the watch is closed with an error and the reader
+// has to read the prefix again. So memory stays bounded and no change is lost unnoticed.
 
 namespace jaynotch {
 
@@ -23,7 +23,7 @@
         return;
     m_events += batch.events.size();
     if (m_events > max_queued_events) {
-        close({error_kind::too_large, "the watch's reader lags too far behind",
+        close({error_kind::too_large, "watch closed because its reader has too many unread changes",
                "read the prefix and watch from its revision + 1"});
         return;
     }
--- a/outside/kv_watch.h
+++ b/outside/kv_watch.h
@@ -1,4 +1,4 @@
-// What reads and watches of the key-value service bring, whichever adapter they come through.
+// Results of reads and watches of the key-value service, common to all adapters.
 //
 //   result<kv_watch> watch = co_await kv.watch("/records/", revision + 1);
 //   result<kv_watch_batch> seen = co_await watch.value().next(10s);   // empty: nothing changed
@@ -19,16 +19,16 @@
 
 namespace jaynotch {
 
-/// Answer of a get.
+/// Result of reading one key.
 struct kv_read {
     std::int64_t revision = 0; ///< of the whole store
     std::optional<kv_entry> entry;
 
-    /// What a compare on the key must name; 0 if it does not exist.
+    /// The mod_revision for a kv_compare on the key; 0 if the key does not exist.
     [[nodiscard]] std::int64_t mod_revision() const { return entry ? entry->mod_revision : 0; }
 };
 
-/// Answer of get_prefix, by key.
+/// Result of reading a prefix, sorted by key.
 struct kv_range {
     std::int64_t revision = 0; ///< of the whole store; watch from revision + 1
     std::vector<kv_entry> entries;
@@ -39,19 +39,21 @@
     std::chrono::seconds ttl{0};
 };
 
-/// Changes that a watch saw, in order of revision.
+/// Changes that a watch received, in order of revision.
 struct kv_watch_batch {
-    std::int64_t revision = 0; ///< the store's when the batch was sent; 0 if nothing came
+    std::int64_t revision = 0; ///< of the store when the batch was sent; 0 if none was
     std::vector<kv_event> events;
 };
 
-/// Where adapters put what a watch sees and where its owner takes it.
+/// Queue from an adapter, which pushes the changes of a watch, to the watch's reader.
 class kv_watch_queue {
 public:
     explicit kv_watch_queue(const boost::asio::any_io_executor& executor);
     void push(kv_watch_batch batch);
     void close(error reason);
     [[nodiscard]] bool closed() const { return m_close_reason.has_value(); }
+    /// Waits up to `timeout` for a batch; an empty batch if none came. Once the queue is closed and
+    /// its batches are read, the reason of the closing is returned.
     awaitable<result<kv_watch_batch>> next(duration timeout);
 
 private:
@@ -61,17 +63,18 @@
     std::optional<error> m_close_reason;
 };
 
-/// How often a watch that is made of waiting calls calls. Takes effect with the next call.
+/// Timing of a watch that consists of long polls. A change takes effect with the next poll.
 struct watch_pace {
-    /// One call waits for a change for this long. A connection that went silent is noticed only
-    /// after it and `slack`, so both together must be shorter than a change may take.
+    /// Longest wait of one poll for a change. A connection that no longer responds is detected only
+    /// after `wait` + `response_margin`, so their sum must be below the allowed delay of a change.
     std::chrono::milliseconds wait{1'000};
     std::chrono::milliseconds response_margin{800}; ///< after `wait`, for the answer to arrive
-    /// Between a call that brought changes and the next, so that changes come in batches.
+    /// Pause after a poll that returned changes, so that later changes arrive in batches.
     duration batch_delay = std::chrono::milliseconds{40};
-    duration batch_delay_per_change{
-        0};                      ///< longer by this for each change that the call brought, ...
-    duration max_batch_delay{0}; ///< ... up to this
+    /// Added to `batch_delay` for each change that the poll returned, ...
+    duration batch_delay_per_change{0};
+    /// ... up to this total; no effect if below `batch_delay`.
+    duration max_batch_delay{0};
 
     [[nodiscard]] duration pause_after(std::size_t changes) const
     {
@@ -80,23 +83,23 @@
     }
 };
 
-/// Calls of a store's own protocol, where one of ours takes several.
+/// Calls in a store's own protocol, where one call of the adapter takes several of them.
 struct kv_wire_calls {
-    std::uint64_t watches = 0; ///< waiting calls of all watches
-    std::uint64_t pages = 0;   ///< of readings of a prefix
+    std::uint64_t watches = 0; ///< polls of all watches
+    std::uint64_t pages = 0;   ///< page requests of prefix reads
 };
 
-/// One watch. It ends when it is destroyed.
+/// One watch. Destroying it ends it.
 class kv_watch {
 public:
     kv_watch(std::shared_ptr<kv_watch_queue> queue, std::shared_ptr<void> source);
-    /// Waits for changes. An empty batch means that none came within `timeout`. After an
-    /// error the watch is over: read the prefix and watch anew from its revision + 1.
+    /// Waits for changes. An empty batch means that none came within `timeout`. After an error the
+    /// watch has ended: read the prefix and start a new watch from its revision + 1.
     awaitable<result<kv_watch_batch>> next(duration timeout);
 
 private:
     std::shared_ptr<kv_watch_queue> m_queue;
-    std::shared_ptr<void> m_source; ///< what ends the watch when it goes
+    std::shared_ptr<void> m_source; ///< ends the watch when it is destroyed
 };
 
 } // namespace jaynotch
--- a/outside/outside.h
+++ b/outside/outside.h
@@ -1,5 +1,6 @@
-// Public header of the outside library: the outside systems as this project sees them. Types only;
-// adapters (`services/` for our own forms, `platform/` for the users') fill them.
+// Public header of the outside library: data types for external systems, independent of any wire
+// format. Adapters fill them: `services/` from this project's own formats, `platform/` from those
+// of the users' platform.
 #pragma once
 
 #include "outside/call_facts.h"
--- a/outside/runner.h
+++ b/outside/runner.h
@@ -1,5 +1,6 @@
-// A backend server as it describes itself in the platform's registry, and the orders that a member
-// of a group takes. Plain data in our own terms; `platform/` translates it from and to the wire.
+// A backend server (runner) as described by its entry in the platform's registry, and the orders
+// that members of a group receive. Wire-independent data; `platform/` translates it from and to the
+// wire.
 //
 //   const runner& seen = roster.at(id);
 //   if (seen.group && seen.group->phase == member_phase::open) ...   // the head of a serving group
@@ -16,13 +17,13 @@
 
 namespace jaynotch {
 
-/// How far a member has come in its group.
+/// State of a member of a group.
 enum class member_phase {
-    joining, ///< loads or warms up
-    ready,   ///< loaded; a head that is ready serves nothing yet
+    joining, ///< loading weights or warming up
+    ready,   ///< loaded; a head in this phase does not serve yet
     open,    ///< a head that serves requests
-    closing, ///< a head that finishes what it has and takes nothing new
-    broken,  ///< a head that has lost a member and refuses everything
+    closing, ///< a head that finishes its requests and accepts no new ones
+    broken,  ///< a head that has lost a member and refuses all requests
 };
 
 template <>
@@ -34,90 +35,90 @@
     };
 };
 
-/// Which group a runner is in, by its own word.
+/// Membership in a group, as the runner reports it.
 struct membership {
     group_id group;
-    std::int64_t epoch = 0; ///< tells one composition of a group from the next
-    std::uint32_t rank = 0; ///< 0 is the head, which alone takes requests
+    std::int64_t epoch = 0; ///< distinguishes successive member lists of a group
+    std::uint32_t rank = 0; ///< 0 is the head, the only member that receives requests
     member_phase phase = member_phase::joining;
 
     friend bool operator==(const membership&, const membership&) = default;
 };
 
-/// One start of a backend server. A server that starts again under its old id has another `born`.
+/// One process of a backend server. A restarted server with the same id has another `born_ms`.
 struct runner {
     vm_id id;
-    std::string service; ///< what it belongs to; pools of that service are its own
+    std::string service; ///< service it belongs to; it serves pools of that service only
     std::string address; ///< "IP:port"
     failure_domain_id failure_domain;
     fabric_domain_id fabric_domain;  ///< empty for plain servers
-    std::int64_t born_ms = 0;        ///< time of day of its start, by its own clock
-    std::uint32_t places = 0;        ///< requests at once
-    bool leaving = false;            ///< takes nothing new
-    std::vector<std::string> staged; ///< models whose weights lie on its host
-    std::string model;               ///< model that is loaded, empty if none is
+    std::int64_t born_ms = 0;        ///< wall-clock time of its start, by its own clock
+    std::uint32_t places = 0;        ///< requests that it serves concurrently
+    bool leaving = false;            ///< draining: accepts no new requests
+    std::vector<std::string> staged; ///< models whose weights are on its host
+    std::string model;               ///< loaded model; empty if none
     std::optional<membership> group;
 
-    /// Whether it is one of a model's runners.
+    /// Whether it is a runner of models, which serve in groups, and not a plain server.
     [[nodiscard]] bool joins_groups() const { return !fabric_domain.value().empty(); }
     friend bool operator==(const runner&, const runner&) = default;
 };
 
-/// What a runner says of its group when it is asked itself, not through the registry.
+/// State that a runner reports when it is queried directly, not through the registry.
 struct runner_word {
     vm_id vm;
-    std::int64_t born_ms = 0; ///< of the start that it holds for; 0 if it does not say
+    std::int64_t born_ms = 0; ///< start of the reporting process; 0 if not stated
     std::optional<membership> group;
-    std::string model; ///< loaded; empty if none is
+    std::string model; ///< loaded model; empty if none
 
     friend bool operator==(const runner_word&, const runner_word&) = default;
 };
 
-/// What a runner answers when it is asked itself. It may be some 100 ms old.
+/// A runner's answer to a direct query. Its data may be about 100 ms old.
 struct runner_report {
     runner_word word;
-    std::int64_t orders = 0; ///< that it had begun in this start when the word held
+    std::int64_t orders = 0; ///< number of orders begun since its start, as of `word`
 };
 
-/// Makes the runner a member of a group; each member gets the same list.
+/// Makes the runner a member of a group. Each member receives the same list.
 struct join_group {
     group_id group;
     std::int64_t epoch = 0;
     std::string model;
     std::vector<vm_id> members; ///< by rank
-    /// A misfit unless the runner has begun just so many orders in this start. So a join that is
-    /// carried out late, or was ordered on an old belief, moves nobody.
+    /// If set, the runner answers `misfit` unless it has begun exactly this many orders since its
+    /// start. So a join that arrives late, or was ordered on stale state, moves no runner.
     std::optional<std::int64_t> expected_order_count;
 };
-/// Has a head whose members are all ready begin to serve.
+/// Makes a head whose members are all ready start to serve.
 struct open_group {
     group_id group;
     std::int64_t epoch = 0;
 };
-/// Has a head finish what it has and take nothing new; then it is ready again.
+/// Makes a head finish its requests and accept no new ones; after that it is `ready` again.
 struct close_group {
     group_id group;
     std::int64_t epoch = 0;
 };
-/// Takes the runner out of a group at once.
+/// Removes the runner from a group immediately.
 struct leave_group {
     group_id group;
     std::int64_t epoch = 0;
 };
-/// Brings a model's weights onto the runner's host, beside whatever else it does.
+/// Loads a model's weights onto the runner's host, independently of its other work.
 struct stage_model {
     std::string model;
 };
 using member_order = std::variant<join_group, open_group, close_group, leave_group, stage_model>;
 
-/// What a runner says to an order.
+/// A runner's reply to an order.
 enum class order_reply {
-    begun,     ///< it is being carried out
-    holds,     ///< the state is already as ordered
-    misfit,    ///< it does not fit the runner's state
-    outdated,  ///< a newer fencing number or epoch is known there
+    begun,     ///< the order is being executed
+    holds,     ///< the ordered state is already in place
+    misfit,    ///< the order conflicts with the runner's state
+    outdated,  ///< the runner knows a newer fencing number or epoch
     elsewhere, ///< another runner answers at that address
-    lost,      ///< no answer: it may be carried out, also seconds later
+    lost,      ///< no reply: the order may still be executed, even seconds later
 };
 
 template <>
