--- a/base/log_test.cc
+++ b/base/log_test.cc
@@ -26,7 +26,7 @@
 
 } // namespace
 
-Test(log_buffer, what_is_urgent_goes_out_first)
+Test(log_buffer, urgent_lines_are_written_first)
 {
     log_buffer lines{{}};
     lines.add(log_level::info, "a", line('a'), start);
@@ -35,8 +35,9 @@
     cr_assert_eq(out, line('b') + line('a'));
 }
 
-// A line that is partly out is ended before any other, however urgent: two lines mixed are none.
-Test(log_buffer, a_line_that_was_begun_is_ended_first)
+// Interleaved lines would both be unreadable, so a partly written line is completed before any
+// other, even an urgent one.
+Test(log_buffer, a_partly_written_line_is_completed_first)
 {
     log_buffer lines{{}};
     lines.add(log_level::info, "a", line('a'), start);
@@ -45,17 +46,17 @@
     cr_assert_eq(drain(lines), line('a').substr(10) + line('b'));
 }
 
-// Nobody reads the log. It holds what it may and no more, keeps room for what is urgent, and says
-// what it dropped.
+// Without a reader the buffer must not grow beyond its limits. It keeps space for urgent lines and
+// counts the lines that it drops.
 Test(log_buffer, an_unread_log_stays_within_its_bounds)
 {
-    log_buffer lines{{.held_bytes = 1'000, .held_routine_bytes = 700}};
+    log_buffer lines{{.max_buffered_bytes = 1'000, .max_buffered_routine_bytes = 700}};
     for (int index = 0; index < 50; ++index)
         lines.add(log_level::info, "routine", line('a'), start);
-    cr_assert_eq(lines.held(), 700U);
+    cr_assert_eq(lines.buffered_bytes(), 700U);
     for (int index = 0; index < 50; ++index)
         lines.add(log_level::error, "urgent", line('b'), start);
-    cr_assert_eq(lines.held(), 1'000U);
+    cr_assert_eq(lines.buffered_bytes(), 1'000U);
     const auto dropped = lines.take_dropped();
     cr_assert_eq(dropped.at("routine"), 43U);
     cr_assert_eq(dropped.at("urgent"), 47U);
@@ -63,7 +64,7 @@
     cr_assert_eq(lines.dropped(), 90U);
 }
 
-Test(log_buffer, a_flood_of_routine_lines_is_held_to_its_rate)
+Test(log_buffer, routine_lines_are_rate_limited)
 {
     log_buffer lines{{.routine_bytes_s = 1'000.0, .burst_s = 2.0}};
     std::size_t taken = 0;
@@ -71,7 +72,7 @@
         taken += lines.add(log_level::info, "routine", line('a'), start + step * 10ms) ? 1 : 0;
         drain(lines);
     }
-    cr_assert_leq(taken, 121U); // ten seconds at ten lines, and what was saved up
+    cr_assert_leq(taken, 121U); // ten seconds at ten lines a second, and a full bucket
     cr_assert_geq(taken, 115U);
     cr_assert(lines.add(log_level::error, "urgent", line('b'), start + 10s));
 }
--- a/config/accept.cc
+++ b/config/accept.cc
@@ -136,7 +136,7 @@
     head_record revision_record = plan.next_head;
     revision_record.history.resize(1);
 
-    const std::vector<std::string> stored_pages = pages_of(stored.head.manifest);
+    const std::vector<std::string> stored_pages = referenced_digests(stored.head.manifest);
     std::vector<kv_operation> puts;
     for (const table_page& page : paged.pages) {
         if (!std::binary_search(stored_pages.begin(), stored_pages.end(), page.digest))
--- a/config/collect.cc
+++ b/config/collect.cc
@@ -42,7 +42,7 @@
 {
     retained_keys out;
     const auto keep_pages = [&](const page_manifest& manifest) {
-        for (const std::string& digest : pages_of(manifest))
+        for (const std::string& digest : referenced_digests(manifest))
             out.keys.insert(keys.page(digest));
     };
     keep_pages(head.manifest);
--- a/config/spread.cc
+++ b/config/spread.cc
@@ -402,7 +402,7 @@
     std::map<std::string, std::string> already_received;
     if (m_fetch)
         already_received = std::move(m_fetch->received);
-    for (const std::string& digest : pages_of(head.manifest)) {
+    for (const std::string& digest : referenced_digests(head.manifest)) {
         const auto received = already_received.find(digest);
         if (received != already_received.end())
             next.received.insert(*received);
@@ -455,7 +455,7 @@
     m_fetch.reset();
     std::map<std::string, std::string> pages = std::move(done.received);
     std::vector<table_page> parts;
-    recent_revision recent{done.head, pages_of(done.head.manifest)};
+    recent_revision recent{done.head, referenced_digests(done.head.manifest)};
     recent.head.history.resize(1);
     for (const std::string& digest : recent.digests) {
         const auto kept = m_pages.find(digest);
--- a/config/spread_test.cc
+++ b/config/spread_test.cc
@@ -219,7 +219,7 @@
     const time_point now{seconds{5}};
     (void)core.tick(now);
     config_reply reply{head.revision(), render_head(head), {}, {}};
-    for (const std::string& digest : pages_of(head.manifest))
+    for (const std::string& digest : referenced_digests(head.manifest))
         reply.pages.push_back({digest, "[]"});
     (void)core.peer_message_received(now, {node_id{"y"}, config_digest{head.revision(), false}});
     (void)core.peer_message_received(now, {node_id{"y"}, reply});
@@ -303,7 +303,7 @@
         }
         cr_assert_gt(planned, 0U, "no deletions were planned, so the race was not exercised");
         const head_record head = parse_head(store.find(keys.head())->value).value();
-        for (const std::string& digest : pages_of(head.manifest))
+        for (const std::string& digest : referenced_digests(head.manifest))
             cr_assert(store.find(keys.page(digest)) != nullptr, "order %s", order.c_str());
         for (const history_entry& kept : head.history)
             cr_assert(store.find(keys.revision(kept.revision)) != nullptr);
--- a/daemon/forward_front.cc
+++ b/daemon/forward_front.cc
@@ -69,21 +69,21 @@
         co_return error{error_kind::overloaded, "this node holds as many requests as it may",
                         "come back later, or raise --max_requests"};
     incoming.body = std::move(body).value();
-    result<call_facts> facts = platform::read_call(exchange.request());
-    if (!facts)
-        co_return facts.error();
+    result<call_metadata> metadata = platform::read_call(exchange.request());
+    if (!metadata)
+        co_return metadata.error();
     request_info& info = incoming.info;
     info.kind = request_kind::plain;
     info.method = std::string{exchange.request().method_string()};
     info.path = std::string{exchange.path()};
     info.host = normalize_host(exchange.header("Host"));
-    info.model = facts.value().model;
-    info.credential = facts.value().credential;
-    info.prompt_tokens = facts.value().prompt_tokens;
-    info.answer_tokens = facts.value().answer_tokens;
-    if (facts.value().patience)
-        info.deadline = incoming.arrived + *facts.value().patience;
-    incoming.facts = std::move(facts).value();
+    info.model = metadata.value().model;
+    info.credential = metadata.value().credential;
+    info.prompt_tokens = metadata.value().prompt_tokens;
+    info.answer_tokens = metadata.value().answer_tokens;
+    if (metadata.value().caller_timeout)
+        info.deadline = incoming.arrived + *metadata.value().caller_timeout;
+    incoming.metadata = std::move(metadata).value();
     co_return success();
 }
 
--- a/daemon/registry_feed.cc
+++ b/daemon/registry_feed.cc
@@ -40,17 +40,17 @@
 constexpr duration push_interval = std::chrono::milliseconds{400};
 /// Each call costs the store the same whatever it returns, so changes are collected into batches.
 /// The delay is short compared with the time within which a change must be in force.
-constexpr watch_pace first_follower_pace{.gather = std::chrono::milliseconds{120}};
+constexpr watch_pace first_follower_pace{.batch_delay = std::chrono::milliseconds{120}};
 /// While a follower of lower rank is up to date, this one only has to be ready to take over, so it
 /// may wait longer.
-constexpr watch_pace other_follower_pace{.gather = std::chrono::milliseconds{500}};
+constexpr watch_pace other_follower_pace{.batch_delay = std::chrono::milliseconds{500}};
 /// For a watcher on which no other node depends.
-constexpr watch_pace non_follower_pace{.gather = std::chrono::milliseconds{100}};
+constexpr watch_pace non_follower_pace{.batch_delay = std::chrono::milliseconds{100}};
 /// While a large fleet starts, no node knows its peers yet, so all of them watch, and all entries
 /// change.
-constexpr watch_pace start_pace{.gather = std::chrono::milliseconds{100},
-                                .gather_a_change = std::chrono::milliseconds{10},
-                                .most_gather = std::chrono::milliseconds{800}};
+constexpr watch_pace start_pace{.batch_delay = std::chrono::milliseconds{100},
+                                .batch_delay_per_change = std::chrono::milliseconds{10},
+                                .max_batch_delay = std::chrono::milliseconds{800}};
 constexpr duration startup_period = std::chrono::seconds{6};
 /// After this long without a watch, reading everything costs less than reading all changes since.
 constexpr duration max_watch_gap = std::chrono::seconds{3};
--- a/daemon/relay.cc
+++ b/daemon/relay.cc
@@ -50,8 +50,8 @@
 relay_request::impl::impl(relay_services& services, http_exchange& exchange,
                           incoming_request incoming)
     : m_services{services}, m_exchange{exchange}, m_incoming{std::move(incoming)},
-      m_attempt_ended{services.io, time_point::max()}, m_log{m_incoming.facts
-                                                                 ? m_incoming.facts->attempt
+      m_attempt_ended{services.io, time_point::max()}, m_log{m_incoming.metadata
+                                                                 ? m_incoming.metadata->attempt
                                                                  : std::string{},
                                                              m_incoming.arrived}
 {}
@@ -68,11 +68,11 @@
     };
     m_admission_span =
         m_services.spans.begin("admission", span_kind::internal, m_incoming.server_span.context);
-    if (m_incoming.facts)
-        m_log.admitted(m_incoming.info, *m_incoming.facts);
+    if (m_incoming.metadata)
+        m_log.admitted(m_incoming.info, *m_incoming.metadata);
     m_services.driver.handle(request_arrived{m_incoming.info});
     m_exchange.watch_caller(report_caller_gone,
-                            m_incoming.model.has_value() || m_incoming.facts.has_value());
+                            m_incoming.model.has_value() || m_incoming.metadata.has_value());
     bool done = false;
     while (!done) {
         const command cmd = co_await m_inbox->next();
@@ -125,7 +125,7 @@
         attempt.stream->cancel();
     else
         attempt.cancel_signal.emit(net::cancellation_type::terminal);
-    if (attempt.sent && attempt.send_command.kind == pool_kind::model && !m_incoming.facts)
+    if (attempt.sent && attempt.send_command.kind == pool_kind::model && !m_incoming.metadata)
         net::co_spawn(m_services.io,
                       cancel_at_engine(m_services.io.get_executor(), attempt.send_command.address,
                                        attempt.send_command.attempt),
@@ -187,7 +187,7 @@
             succeeded = co_await m_exchange.write(m_buffered_answer->body);
         }
     }
-    else if (m_streaming_events && !m_incoming.facts) {
+    else if (m_streaming_events && !m_incoming.metadata) {
         succeeded = co_await m_exchange.write(done_event);
     }
     if (succeeded) {
@@ -225,7 +225,7 @@
         m_exchange.abort();
     }
     else {
-        if (m_streaming_events && !m_incoming.facts) {
+        if (m_streaming_events && !m_incoming.metadata) {
             const refusal reply{.failure = cmd.failure, .ran = ran_state::unknown};
             const std::string last = error_event(refusal_body(reply));
             co_await m_exchange.write(last);
@@ -238,7 +238,7 @@
 net::awaitable<void> relay_request::impl::end_abandoned()
 {
     m_log.abandoned(m_any_attempt_sent, m_event_count);
-    if (!m_incoming.facts && !m_exchange.begun() && m_exchange.half_closed() && !m_writing) {
+    if (!m_incoming.metadata && !m_exchange.begun() && m_exchange.half_closed() && !m_writing) {
         const refusal reply{.failure = {error_kind::cancelled,
                                         "the connection's sending half was closed before the "
                                         "answer came, which counts as giving up",
--- a/daemon/relay.h
+++ b/daemon/relay.h
@@ -50,7 +50,7 @@
     request_info info;                  ///< the relay fills in the id
     std::optional<model_request> model; ///< set for chat and completion requests
     /// Set if the request is passed on unchanged: what its headers state.
-    std::optional<call_facts> facts;
+    std::optional<call_metadata> metadata;
     std::string body;         ///< plain services: as received, if it was buffered
     bool stream_body = false; ///< plain services: the relay reads the body while sending
     span server_span;         ///< of this node serving the request
--- a/daemon/relay_attempt.cc
+++ b/daemon/relay_attempt.cc
@@ -143,7 +143,7 @@
 
 net::awaitable<void> relay_request::impl::send(attempt_state& attempt)
 {
-    if (m_incoming.facts) {
+    if (m_incoming.metadata) {
         co_await forward(attempt);
         co_return;
     }
--- a/daemon/relay_forward.cc
+++ b/daemon/relay_forward.cc
@@ -38,7 +38,7 @@
 refusal relay_request::impl::make_refusal(const refuse& cmd) const
 {
     refusal reply{.failure = cmd.failure, .ran = cmd.ran, .retry_after = cmd.retry_after};
-    if (!m_incoming.facts)
+    if (!m_incoming.metadata)
         return reply;
     reply.fractions = true;
     // Callers take 503 and 429 to mean that the request did not run, so these are used only if that
@@ -56,13 +56,13 @@
 http_request relay_request::impl::build_forwarded_request(const attempt_state& attempt) const
 {
     const auto& received = m_exchange.request();
-    const auto left = std::chrono::duration_cast<std::chrono::milliseconds>(
+    const auto time_left = std::chrono::duration_cast<std::chrono::milliseconds>(
         attempt.send_command.deadline - runtime_clock::now());
-    call_dress outgoing;
-    outgoing.left = std::max(left, std::chrono::milliseconds{1});
+    forwarded_metadata outgoing;
+    outgoing.time_left = std::max(time_left, std::chrono::milliseconds{1});
     outgoing.instance = attempt.send_command.instance;
     outgoing.workspace = attempt.send_command.workspace;
-    outgoing.after_event = m_last_event_id ? m_last_event_id : m_incoming.facts->after_event;
+    outgoing.after_event = m_last_event_id ? m_last_event_id : m_incoming.metadata->after_event;
     http_request request;
     request.method = received.method();
     request.target = std::string{received.target()};
@@ -82,9 +82,9 @@
         co_return;
     http_stream& answer = *opened;
     attempt.stream = &answer;
-    answer_facts facts = platform::read_answer(answer.status(), answer.headers());
+    answer_metadata metadata = platform::read_answer(answer.status(), answer.headers());
     for (std::size_t skipped = 0;
-         !facts.attempt.empty() && facts.attempt != m_incoming.facts->attempt &&
+         !metadata.attempt.empty() && metadata.attempt != m_incoming.metadata->attempt &&
          skipped < max_foreign_answers;
          ++skipped)
     {
@@ -96,60 +96,61 @@
             report_failure(attempt, attempt_failure::wrong_attempt);
             co_return;
         }
-        facts = platform::read_answer(answer.status(), answer.headers());
+        metadata = platform::read_answer(answer.status(), answer.headers());
     }
-    if (facts.idle_limit)
-        answer.set_idle_limit(*facts.idle_limit - idle_margin);
-    if (facts.running && !facts.did_not_run)
-        m_services.driver.handle(
-            load_reported{attempt.send_command.target, {*facts.running, facts.waiting, 0.0}, {}});
-    report_limit(attempt, facts);
-    const bool unsealed = is_success(answer.status()) && !facts.sealed;
+    if (metadata.idle_limit)
+        answer.set_idle_limit(*metadata.idle_limit - idle_margin);
+    if (metadata.running && !metadata.did_not_run)
+        m_services.driver.handle(load_reported{
+            attempt.send_command.target, {*metadata.running, metadata.waiting, 0.0}, {}});
+    report_limit(attempt, metadata);
+    const bool unsealed = is_success(answer.status()) && !metadata.sealed;
     if (unsealed || !answer.header("Content-Encoding").empty()) {
         report_failure(attempt, attempt_failure::protocol);
     }
     else if (answer.status() == http::status::ok &&
              answer.header("Content-Type").starts_with(event_stream))
     {
-        co_await forward_events(attempt, answer, facts);
+        co_await forward_events(attempt, answer, metadata);
     }
     else {
-        co_await forward_buffered(attempt, answer, facts);
+        co_await forward_buffered(attempt, answer, metadata);
     }
     attempt.stream = nullptr;
 }
 
 /// Reports the rate limit that an answer of any status states, or that it states none.
-void relay_request::impl::report_limit(const attempt_state& attempt, const answer_facts& facts)
+void relay_request::impl::report_limit(const attempt_state& attempt,
+                                       const answer_metadata& metadata)
 {
-    if (facts.wrong_instance)
+    if (metadata.wrong_instance)
         return; // the limit is of another server
-    if (!facts.unreadable_limit.empty()) {
-        log_event(
-            log_level::warning, "server_limit_unreadable",
-            {{"server", attempt.send_command.instance.value()}, {"text", facts.unreadable_limit}});
+    if (!metadata.unreadable_limit.empty()) {
+        log_event(log_level::warning, "server_limit_unreadable",
+                  {{"server", attempt.send_command.instance.value()},
+                   {"text", metadata.unreadable_limit}});
         return;
     }
     m_services.driver.handle(
-        response_limit_received{attempt.send_command.target, facts.rate_limit});
+        response_limit_received{attempt.send_command.target, metadata.rate_limit});
 }
 
 bool relay_request::impl::report_forwarded_head(attempt_state& attempt, const http_stream& answer,
-                                                const answer_facts& facts, delivery_mode mode)
+                                                const answer_metadata& metadata, delivery_mode mode)
 {
     attempt_head head = make_head(attempt, answer, mode);
-    head.reported_not_run = facts.did_not_run;
-    head.wrong_instance = facts.wrong_instance;
-    if (!facts.attempt.empty() && facts.attempt != m_incoming.facts->attempt)
+    head.reported_not_run = metadata.did_not_run;
+    head.wrong_instance = metadata.wrong_instance;
+    if (!metadata.attempt.empty() && metadata.attempt != m_incoming.metadata->attempt)
         head.echoed = attempt_id{0}; // an id that no attempt has
     return report_head(attempt, head);
 }
 
 net::awaitable<bool> relay_request::impl::begin_forwarded(attempt_state& attempt,
                                                           const http_stream& answer,
-                                                          const answer_facts& facts)
+                                                          const answer_metadata& metadata)
 {
-    if (!report_forwarded_head(attempt, answer, facts, delivery_mode::streamed))
+    if (!report_forwarded_head(attempt, answer, metadata, delivery_mode::streamed))
         co_return false;
     if (m_streaming_events)
         co_return true; // the caller has the head of an earlier server's answer
@@ -160,7 +161,7 @@
 
 net::awaitable<void> relay_request::impl::forward_events(attempt_state& attempt,
                                                          http_stream& answer,
-                                                         const answer_facts& facts)
+                                                         const answer_metadata& metadata)
 {
     sse_splitter events{max_event_bytes};
     bool begun = false;
@@ -199,7 +200,7 @@
         if (count == 0)
             continue;
         if (!begun) {
-            begun = co_await begin_forwarded(attempt, answer, facts);
+            begun = co_await begin_forwarded(attempt, answer, metadata);
             if (!begun)
                 co_return;
         }
@@ -213,7 +214,7 @@
 
 net::awaitable<void> relay_request::impl::forward_buffered(attempt_state& attempt,
                                                            http_stream& answer,
-                                                           const answer_facts& facts)
+                                                           const answer_metadata& metadata)
 {
     std::optional<std::string> body =
         co_await read_full_body(attempt, answer, m_services.settings.limits.answer_bytes);
@@ -225,7 +226,7 @@
         report_failure(attempt, attempt_failure::protocol);
         co_return;
     }
-    if (!report_forwarded_head(attempt, answer, facts, delivery_mode::buffered))
+    if (!report_forwarded_head(attempt, answer, metadata, delivery_mode::buffered))
         co_return;
     m_buffered_answer =
         buffered_answer{answer.status(), platform::forwarded(answer.headers()), std::move(*body)};
--- a/daemon/relay_way.h
+++ b/daemon/relay_way.h
@@ -108,15 +108,15 @@
     // relay_forward.cc
     net::awaitable<void> forward(attempt_state& attempt);
     http_request build_forwarded_request(const attempt_state& attempt) const;
-    void report_limit(const attempt_state& attempt, const answer_facts& facts);
+    void report_limit(const attempt_state& attempt, const answer_metadata& metadata);
     bool report_forwarded_head(attempt_state& attempt, const http_stream& answer,
-                               const answer_facts& facts, delivery_mode mode);
+                               const answer_metadata& metadata, delivery_mode mode);
     net::awaitable<void> forward_events(attempt_state& attempt, http_stream& answer,
-                                        const answer_facts& facts);
+                                        const answer_metadata& metadata);
     net::awaitable<void> forward_buffered(attempt_state& attempt, http_stream& answer,
-                                          const answer_facts& facts);
+                                          const answer_metadata& metadata);
     net::awaitable<bool> begin_forwarded(attempt_state& attempt, const http_stream& answer,
-                                         const answer_facts& facts);
+                                         const answer_metadata& metadata);
     [[nodiscard]] refusal make_refusal(const refuse& cmd) const;
     [[nodiscard]] bool has_idempotency_key() const
     {
--- a/daemon/request_log.h
+++ b/daemon/request_log.h
@@ -20,7 +20,7 @@
     /// `request`: the caller's name for the request. If it is empty, nothing is logged.
     request_log(std::string request, time_point arrived);
 
-    void admitted(const request_info& info, const call_facts& facts) const;
+    void admitted(const request_info& info, const call_metadata& metadata) const;
     void sent(const send_attempt& attempt) const;
     void attempt_failed(const send_attempt& attempt, std::string_view reason, bool sent) const;
     /// The node has cancelled the attempt.
--- a/groups/fake_runner.cc
+++ b/groups/fake_runner.cc
@@ -105,7 +105,7 @@
 {
     if (order.epoch < target.epoch)
         return order_reply::outdated;
-    if (order.orders_before && *order.orders_before != target.begun_orders)
+    if (order.expected_order_count && *order.expected_order_count != target.begun_orders)
         return order_reply::misfit;
     const bool same = target.row.group && target.row.group->group == order.group &&
                       target.row.group->epoch == order.epoch;
--- a/routing/engine_model.cc
+++ b/routing/engine_model.cc
@@ -33,21 +33,23 @@
 
 double pass_ms(const engine_figures& figures, double sequences)
 {
-    const double context = sequences * (figures.usual_prompt + figures.usual_answer / 2.0);
+    const double context =
+        sequences * (figures.mean_prompt_tokens + figures.mean_answer_tokens / 2.0);
     const double step = figures.step_ms + figures.sequence_ms * sequences +
                         figures.context_ms_per_1k * context / tokens_in_unit;
-    return figures.steps_in_pass * step * figures.pace;
+    return figures.steps_per_pass * step * figures.time_factor;
 }
 
 double prompt_ms(const engine_figures& figures, double tokens)
 {
     const double pairs = tokens * tokens / 2.0 / pairs_in_unit;
-    return (tokens / figures.prompt_tokens_per_ms + pairs * figures.pairs_ms_per_1m) * figures.pace;
+    return (tokens / figures.prompt_tokens_per_ms + pairs * figures.pairs_ms_per_1m) *
+           figures.time_factor;
 }
 
 double answer_ms(const engine_figures& figures, double sequences)
 {
-    const double passes = std::ceil(figures.usual_answer / double(figures.steps_in_pass));
+    const double passes = std::ceil(figures.mean_answer_tokens / double(figures.steps_per_pass));
     return passes * pass_ms(figures, sequences);
 }
 
@@ -60,7 +62,7 @@
     // one.
     double ms = (work.running > 0.0 ? 1.5 : 1.0) * pass;
     ms += prompt_ms(figures, prompt_tokens) + prompt_ms(figures, work.pending_tokens);
-    ms += work.waiting * prompt_ms(figures, figures.usual_prompt);
+    ms += work.waiting * prompt_ms(figures, figures.mean_prompt_tokens);
     // The time until as many running requests have ended as exceed the places.
     const double excess = work.running + work.waiting + 1.0 - places;
     ms += mean_of_positive_part(excess, work.deviation) * answer_ms(figures, sequences + 1.0) /
@@ -71,9 +73,9 @@
 duration max_event_gap(const engine_figures& figures, double places, double pending_tokens)
 {
     constexpr double other_prompts = 4.0; // usual prompts that other nodes may have waiting
-    const double in_one_pass = double(figures.steps_in_pass) * figures.chunk_tokens;
+    const double in_one_pass = double(figures.steps_per_pass) * figures.chunk_tokens;
     const double read =
-        std::min(in_one_pass, pending_tokens + other_prompts * figures.usual_prompt);
+        std::min(in_one_pass, pending_tokens + other_prompts * figures.mean_prompt_tokens);
     const double ms = pass_ms(figures, places) + prompt_ms(figures, read);
     return std::chrono::duration_cast<duration>(std::chrono::duration<double, std::milli>{ms});
 }
--- a/routing/request_state.h
+++ b/routing/request_state.h
@@ -56,9 +56,9 @@
     std::chrono::milliseconds timeout{0};
     std::chrono::milliseconds longest_stream{0};
     std::chrono::seconds key_keeping{0};
-    bool resumable = false;         ///< an interrupted stream may resume on another target
-    bool repeat_failures = false;   ///< a status 500 may be retried on another server
-    std::uint32_t most_servers = 0; ///< servers it may run on; 0: limited by `retries` only
+    bool resumable = false;           ///< an interrupted stream may resume on another target
+    bool retry_server_errors = false; ///< a status 500 may be retried on another server
+    std::uint32_t most_servers = 0;   ///< servers it may run on; 0: limited by `retries` only
 };
 
 struct request_row {
