--- a/config/config_service_test.cc
+++ b/config/config_service_test.cc
@@ -228,7 +228,7 @@
     cr_assert(test.apply(first, 0, routes, pools(1), "c1").has_value());
     cr_assert(test.until([&] { return second.highest == 1; }));
     test.server->faults.outage = true;
-    test.server->cut_watches();
+    test.server->close_watches();
     cr_assert(test.until([&] { return first.config->status().platform_lost; }));
     const auto failed = test.apply(first, 1, routes, pools(2), "c2");
     cr_assert(!failed && failed.error().kind == error_kind::unavailable);
--- a/daemon/forward_front.cc
+++ b/daemon/forward_front.cc
@@ -68,7 +68,7 @@
         co_return error{error_kind::overloaded, "this node holds as many requests as it may",
                         "come back later, or raise --max_requests"};
     asked.body = std::move(body).value();
-    result<call_facts> facts = platform::read_call(exchange.request());
+    result<call_facts> facts = platform::parse_call_headers(exchange.request());
     if (!facts)
         co_return facts.error();
     request_info& info = asked.info;
@@ -91,7 +91,7 @@
     ++m_services.counts.refused;
     m_services.counted.refused(why.kind);
     refusal shown{.failure = why, .ran = ran_state::no};
-    shown.fractions = true;
+    shown.fractional_retry_after = true;
     if (why.kind == error_kind::unavailable || why.kind == error_kind::overloaded)
         shown.retry_after = soon;
     if (why.kind == error_kind::deadline_exceeded)
--- a/daemon/registry_daemon.cc
+++ b/daemon/registry_daemon.cc
@@ -128,7 +128,7 @@
         m_stopping = true;
         const time_point until = runtime_clock::now() + settings.timeouts.longest_stop;
         log_event(log_level::info, "daemon_stopping", {{"in_flight", counts.in_flight}});
-        caller_server->wind_down();
+        caller_server->disable_keep_alive();
         co_await managers->resign(resignation::where_possible);
         co_await sleep_for(io, settings.timeouts.balancer);
         co_await finish_callers(io, *caller_server, counts, until);
--- a/daemon/registry_feed.cc
+++ b/daemon/registry_feed.cc
@@ -103,7 +103,7 @@
     void tick()
     {
         relay.tick();
-        kv.set_pace(pace());
+        kv.set_watch_pace(pace());
         drop_overdue();
         end_batch();
         if (current && runtime_clock::now() - m_pushed >= push_interval)
--- a/daemon/relay.cc
+++ b/daemon/relay.cc
@@ -230,14 +230,14 @@
 net::awaitable<void> relay_request::way::forget_caller()
 {
     m_log.abandoned(m_sent, m_events);
-    if (!m_asked.facts && !m_exchange.begun() && m_exchange.half_closed() && !m_writing) {
+    if (!m_asked.facts && !m_exchange.header_sent() && m_exchange.half_closed() && !m_writing) {
         const refusal shown{.failure = {error_kind::cancelled,
                                         "the connection's sending half was closed before the "
                                         "answer came, which counts as giving up",
                                         "keep the connection open until the answer is whole"},
                             .ran = m_sent ? ran_state::unknown : ran_state::no,
                             .status = http::status::bad_request};
-        m_exchange.end_connection();
+        m_exchange.close_after_answer();
         co_await m_exchange.refuse(shown);
     }
     else {
--- a/daemon/relay_forward.cc
+++ b/daemon/relay_forward.cc
@@ -38,7 +38,7 @@
     refusal shown{.failure = wanted.failure, .ran = wanted.ran, .retry_after = wanted.retry_after};
     if (!m_asked.facts)
         return shown;
-    shown.fractions = true;
+    shown.fractional_retry_after = true;
     // 503 and 429 promise that the request never ran, whatever else the answer says.
     const http::status usual = status_of(wanted.failure.kind);
     const bool promises =
@@ -63,11 +63,11 @@
     http_request request;
     request.method = received.method();
     request.target = std::string{received.target()};
-    request.headers = platform::dress(received, told);
+    request.headers = platform::forwarded_request_headers(received, told);
     request.body = m_asked.body;
     request.repeatable = attempt.order.repeat == repeat_policy::idempotent;
     if (!request.repeatable)
-        request.longest_idle = safe_idle;
+        request.max_connection_idle = safe_idle;
     return request;
 }
 
@@ -79,7 +79,7 @@
         co_return;
     http_stream& answer = *opened;
     attempt.stream = &answer;
-    answer_facts facts = platform::read_answer(answer.status(), answer.headers());
+    answer_facts facts = platform::parse_answer_headers(answer.status(), answer.headers());
     for (std::size_t skipped = 0;
          !facts.attempt.empty() && facts.attempt != m_asked.facts->attempt &&
          skipped < most_foreign_answers;
@@ -93,7 +93,7 @@
             report_failure(attempt, attempt_failure::wrong_attempt);
             co_return;
         }
-        facts = platform::read_answer(answer.status(), answer.headers());
+        facts = platform::parse_answer_headers(answer.status(), answer.headers());
     }
     if (facts.idle_limit)
         answer.set_idle_limit(*facts.idle_limit - idle_margin);
@@ -149,7 +149,7 @@
     if (m_streaming_events)
         co_return true; // goes on under the head of the first server
     m_streaming_events = true;
-    http::fields headers = platform::forwarded(answer.headers());
+    http::fields headers = platform::forwarded_answer_headers(answer.headers());
     co_return co_await begin(attempt, answer.status(), std::move(headers), std::nullopt);
 }
 
@@ -219,7 +219,8 @@
     }
     if (!report_forwarded_head(attempt, answer, facts, answer_shape::whole))
         co_return;
-    m_held = held_answer{answer.status(), platform::forwarded(answer.headers()), std::move(*body)};
+    m_held = held_answer{answer.status(), platform::forwarded_answer_headers(answer.headers()),
+                         std::move(*body)};
     report_finished(attempt);
 }
 
--- a/daemon/upstreams.cc
+++ b/daemon/upstreams.cc
@@ -25,7 +25,7 @@
         limits.body_bytes = m_settings.limits.answer_bytes;
         limits.connect_timeout = m_settings.timeouts.connect;
         limits.idle_connections = m_settings.limits.idle_upstream;
-        limits.idle_keeping = m_settings.timeouts.upstream_idle;
+        limits.idle_connection_timeout = m_settings.timeouts.upstream_idle;
         found.client = std::make_shared<http_client>(m_io.get_executor(), address, limits);
     }
     return found.client;
--- a/http/connection.cc
+++ b/http/connection.cc
@@ -13,17 +13,17 @@
 
 namespace {
 
-constexpr std::size_t idle_read = 2 * 1024;    // an idle connection holds this much
-constexpr std::size_t busy_read = 16 * 1024;   // once more has come than a small request
-constexpr std::size_t most_unread = 64 * 1024; // pipelined bytes that are held
+constexpr std::size_t small_read_bytes = 2 * 1024;  // an idle connection holds this much
+constexpr std::size_t large_read_bytes = 16 * 1024; // once more has come than a small request
+constexpr std::size_t max_unread_bytes = 64 * 1024; // pipelined bytes that are held
 /// Bytes thrown away when closing. A caller whose upload is refused mostly writes all of it before
 /// it reads why; they take no memory, and the time for them is bounded as well.
-constexpr std::size_t most_drained = 64 * 1024 * 1024;
+constexpr std::size_t max_drained_bytes = 64 * 1024 * 1024;
 
 } // namespace
 
 connection::connection(tcp::socket accepted, net::ssl::context* tls)
-    : m_stream{std::move(accepted)}, m_wake{socket().get_executor()}
+    : m_stream{std::move(accepted)}, m_input_timer{socket().get_executor()}
 {
     boost::system::error_code ignored;
     socket().set_option(tcp::no_delay{true}, ignored);
@@ -41,25 +41,25 @@
 
 net::awaitable<bool> connection::handshake(duration timeout)
 {
-    auto* encrypted = std::get_if<std::unique_ptr<tls_stream>>(&m_stream);
-    if (encrypted == nullptr)
+    auto* tls_socket = std::get_if<std::unique_ptr<tls_stream>>(&m_stream);
+    if (tls_socket == nullptr)
         co_return true;
-    timer guard{m_wake.get_executor(), timeout};
-    guard.async_wait([self = weak_from_this()](boost::system::error_code stopped) {
-        if (const auto alive = self.lock(); alive && !stopped)
-            alive->abort();
+    timer deadline{m_input_timer.get_executor(), timeout};
+    deadline.async_wait([self = weak_from_this()](boost::system::error_code stopped) {
+        if (const auto locked = self.lock(); locked && !stopped)
+            locked->abort();
     });
     boost::system::error_code failed;
-    co_await (*encrypted)
+    co_await (*tls_socket)
         ->async_handshake(net::ssl::stream_base::server,
                           net::redirect_error(net::use_awaitable, failed));
     co_return !failed;
 }
 
-net::awaitable<input_state> connection::more_input(duration timeout)
+net::awaitable<input_state> connection::wait_for_input(duration timeout)
 {
-    if (m_fresh) {
-        m_fresh = false;
+    if (m_unreported_input) {
+        m_unreported_input = false;
         co_return input_state::arrived;
     }
     if (m_closed)
@@ -67,11 +67,11 @@
     if (m_state != input_state::arrived)
         co_return m_state;
     start_read();
-    m_wake.expires_after(timeout);
+    m_input_timer.expires_after(timeout);
     boost::system::error_code woken;
-    co_await m_wake.async_wait(net::redirect_error(net::use_awaitable, woken));
-    if (m_fresh) {
-        m_fresh = false;
+    co_await m_input_timer.async_wait(net::redirect_error(net::use_awaitable, woken));
+    if (m_unreported_input) {
+        m_unreported_input = false;
         co_return input_state::arrived;
     }
     if (m_closed)
@@ -85,33 +85,33 @@
     return m_input.size() > 0 || socket().available(failed) > 0;
 }
 
-void connection::trim()
+void connection::release_buffers()
 {
     if (m_input.size() > 0)
         return;
     m_input.shrink_to_fit();
-    m_busy = false;
+    m_last_read_full = false;
     if (!m_reading)
-        std::vector<char>{}.swap(m_room);
+        std::vector<char>{}.swap(m_read_buffer);
 }
 
-void connection::watch_end(std::function<void()> gone, bool half_close)
+void connection::watch_disconnect(std::function<void()> on_disconnect, bool half_close)
 {
-    m_gone = std::move(gone);
-    m_gone_by_half_close = half_close;
-    if (!m_gone)
+    m_on_disconnect = std::move(on_disconnect);
+    m_half_close_counts = half_close;
+    if (!m_on_disconnect)
         return;
-    if (left()) {
-        std::exchange(m_gone, nullptr)();
+    if (is_disconnected()) {
+        std::exchange(m_on_disconnect, nullptr)();
         return;
     }
-    if (m_input.size() < most_unread)
+    if (m_input.size() < max_unread_bytes)
         start_read();
 }
 
-bool connection::left() const
+bool connection::is_disconnected() const
 {
-    return broken() || (m_gone_by_half_close && half_closed());
+    return broken() || (m_half_close_counts && half_closed());
 }
 
 void connection::start_read()
@@ -120,38 +120,38 @@
         return;
     m_reading = true;
     // The read has room of its own: consuming m_input may move what a pending read would write to.
-    m_room.resize(m_busy ? busy_read : idle_read);
-    const net::mutable_buffer room = net::buffer(m_room);
+    m_read_buffer.resize(m_last_read_full ? large_read_bytes : small_read_bytes);
+    const net::mutable_buffer target = net::buffer(m_read_buffer);
     const auto done = [self = shared_from_this()](boost::system::error_code failed,
                                                   std::size_t bytes) {
         self->read_done(failed, bytes);
     };
     if (auto* plain = std::get_if<tcp::socket>(&m_stream))
-        plain->async_read_some(room, done);
+        plain->async_read_some(target, done);
     else
-        std::get<std::unique_ptr<tls_stream>>(m_stream)->async_read_some(room, done);
+        std::get<std::unique_ptr<tls_stream>>(m_stream)->async_read_some(target, done);
 }
 
 void connection::read_done(boost::system::error_code failed, std::size_t bytes)
 {
     m_reading = false;
     if (!failed) {
-        const net::mutable_buffer room = m_input.prepare(bytes);
-        m_input.commit(net::buffer_copy(room, net::buffer(m_room.data(), bytes)));
-        m_fresh = true;
-        m_busy = bytes == m_room.size();
+        const net::mutable_buffer target = m_input.prepare(bytes);
+        m_input.commit(net::buffer_copy(target, net::buffer(m_read_buffer.data(), bytes)));
+        m_unreported_input = true;
+        m_last_read_full = bytes == m_read_buffer.size();
     }
     else {
         const bool orderly =
             failed == net::error::eof || failed == net::ssl::error::stream_truncated;
         m_state = orderly ? input_state::ended : input_state::failed;
     }
-    m_wake.cancel();
-    if (!m_gone)
+    m_input_timer.cancel();
+    if (!m_on_disconnect)
         return;
-    if (left())
-        std::exchange(m_gone, nullptr)();
-    else if (!failed && m_input.size() < most_unread)
+    if (is_disconnected())
+        std::exchange(m_on_disconnect, nullptr)();
+    else if (!failed && m_input.size() < max_unread_bytes)
         start_read();
 }
 
@@ -181,10 +181,10 @@
 net::awaitable<bool> connection::write_rest(out_buffers buffers, std::size_t sent, duration stall)
 {
     // A caller that takes no bytes would hold its request's memory for ever: the guard ends it.
-    timer guard{m_wake.get_executor(), stall};
-    guard.async_wait([self = weak_from_this()](boost::system::error_code stopped) {
-        if (const auto alive = self.lock(); alive && !stopped)
-            alive->abort();
+    timer deadline{m_input_timer.get_executor(), stall};
+    deadline.async_wait([self = weak_from_this()](boost::system::error_code stopped) {
+        if (const auto locked = self.lock(); locked && !stopped)
+            locked->abort();
     });
     boost::beast::buffers_suffix<out_buffers> rest{buffers};
     rest.consume(sent);
@@ -210,7 +210,7 @@
     // Without lingering the kernel sends a reset, which no client takes for an orderly end.
     socket().set_option(net::socket_base::linger{true, 0}, ignored);
     socket().close(ignored);
-    m_wake.cancel();
+    m_input_timer.cancel();
 }
 
 net::awaitable<void> connection::close(duration linger)
@@ -218,14 +218,15 @@
     if (m_closed)
         co_return;
     boost::system::error_code ignored;
-    if (auto* encrypted = std::get_if<std::unique_ptr<tls_stream>>(&m_stream)) {
-        timer guard{m_wake.get_executor(), linger};
-        guard.async_wait([self = weak_from_this()](boost::system::error_code stopped) {
-            if (const auto alive = self.lock(); alive && !stopped)
-                alive->abort();
+    if (auto* tls_socket = std::get_if<std::unique_ptr<tls_stream>>(&m_stream)) {
+        timer deadline{m_input_timer.get_executor(), linger};
+        deadline.async_wait([self = weak_from_this()](boost::system::error_code stopped) {
+            if (const auto locked = self.lock(); locked && !stopped)
+                locked->abort();
         });
         if (!m_reading) {
-            co_await (*encrypted)->async_shutdown(net::redirect_error(net::use_awaitable, ignored));
+            co_await (*tls_socket)
+                ->async_shutdown(net::redirect_error(net::use_awaitable, ignored));
         }
     }
     socket().shutdown(tcp::socket::shutdown_send, ignored);
@@ -233,10 +234,10 @@
     // sent would be lost with it: so what still comes is read and thrown away for a while.
     const time_point until = runtime_clock::now() + linger;
     std::size_t drained = 0;
-    while (!m_closed && drained < most_drained && runtime_clock::now() < until) {
+    while (!m_closed && drained < max_drained_bytes && runtime_clock::now() < until) {
         drained += m_input.size();
         m_input.consume(m_input.size());
-        const input_state got = co_await more_input(until - runtime_clock::now());
+        const input_state got = co_await wait_for_input(until - runtime_clock::now());
         if (got != input_state::arrived)
             break;
     }
--- a/http/connection.h
+++ b/http/connection.h
@@ -2,7 +2,7 @@
 //
 //   auto caller = std::make_shared<connection>(std::move(socket), tls);
 //   if (!co_await caller->handshake(10s)) co_return;
-//   while (co_await caller->more_input(10s) == input_state::arrived) parse(caller->input());
+//   while (co_await caller->wait_for_input(10s) == input_state::arrived) parse(caller->input());
 //   co_await caller->write(30s, net::buffer(head), net::buffer(body));
 //
 // At most one read is outstanding; it stays outstanding while an answer is written, so that the
@@ -45,17 +45,17 @@
     net::awaitable<bool> handshake(duration timeout);
 
     /// Waits until bytes arrive that were not there before.
-    net::awaitable<input_state> more_input(duration timeout);
+    net::awaitable<input_state> wait_for_input(duration timeout);
     boost::beast::flat_buffer& input() { return m_input; }
     /// Whether bytes have come that are not consumed, also where no read has seen them yet.
     [[nodiscard]] bool has_input();
     /// Frees the input's memory if it is empty, for connections that idle.
-    void trim();
+    void release_buffers();
 
     /// Keeps reading while nobody waits for input, and calls `gone` once if the connection breaks
     /// or, with `half_close` set, if the other side closes its sending half. Stop with
-    /// watch_end(nullptr).
-    void watch_end(std::function<void()> gone, bool half_close = false);
+    /// watch_disconnect(nullptr).
+    void watch_disconnect(std::function<void()> on_disconnect, bool half_close = false);
     /// Whether the other side has closed its sending half.
     [[nodiscard]] bool half_closed() const { return m_state == input_state::ended; }
     [[nodiscard]] bool broken() const { return m_closed || m_state == input_state::failed; }
@@ -69,28 +69,28 @@
     /// Ends in order: says that nothing follows and lets the other side read what was sent.
     net::awaitable<void> close(duration linger);
 
-    [[nodiscard]] net::any_io_executor executor() { return m_wake.get_executor(); }
+    [[nodiscard]] net::any_io_executor executor() { return m_input_timer.get_executor(); }
 
 private:
     using out_buffers = std::array<net::const_buffer, 3>;
     using tls_stream = net::ssl::stream<tcp::socket>;
 
     tcp::socket& socket();
-    [[nodiscard]] bool left() const;
+    [[nodiscard]] bool is_disconnected() const;
     void start_read();
     void read_done(boost::system::error_code failed, std::size_t bytes);
     net::awaitable<bool> write_rest(out_buffers buffers, std::size_t sent, duration stall);
 
     std::variant<tcp::socket, std::unique_ptr<tls_stream>> m_stream;
     boost::beast::flat_buffer m_input;
-    std::vector<char> m_room; ///< what the pending read writes to
-    timer m_wake;             ///< the waiter in more_input; expires as its timeout
-    std::function<void()> m_gone;
-    bool m_gone_by_half_close = false;
+    std::vector<char> m_read_buffer; ///< what the pending read writes to
+    timer m_input_timer;             ///< the waiter in wait_for_input; expires as its timeout
+    std::function<void()> m_on_disconnect;
+    bool m_half_close_counts = false;
     input_state m_state = input_state::arrived;
     bool m_reading = false;
-    bool m_fresh = false; ///< bytes came in that more_input has not told yet
-    bool m_busy = false;  ///< reads come full: the next one gets more room
+    bool m_unreported_input = false; ///< bytes came in that wait_for_input has not told yet
+    bool m_last_read_full = false;   ///< reads come full: the next one gets more room
     bool m_closed = false;
 };
 
--- a/http/hop_headers.cc
+++ b/http/hop_headers.cc
@@ -9,7 +9,7 @@
 
 namespace http = boost::beast::http;
 
-constexpr std::array either_way{
+constexpr std::array common_hop_headers{
     http::field::connection, http::field::keep_alive,     http::field::proxy_connection,
     http::field::te,         http::field::trailer,        http::field::transfer_encoding,
     http::field::upgrade,    http::field::content_length,
@@ -17,7 +17,8 @@
 
 bool is_hop_header(http::field name)
 {
-    return std::find(either_way.begin(), either_way.end(), name) != either_way.end();
+    return std::find(common_hop_headers.begin(), common_hop_headers.end(), name) !=
+           common_hop_headers.end();
 }
 
 } // namespace
@@ -27,7 +28,7 @@
     return is_hop_header(name) || name == http::field::expect;
 }
 
-bool is_answer_hop_header(http::field name)
+bool is_response_hop_header(http::field name)
 {
     return is_hop_header(name) || name == http::field::proxy_authenticate;
 }
--- a/http/hop_headers.h
+++ b/http/hop_headers.h
@@ -11,6 +11,6 @@
 /// Of a request on its way to a backend server.
 bool is_request_hop_header(boost::beast::http::field name);
 /// Of an answer on its way to the caller.
-bool is_answer_hop_header(boost::beast::http::field name);
+bool is_response_hop_header(boost::beast::http::field name);
 
 } // namespace jaynotch
--- a/http/http_client.cc
+++ b/http/http_client.cc
@@ -31,15 +31,15 @@
 
 namespace {
 
-constexpr std::size_t small_read = 1024;     // a few events of a stream
-constexpr std::size_t full_read = 16 * 1024; // once more has come than that
+constexpr std::size_t small_read_bytes = 1024;      // a few events of a stream
+constexpr std::size_t large_read_bytes = 16 * 1024; // once more has come than that
 
 /// From sending on a kept connection to the sign that the server was closing it: a round trip
 /// between two regions, and some.
-constexpr duration closing_race = std::chrono::milliseconds{50};
+constexpr duration idle_close_race = std::chrono::milliseconds{50};
 
-error failed_exchange(const http_connection& connection, const std::string& address,
-                      const error_code& ec, bool repeatable)
+error exchange_error(const http_connection& connection, const std::string& address,
+                     const error_code& ec, bool repeatable)
 {
     if (connection.cancelled())
         return {error_kind::cancelled, "the call to " + address + " was cancelled", ""};
@@ -54,7 +54,7 @@
             "check that the service is up"};
 }
 
-error broken_answer(const std::string& address, const error_code& ec)
+error malformed_answer(const std::string& address, const error_code& ec)
 {
     return {error_kind::protocol, address + " sent a broken answer: " + ec.message(),
             "check that the address is that of the right service"};
@@ -83,24 +83,24 @@
 {
     const time_point now = runtime_clock::now();
     m_armed = true;
-    m_until = timeout < time_point::max() - now ? now + timeout : time_point::max();
-    if (m_timer_waits && m_deadline.expiry() <= m_until)
+    m_deadline_at = timeout < time_point::max() - now ? now + timeout : time_point::max();
+    if (m_timer_pending && m_deadline_timer.expiry() <= m_deadline_at)
         return;
     wait_for_deadline();
 }
 
 void http_connection::wait_for_deadline()
 {
-    m_timer_waits = true;
-    m_deadline.expires_at(m_until);
-    m_deadline.async_wait([self = weak_from_this()](const error_code& ec) {
+    m_timer_pending = true;
+    m_deadline_timer.expires_at(m_deadline_at);
+    m_deadline_timer.async_wait([self = weak_from_this()](const error_code& ec) {
         const auto connection = self.lock();
         if (ec || !connection)
             return; // moved to a nearer time, or the connection is gone
-        connection->m_timer_waits = false;
+        connection->m_timer_pending = false;
         if (!connection->m_armed)
             return;
-        if (runtime_clock::now() < connection->m_until) {
+        if (runtime_clock::now() < connection->m_deadline_at) {
             connection->wait_for_deadline();
             return;
         }
@@ -126,7 +126,7 @@
     close();
 }
 
-bool http_connection::fresh()
+bool http_connection::is_usable()
 {
     if (!m_socket.is_open())
         return false;
@@ -142,7 +142,7 @@
     // Bytes beyond the answer mean that the server is out of step; what follows on such a
     // connection would be taken for the answer to the next request.
     return m_parser && m_parser->is_done() && m_parser->get().keep_alive() &&
-           m_buffer.size() == 0 && !m_cancelled && !m_half_sent && m_socket.is_open();
+           m_buffer.size() == 0 && !m_cancelled && !m_request_incomplete && m_socket.is_open();
 }
 
 awaitable<error_code> http_connection::connect(tcp::endpoint remote)
@@ -156,8 +156,8 @@
     co_return ec;
 }
 
-awaitable<error_code> http_connection::send_whole(const http_request& request,
-                                                  std::string_view host)
+awaitable<error_code> http_connection::send_buffered(const http_request& request,
+                                                     std::string_view host)
 {
     http::request<http::string_body> message{request.method, request.target, 11, request.body};
     message.set(http::field::host, host);
@@ -207,24 +207,24 @@
         if (ec == http::error::need_buffer)
             ec = {};
     }
-    m_half_sent = ec.failed();
+    m_request_incomplete = ec.failed();
     co_return ec;
 }
 
-awaitable<error_code> http_connection::exchange_header(const http_request& request,
-                                                       std::string_view host,
-                                                       std::size_t header_bytes)
+awaitable<error_code> http_connection::send_and_read_header(const http_request& request,
+                                                            std::string_view host,
+                                                            std::size_t header_bytes)
 {
     error_code ec;
     if (request.body_source) {
         ec = co_await send_streamed(request, host);
     }
     else {
-        ec = co_await send_whole(request, host);
+        ec = co_await send_buffered(request, host);
     }
     // A server that refuses a long body answers before it has read all of it and closes: the
     // answer is there though the sending failed.
-    if (ec && !m_half_sent)
+    if (ec && !m_request_incomplete)
         co_return ec;
     co_return co_await read_header(header_bytes, request.method == http::verb::head);
 }
@@ -243,11 +243,11 @@
 
 awaitable<result<std::string>> http_connection::read(duration idle_timeout, bool repeatable)
 {
-    m_room.resize(m_busy ? full_read : small_read);
+    m_read_buffer.resize(m_last_read_full ? large_read_bytes : small_read_bytes);
     while (!m_parser->is_done()) {
         auto& body = m_parser->get().body();
-        body.data = m_room.data();
-        body.size = m_room.size();
+        body.data = m_read_buffer.data();
+        body.size = m_read_buffer.size();
         body.more = true;
         error_code ec;
         arm(idle_timeout);
@@ -256,47 +256,47 @@
         disarm();
         if (ec == http::error::need_buffer)
             ec = {};
-        const std::size_t got = m_room.size() - body.size;
-        m_busy = got == m_room.size();
+        const std::size_t got = m_read_buffer.size() - body.size;
+        m_last_read_full = got == m_read_buffer.size();
         if (got > 0)
-            co_return std::string{m_room.data(), got};
+            co_return std::string{m_read_buffer.data(), got};
         if (ec && is_parse_error(ec)) {
             close();
-            co_return broken_answer("the server", ec);
+            co_return malformed_answer("the server", ec);
         }
         if (ec)
-            co_return failed_exchange(*this, "the server", ec, repeatable);
+            co_return exchange_error(*this, "the server", ec, repeatable);
     }
     co_return std::string{};
 }
 
-std::shared_ptr<http_connection> http_pool::take(duration longest_idle)
+std::shared_ptr<http_connection> http_pool::acquire(duration max_connection_idle)
 {
     const time_point now = runtime_clock::now();
     while (!idle.empty()) {
-        const idle_row newest = std::move(idle.back());
+        const idle_connection candidate = std::move(idle.back());
         idle.pop_back();
-        const duration most =
-            std::min({limits.idle_keeping, longest_idle, newest.connection->idle_limit()});
-        if (now - newest.since < most && newest.connection->fresh())
-            return newest.connection;
-        newest.connection->close();
+        const duration max_idle = std::min({limits.idle_connection_timeout, max_connection_idle,
+                                            candidate.connection->idle_limit()});
+        if (now - candidate.since < max_idle && candidate.connection->is_usable())
+            return candidate.connection;
+        candidate.connection->close();
     }
     return nullptr;
 }
 
-void http_connection::trim()
+void http_connection::release_buffers()
 {
-    std::vector<char>{}.swap(m_room);
+    std::vector<char>{}.swap(m_read_buffer);
     m_buffer.shrink_to_fit();
-    m_busy = false;
+    m_last_read_full = false;
 }
 
-void http_pool::give(std::shared_ptr<http_connection> connection)
+void http_pool::release(std::shared_ptr<http_connection> connection)
 {
     if (limits.idle_connections == 0)
         return;
-    connection->trim();
+    connection->release_buffers();
     if (idle.size() >= limits.idle_connections)
         idle.pop_front();
     idle.push_back({std::move(connection), runtime_clock::now()});
@@ -322,7 +322,7 @@
     if (!m_connection)
         return;
     if (m_connection->reusable())
-        m_pool->give(std::move(m_connection));
+        m_pool->release(std::move(m_connection));
     else
         m_connection->close();
 }
@@ -364,17 +364,17 @@
 awaitable<bool> http_stream::skip(duration timeout)
 {
     const auto connection = m_connection;
-    const time_point ends = runtime_clock::now() + timeout;
+    const time_point deadline = runtime_clock::now() + timeout;
     for (bool more = true; more;) {
         const result<std::string> piece =
-            co_await connection->read(ends - runtime_clock::now(), m_repeatable);
+            co_await connection->read(deadline - runtime_clock::now(), m_repeatable);
         if (!piece)
             co_return false;
         more = !piece.value().empty();
     }
     if (!connection->parser().get().keep_alive())
         co_return false;
-    connection->arm(ends - runtime_clock::now());
+    connection->arm(deadline - runtime_clock::now());
     const error_code ec = co_await connection->read_header(m_pool->limits.header_bytes, false);
     connection->disarm();
     co_return !ec;
@@ -412,16 +412,17 @@
 awaitable<result<http_stream>> http_client::open(http_request request, duration timeout)
 {
     const auto pool = m_pool;
-    const time_point ends = runtime_clock::now() + timeout;
+    const time_point deadline = runtime_clock::now() + timeout;
     const result<tcp::endpoint> remote = parse_endpoint(pool->address);
     if (!remote)
         co_return remote.error();
-    std::shared_ptr<http_connection> connection = pool->take(request.longest_idle);
+    std::shared_ptr<http_connection> connection = pool->acquire(request.max_connection_idle);
     bool reused = connection != nullptr;
     for (;;) {
         if (!connection) {
             connection = std::make_shared<http_connection>(pool->executor);
-            connection->arm(std::min(ends - runtime_clock::now(), pool->limits.connect_timeout));
+            connection->arm(
+                std::min(deadline - runtime_clock::now(), pool->limits.connect_timeout));
             const error_code refused = co_await connection->connect(remote.value());
             if (refused) {
                 connection->disarm();
@@ -432,14 +433,14 @@
             }
         }
         const time_point sent = runtime_clock::now();
-        connection->arm(ends - sent);
-        const error_code ec =
-            co_await connection->exchange_header(request, pool->address, pool->limits.header_bytes);
+        connection->arm(deadline - sent);
+        const error_code ec = co_await connection->send_and_read_header(request, pool->address,
+                                                                        pool->limits.header_bytes);
         connection->disarm();
         if (!ec)
             break;
         const bool was_closing =
-            reused && !connection->timed_out() && runtime_clock::now() - sent <= closing_race;
+            reused && !connection->timed_out() && runtime_clock::now() - sent <= idle_close_race;
         if (was_closing && request.repeatable && !request.body_source) {
             reused = false;
             connection = nullptr;
@@ -447,10 +448,10 @@
         }
         connection->close();
         if (is_parse_error(ec) && request.repeatable)
-            co_return broken_answer(pool->address, ec);
-        co_return failed_exchange(*connection, pool->address, ec, request.repeatable);
+            co_return malformed_answer(pool->address, ec);
+        co_return exchange_error(*connection, pool->address, ec, request.repeatable);
     }
-    if (connection->parser().need_eof() && !pool->limits.unframed_answers) {
+    if (connection->parser().need_eof() && !pool->limits.allow_unframed_answers) {
         // Without a length or chunks a cut answer looks like a whole one.
         connection->close();
         co_return error{request.repeatable ? error_kind::protocol : error_kind::unknown_outcome,
@@ -462,7 +463,7 @@
 
 awaitable<result<http_response>> http_client::call(http_request request, duration timeout)
 {
-    const time_point ends = runtime_clock::now() + timeout;
+    const time_point deadline = runtime_clock::now() + timeout;
     const std::size_t limit = m_pool->limits.body_bytes;
     const std::string address = m_pool->address;
     const bool repeatable = request.repeatable;
@@ -472,7 +473,7 @@
     http_stream stream = std::move(opened).value();
     http_response response{.status = stream.status(), .headers = stream.headers(), .body = {}};
     for (;;) {
-        result<std::string> piece = co_await stream.read(ends - runtime_clock::now());
+        result<std::string> piece = co_await stream.read(deadline - runtime_clock::now());
         if (!piece)
             co_return piece.error();
         if (piece.value().empty())
--- a/http/http_client.h
+++ b/http/http_client.h
@@ -36,12 +36,12 @@
     std::size_t header_bytes = 16 * 1024;
     std::size_t body_bytes = 8 * 1024 * 1024; ///< of one buffered answer; streams have no end
     std::size_t idle_connections = 4;         ///< kept for later calls
-    duration idle_keeping = std::chrono::seconds{20};
+    duration idle_connection_timeout = std::chrono::seconds{20};
     duration connect_timeout = duration::max(); ///< of a call's timeout, for connecting
     /// Take answers with neither length nor chunks, which end with their connection. One that is
     /// cut in an orderly way can't be told from a whole one, so a mark in its headers must vouch
     /// for it.
-    bool unframed_answers = false;
+    bool allow_unframed_answers = false;
 };
 
 struct http_header {
@@ -66,7 +66,7 @@
     bool repeatable = false;
     /// An idle connection is used only if it has idled no longer: the server may be closing it, and
     /// what was sent then can't be told from what ran.
-    duration longest_idle = duration::max();
+    duration max_connection_idle = duration::max();
 };
 
 struct http_response {
--- a/http/http_client_test.cc
+++ b/http/http_client_test.cc
@@ -21,8 +21,9 @@
 /// connection without an answer, and answers all others. Time is paused and moved on by it.
 class closing_server {
 public:
-    explicit closing_server(duration working)
-        : m_working{working}, m_acceptor{m_io, {net::ip::make_address("127.0.0.1"), 0}}
+    explicit closing_server(duration processing_time)
+        : m_processing_time{processing_time}, m_acceptor{m_io,
+                                                         {net::ip::make_address("127.0.0.1"), 0}}
     {
         runtime_clock::pause();
         net::co_spawn(m_io, accept(), net::detached);
@@ -30,10 +31,10 @@
     ~closing_server() { runtime_clock::resume(); }
 
     /// Sends two requests one after the other and returns what became of the second.
-    result<http_response> ask_twice()
+    result<http_response> send_two_requests()
     {
         std::optional<result<http_response>> second;
-        const auto ask = [&]() -> net::awaitable<void> {
+        const auto send_both = [&]() -> net::awaitable<void> {
             const std::string address =
                 "127.0.0.1:" + std::to_string(m_acceptor.local_endpoint().port());
             http_client client{m_io.get_executor(), address, http_limits{}};
@@ -42,7 +43,7 @@
             second = co_await client.call(read_request(), 5s);
             m_io.stop();
         };
-        net::co_spawn(m_io, ask(), net::detached);
+        net::co_spawn(m_io, send_both(), net::detached);
         m_io.run();
         return std::move(*second);
     }
@@ -79,7 +80,7 @@
             received.erase(0, length);
             ++m_requests;
             if (m_requests == 2) {
-                runtime_clock::advance(m_working);
+                runtime_clock::advance(m_processing_time);
                 co_return;
             }
             constexpr std::string_view answer = "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n";
@@ -88,7 +89,7 @@
     }
 
     net::io_context m_io;
-    duration m_working;
+    duration m_processing_time;
     tcp::acceptor m_acceptor;
     int m_requests = 0;
 };
@@ -96,18 +97,18 @@
 } // namespace
 
 // Guards against a read that fails though its server only closed an idle connection.
-Test(http_client, a_kept_connection_that_is_being_closed_costs_nothing)
+Test(http_client, a_race_with_an_idle_close_is_retried)
 {
     closing_server server{0ms};
-    cr_assert(server.ask_twice());
+    cr_assert(server.send_two_requests());
     cr_assert_eq(server.requests(), 3);
 }
 
 // Guards against a request that runs again, uncounted, after its server worked on it and broke off.
-Test(http_client, a_request_that_was_worked_on_is_not_repeated)
+Test(http_client, a_request_the_server_may_have_processed_is_not_retried)
 {
     closing_server server{500ms};
-    const result<http_response> second = server.ask_twice();
+    const result<http_response> second = server.send_two_requests();
     cr_assert(!second);
     cr_assert_eq(second.error().kind, error_kind::unavailable);
     cr_assert_eq(server.requests(), 2);
--- a/http/http_connection.h
+++ b/http/http_connection.h
@@ -21,7 +21,7 @@
     using response_parser = boost::beast::http::response_parser<boost::beast::http::buffer_body>;
 
     explicit http_connection(const boost::asio::any_io_executor& executor)
-        : m_socket{executor}, m_deadline{executor}
+        : m_socket{executor}, m_deadline_timer{executor}
     {}
 
     /// Closes the socket `timeout` from now unless `disarm` comes first.
@@ -32,17 +32,18 @@
     [[nodiscard]] bool cancelled() const { return m_cancelled; }
     void cancel();
     /// Whether an idle connection can be used: open, and nothing unasked for came in.
-    bool fresh();
+    bool is_usable();
     /// Whether the answer was read whole and another request may follow it.
     [[nodiscard]] bool reusable() const;
     /// Gives back what an idle connection has no use for: a node holds hundreds of them.
-    void trim();
+    void release_buffers();
 
     awaitable<boost::system::error_code> connect(boost::asio::ip::tcp::endpoint remote);
-    awaitable<boost::system::error_code>
-    exchange_header(const http_request& request, std::string_view host, std::size_t header_bytes);
-    awaitable<boost::system::error_code> send_whole(const http_request& request,
-                                                    std::string_view host);
+    awaitable<boost::system::error_code> send_and_read_header(const http_request& request,
+                                                              std::string_view host,
+                                                              std::size_t header_bytes);
+    awaitable<boost::system::error_code> send_buffered(const http_request& request,
+                                                       std::string_view host);
     awaitable<boost::system::error_code> send_streamed(const http_request& request,
                                                        std::string_view host);
     awaitable<result<std::string>> read(duration idle_timeout, bool repeatable);
@@ -57,23 +58,23 @@
     void wait_for_deadline();
 
     boost::asio::ip::tcp::socket m_socket;
-    timer m_deadline;
+    timer m_deadline_timer;
     boost::beast::flat_buffer m_buffer;
     std::optional<response_parser> m_parser;
-    std::vector<char> m_room; ///< what the body is read into
-    bool m_busy = false;      ///< the last read came full: the next one gets more room
-    time_point m_until;       ///< the deadline, if armed
+    std::vector<char> m_read_buffer; ///< what the body is read into
+    bool m_last_read_full = false;   ///< the last read came full: the next one gets more room
+    time_point m_deadline_at;        ///< the deadline, if armed
     duration m_idle_limit = duration::max();
     bool m_armed = false;
-    bool m_timer_waits = false;
+    bool m_timer_pending = false;
     bool m_timed_out = false;
     bool m_cancelled = false;
-    bool m_half_sent = false; ///< the request's body was not sent to its end
+    bool m_request_incomplete = false; ///< the request's body was not sent to its end
 };
 
 /// Idle connections to one server.
 struct http_pool {
-    struct idle_row {
+    struct idle_connection {
         std::shared_ptr<http_connection> connection;
         time_point since;
     };
@@ -81,10 +82,10 @@
     boost::asio::any_io_executor executor;
     std::string address;
     http_limits limits;
-    std::deque<idle_row> idle;
+    std::deque<idle_connection> idle;
 
-    std::shared_ptr<http_connection> take(duration longest_idle);
-    void give(std::shared_ptr<http_connection> connection);
+    std::shared_ptr<http_connection> acquire(duration max_connection_idle);
+    void release(std::shared_ptr<http_connection> connection);
 };
 
 } // namespace jaynotch
--- a/http/http_exchange.cc
+++ b/http/http_exchange.cc
@@ -14,7 +14,7 @@
 
 namespace {
 
-constexpr std::size_t body_piece = 16 * 1024;
+constexpr std::size_t body_read_bytes = 16 * 1024;
 
 std::string render(const http::response<http::empty_body>& message)
 {
@@ -32,10 +32,10 @@
     return text;
 }
 
-std::string retry_after_text(std::chrono::milliseconds wait, bool fractions)
+std::string retry_after_text(std::chrono::milliseconds wait, bool fractional_retry_after)
 {
     constexpr std::int64_t ms_in_second = 1000;
-    if (!fractions)
+    if (!fractional_retry_after)
         return std::to_string((wait.count() + ms_in_second - 1) / ms_in_second);
     std::array<char, 32> text{};
     const int length = std::snprintf(text.data(), text.size(), "%.3f",
@@ -91,7 +91,7 @@
                                                                                keep_alive &&
                                                                                parser.keep_alive()}
 {
-    m_continue_due =
+    m_continue_pending =
         boost::beast::iequals(parser.get()[http::field::expect], "100-continue") && has_body();
 }
 
@@ -112,8 +112,8 @@
 std::string_view http_exchange::path() const
 {
     const auto target = m_parser.get().target();
-    const std::string_view whole{target.data(), target.size()};
-    return whole.substr(0, whole.find('?'));
+    const std::string_view content{target.data(), target.size()};
+    return content.substr(0, content.find('?'));
 }
 
 std::string http_exchange::query(std::string_view name) const
@@ -137,16 +137,16 @@
     return m_parser.chunked() || content_length().value_or(0) > 0;
 }
 
-net::awaitable<bool> http_exchange::say_continue()
+net::awaitable<bool> http_exchange::send_continue()
 {
-    m_continue_due = false;
+    m_continue_pending = false;
     static constexpr std::string_view text = "HTTP/1.1 100 Continue\r\n\r\n";
     co_return co_await m_caller->write(m_timeouts.write_stall, net::buffer(text));
 }
 
-net::awaitable<result<void>> http_exchange::fill()
+net::awaitable<result<void>> http_exchange::read_more_input()
 {
-    const input_state got = co_await m_caller->more_input(m_timeouts.body_stall);
+    const input_state got = co_await m_caller->wait_for_input(m_timeouts.body_stall);
     switch (got) {
     case input_state::arrived:
         co_return success();
@@ -167,12 +167,12 @@
 {
     if (m_parser.is_done())
         co_return std::string{};
-    if (m_continue_due) {
-        const bool heard = co_await say_continue();
-        if (!heard)
+    if (m_continue_pending) {
+        const bool sent = co_await send_continue();
+        if (!sent)
             co_return error{error_kind::cancelled, "the caller is gone", ""};
     }
-    std::string piece(body_piece, '\0');
+    std::string piece(body_read_bytes, '\0');
     auto& body = m_parser.get().body();
     body.data = piece.data();
     body.size = piece.size();
@@ -201,7 +201,7 @@
                             "send a body as its Content-Length or chunked framing says"};
         }
         if (failed == http::error::need_more) {
-            const result<void> more = co_await fill();
+            const result<void> more = co_await read_more_input();
             if (!more)
                 co_return more.error();
         }
@@ -210,7 +210,7 @@
 
 net::awaitable<result<std::string>> http_exchange::read_body(std::size_t limit)
 {
-    std::string whole;
+    std::string content;
     if (content_length().value_or(0) > limit) {
         m_keep_alive = false;
         co_return error{error_kind::too_large,
@@ -221,21 +221,21 @@
         const result<std::string> piece = co_await read_some();
         if (!piece)
             co_return piece.error();
-        if (whole.size() + piece.value().size() > limit) {
+        if (content.size() + piece.value().size() > limit) {
             m_keep_alive = false;
             co_return error{error_kind::too_large,
                             "the request's body is over " + std::to_string(limit) + " bytes",
                             "send a smaller body"};
         }
-        whole += piece.value();
+        content += piece.value();
     }
-    co_return whole;
+    co_return content;
 }
 
 void http_exchange::set(std::string_view name, std::string_view value)
 {
-    m_extra.emplace_back(name);
-    m_extra.emplace_back(value);
+    m_extra_headers.emplace_back(name);
+    m_extra_headers.emplace_back(value);
 }
 
 std::string http_exchange::head(http::status status, const http::fields& headers,
@@ -245,11 +245,11 @@
     message.version(m_parser.get().version());
     message.result(status);
     for (const auto& field : headers) {
-        if (!is_answer_hop_header(field.name()))
+        if (!is_response_hop_header(field.name()))
             message.insert(field.name(), field.name_string(), field.value());
     }
-    for (std::size_t at = 0; at + 1 < m_extra.size(); at += 2)
-        message.set(m_extra[at], m_extra[at + 1]);
+    for (std::size_t at = 0; at + 1 < m_extra_headers.size(); at += 2)
+        message.set(m_extra_headers[at], m_extra_headers[at + 1]);
     const bool bodiless = status == http::status::no_content ||
                           status == http::status::not_modified ||
                           to_status_class(status) == http::status_class::informational;
@@ -257,7 +257,7 @@
     m_framing = framing::none;
     if (length && !(bodiless && *length == 0)) {
         message.content_length(*length);
-        m_promised = *length;
+        m_announced_length = *length;
         m_framing = framing::length;
     }
     else if (!length && !bodiless) {
@@ -280,20 +280,20 @@
     http::fields headers;
     if (!content_type.empty())
         headers.set(http::field::content_type, content_type);
-    const std::string top = head(status, headers, body.size());
-    m_begun = true;
+    const std::string header_text = head(status, headers, body.size());
+    m_header_sent = true;
     m_answered = true;
     m_sent = m_framing == framing::none ? 0 : body.size();
-    const net::const_buffer shown =
+    const net::const_buffer payload =
         m_framing == framing::none ? net::const_buffer{} : net::buffer(body);
-    co_return co_await m_caller->write(m_timeouts.write_stall, net::buffer(top), shown);
+    co_return co_await m_caller->write(m_timeouts.write_stall, net::buffer(header_text), payload);
 }
 
 net::awaitable<bool> http_exchange::refuse(const refusal& refused)
 {
     set("jaynotch-ran", to_name(refused.ran));
     if (refused.retry_after)
-        set("Retry-After", retry_after_text(*refused.retry_after, refused.fractions));
+        set("Retry-After", retry_after_text(*refused.retry_after, refused.fractional_retry_after));
     co_return co_await answer(refused.status.value_or(status_of(refused.failure.kind)),
                               "application/json", refusal_body(refused));
 }
@@ -301,16 +301,16 @@
 net::awaitable<bool> http_exchange::begin(http::status status, const http::fields& headers,
                                           std::optional<std::uint64_t> length)
 {
-    const std::string top = head(status, headers, length);
-    m_begun = true;
-    co_return co_await m_caller->write(m_timeouts.write_stall, net::buffer(top));
+    const std::string header_text = head(status, headers, length);
+    m_header_sent = true;
+    co_return co_await m_caller->write(m_timeouts.write_stall, net::buffer(header_text));
 }
 
 net::awaitable<bool> http_exchange::write(std::string_view piece)
 {
     if (piece.empty() || m_framing == framing::none)
         co_return true;
-    if (m_framing == framing::length && m_sent + piece.size() > m_promised)
+    if (m_framing == framing::length && m_sent + piece.size() > m_announced_length)
         co_return false;
     m_sent += piece.size();
     if (m_framing != framing::chunked) {
@@ -326,7 +326,7 @@
 net::awaitable<bool> http_exchange::finish()
 {
     m_answered = true;
-    if (m_framing == framing::length && m_sent != m_promised) {
+    if (m_framing == framing::length && m_sent != m_announced_length) {
         cut();
         co_return false;
     }
@@ -342,7 +342,7 @@
     m_keep_alive = false;
     // A missing length or last chunk tells that bytes are missing. Where neither frames the answer
     // an orderly end would look like a whole one, so the connection is reset.
-    if (!m_begun || m_framing == framing::until_close || m_framing == framing::none)
+    if (!m_header_sent || m_framing == framing::until_close || m_framing == framing::none)
         m_caller->abort();
 }
 
@@ -353,14 +353,14 @@
     m_caller->abort();
 }
 
-void http_exchange::watch_caller(std::function<void()> gone, bool half_close)
+void http_exchange::watch_caller(std::function<void()> on_disconnect, bool half_close)
 {
-    m_caller->watch_end(std::move(gone), half_close);
+    m_caller->watch_disconnect(std::move(on_disconnect), half_close);
 }
 
 void http_exchange::unwatch_caller()
 {
-    m_caller->watch_end(nullptr);
+    m_caller->watch_disconnect(nullptr);
 }
 
 } // namespace jaynotch
--- a/http/http_exchange.h
+++ b/http/http_exchange.h
@@ -34,7 +34,7 @@
     /// Overrides the status that goes with the kind, where HTTP has a more telling one.
     std::optional<http::status> status = std::nullopt;
     /// Whether the callers read fractions of a second in Retry-After. By RFC 9110 they need not.
-    bool fractions = false;
+    bool fractional_retry_after = false;
 };
 
 /// The status that goes with a kind of error.
@@ -81,7 +81,7 @@
 
     /// Calls `gone` once if the caller is known to have left, or with `half_close` set says that it
     /// sends nothing more; the body must have been read.
-    void watch_caller(std::function<void()> gone, bool half_close);
+    void watch_caller(std::function<void()> on_disconnect, bool half_close);
     void unwatch_caller();
     [[nodiscard]] bool caller_gone() const { return m_caller->broken(); }
     [[nodiscard]] bool half_closed() const { return m_caller->half_closed(); }
@@ -89,10 +89,10 @@
     /// that ends its answer by closing the connection.
     void close_delimited() { m_close_delimited = true; }
 
-    [[nodiscard]] bool begun() const { return m_begun; }
+    [[nodiscard]] bool header_sent() const { return m_header_sent; }
     [[nodiscard]] bool answered() const { return m_answered; }
     [[nodiscard]] bool keeps_alive() const { return m_keep_alive; }
-    void end_connection() { m_keep_alive = false; }
+    void close_after_answer() { m_keep_alive = false; }
     /// Bytes of the answer's body that were handed to the connection.
     [[nodiscard]] std::uint64_t bytes_sent() const { return m_sent; }
 
@@ -101,20 +101,20 @@
 
     std::string head(http::status status, const http::fields& headers,
                      std::optional<std::uint64_t> length);
-    net::awaitable<bool> say_continue();
-    net::awaitable<result<void>> fill();
+    net::awaitable<bool> send_continue();
+    net::awaitable<result<void>> read_more_input();
 
     std::shared_ptr<connection> m_caller;
     request_parser& m_parser;
     const http_timeouts& m_timeouts;
-    std::vector<std::string> m_extra; ///< names and values by turns
+    std::vector<std::string> m_extra_headers; ///< names and values by turns
     framing m_framing = framing::length;
     std::uint64_t m_sent = 0;
-    std::uint64_t m_promised = 0;
-    bool m_continue_due = false;
+    std::uint64_t m_announced_length = 0;
+    bool m_continue_pending = false;
     bool m_keep_alive = true;
     bool m_close_delimited = false;
-    bool m_begun = false;
+    bool m_header_sent = false;
     bool m_answered = false;
 };
 
--- a/http/http_server.cc
+++ b/http/http_server.cc
@@ -20,13 +20,13 @@
 constexpr duration refuse_linger = std::chrono::seconds{2};
 constexpr std::size_t accept_backlog = 1024;
 /// For the request of a connection that was accepted as the listener closed.
-constexpr duration last_request_wait = std::chrono::milliseconds{200};
+constexpr duration backlog_request_wait = std::chrono::milliseconds{200};
 
 /// A connection as the server keeps book of it.
 struct session {
     std::shared_ptr<connection> caller;
-    bool idle = false; ///< waits for a request
-    bool last = false; ///< was accepted as the listener closed
+    bool idle = false;              ///< waits for a request
+    bool accepted_at_close = false; ///< was accepted as the listener closed
 };
 
 refusal header_refusal(boost::system::error_code failed)
@@ -52,7 +52,7 @@
 }
 
 /// The whole answer to a connection over the limit, sent before anything is read.
-std::string full_house_answer()
+std::string connection_limit_answer()
 {
     const std::string body = refusal_body(
         {.failure = {error_kind::overloaded, "this node holds as many connections as it may",
@@ -100,7 +100,7 @@
                 co_await m_acceptor.async_accept(net::redirect_error(net::use_awaitable, failed));
             // One that was accepted just before the listener closed is served.
             if (!failed)
-                begin_session(std::move(accepted));
+                start_session(std::move(accepted));
             else if (m_acceptor.is_open()) {
                 // Out of descriptors: without a pause this would spin.
                 timer pause{m_acceptor.get_executor(), std::chrono::milliseconds{50}};
@@ -109,15 +109,15 @@
         }
     }
 
-    void begin_session(tcp::socket accepted)
+    void start_session(tcp::socket accepted)
     {
-        const bool room = m_sessions.size() < m_settings.limits.connections;
-        const auto one = std::make_shared<session>();
-        one->caller = std::make_shared<connection>(std::move(accepted),
-                                                   m_settings.tls.enabled() ? &*m_tls : nullptr);
-        one->last = !m_acceptor.is_open();
-        m_sessions.insert(one);
-        net::co_spawn(m_acceptor.get_executor(), serve(one, room), net::detached);
+        const bool admitted = m_sessions.size() < m_settings.limits.connections;
+        const auto current = std::make_shared<session>();
+        current->caller = std::make_shared<connection>(
+            std::move(accepted), m_settings.tls.enabled() ? &*m_tls : nullptr);
+        current->accepted_at_close = !m_acceptor.is_open();
+        m_sessions.insert(current);
+        net::co_spawn(m_acceptor.get_executor(), serve(current, admitted), net::detached);
     }
 
     /// Takes what waits in the backlog, which closing the listener would reset.
@@ -135,48 +135,48 @@
         return taken;
     }
 
-    net::awaitable<void> serve(std::shared_ptr<session> one, bool room)
+    net::awaitable<void> serve(std::shared_ptr<session> current, bool admitted)
     {
         const auto self = shared_from_this();
         try {
-            co_await serve_connection(one, room);
+            co_await serve_connection(current, admitted);
         }
         catch (const std::exception& thrown) {
             log_event(log_level::error, "connection_failed", {{"message", thrown.what()}});
-            one->caller->abort();
+            current->caller->abort();
         }
-        m_sessions.erase(one);
+        m_sessions.erase(current);
     }
 
-    net::awaitable<void> serve_connection(std::shared_ptr<session> one, bool room)
+    net::awaitable<void> serve_connection(std::shared_ptr<session> current, bool admitted)
     {
-        const bool secure = co_await one->caller->handshake(m_settings.timeouts.header);
-        if (secure && room) {
-            co_await serve_requests(one);
+        const bool secure = co_await current->caller->handshake(m_settings.timeouts.header);
+        if (secure && admitted) {
+            co_await serve_requests(current);
         }
         else if (secure) {
-            co_await refuse_connection(*one->caller);
+            co_await refuse_connection(*current->caller);
         }
-        co_await one->caller->close(refuse_linger);
+        co_await current->caller->close(refuse_linger);
     }
 
     void stop_accepting()
     {
-        m_winding_down = true;
+        m_keep_alive_disabled = true;
         std::vector<tcp::socket> backlogged = accept_backlogged();
         boost::system::error_code ignored;
         m_acceptor.close(ignored);
         for (tcp::socket& accepted : backlogged)
-            begin_session(std::move(accepted));
+            start_session(std::move(accepted));
         // Posted, so that reads that are done already have handed their bytes over.
-        net::post(m_acceptor.get_executor(), [self = shared_from_this()] { self->end_idle(); });
+        net::post(m_acceptor.get_executor(), [self = shared_from_this()] { self->close_idle(); });
     }
 
-    void end_idle()
+    void close_idle()
     {
-        for (const auto& one : m_sessions) {
-            if (one->idle && !one->last && !one->caller->has_input())
-                one->caller->abort();
+        for (const auto& current : m_sessions) {
+            if (current->idle && !current->accepted_at_close && !current->caller->has_input())
+                current->caller->abort();
         }
     }
 
@@ -184,8 +184,8 @@
     {
         boost::system::error_code ignored;
         m_acceptor.close(ignored);
-        for (const auto& one : m_sessions)
-            one->caller->abort();
+        for (const auto& current : m_sessions)
+            current->caller->abort();
     }
 
     tcp::acceptor m_acceptor;
@@ -193,7 +193,7 @@
     http_handler m_handler;
     std::optional<net::ssl::context> m_tls;
     std::set<std::shared_ptr<session>> m_sessions;
-    bool m_winding_down = false;
+    bool m_keep_alive_disabled = false;
 
 private:
     result<void> load_tls()
@@ -219,72 +219,74 @@
 
     net::awaitable<void> refuse_connection(connection& caller)
     {
-        const std::string text = full_house_answer();
+        const std::string text = connection_limit_answer();
         co_await caller.write(m_settings.timeouts.write_stall, net::buffer(text));
     }
 
     /// Waits for the first byte of the next request; false if there is none.
-    net::awaitable<bool> next_request(std::shared_ptr<session> one)
+    net::awaitable<bool> next_request(std::shared_ptr<session> current)
     {
-        if (one->caller->input().size() > 0)
+        if (current->caller->input().size() > 0)
             co_return true;
-        one->idle = true;
-        one->caller->trim();
-        const duration wait = one->last ? last_request_wait : m_settings.timeouts.idle;
-        const input_state got = co_await one->caller->more_input(wait);
-        one->idle = false;
+        current->idle = true;
+        current->caller->release_buffers();
+        const duration wait =
+            current->accepted_at_close ? backlog_request_wait : m_settings.timeouts.idle;
+        const input_state got = co_await current->caller->wait_for_input(wait);
+        current->idle = false;
         co_return got == input_state::arrived;
     }
 
-    net::awaitable<void> serve_requests(std::shared_ptr<session> one)
+    net::awaitable<void> serve_requests(std::shared_ptr<session> current)
     {
         bool more = true;
         while (more) {
-            more = co_await next_request(one);
+            more = co_await next_request(current);
             if (more) {
-                more = co_await serve_one(one);
+                more = co_await serve_request(current);
             }
         }
     }
 
     /// Reads one header and has the request answered; false if the connection is to end.
-    net::awaitable<bool> serve_one(std::shared_ptr<session> one)
+    net::awaitable<bool> serve_request(std::shared_ptr<session> current)
     {
         request_parser parser;
         parser.header_limit(static_cast<std::uint32_t>(m_settings.limits.header_bytes));
         parser.body_limit(m_settings.limits.body_bytes);
         parser.eager(false);
-        http_exchange early{one->caller, parser, m_settings.timeouts, false};
+        http_exchange error_exchange{current->caller, parser, m_settings.timeouts, false};
         const time_point deadline = runtime_clock::now() + m_settings.timeouts.header;
         while (!parser.is_header_done()) {
             boost::system::error_code failed;
-            auto& input = one->caller->input();
+            auto& input = current->caller->input();
             if (input.size() > 0)
                 input.consume(parser.put(input.data(), failed));
             if (parser.is_header_done())
                 break;
             if (failed && failed != http::error::need_more) {
-                early.end_connection();
-                const refusal malformed = header_refusal(failed);
-                co_await early.refuse(malformed);
+                error_exchange.close_after_answer();
+                const refusal header_error = header_refusal(failed);
+                co_await error_exchange.refuse(header_error);
                 co_return false;
             }
             const input_state got =
-                co_await one->caller->more_input(deadline - runtime_clock::now());
+                co_await current->caller->wait_for_input(deadline - runtime_clock::now());
             if (got == input_state::timed_out) {
-                const refusal late = header_timeout();
-                co_await early.refuse(late);
+                const refusal timeout_refusal = header_timeout();
+                co_await error_exchange.refuse(timeout_refusal);
             }
             if (got != input_state::arrived)
                 co_return false;
         }
         parser.eager(true);
-        http_exchange exchange{one->caller, parser, m_settings.timeouts, !m_winding_down};
+        http_exchange exchange{current->caller, parser, m_settings.timeouts,
+                               !m_keep_alive_disabled};
         co_await m_handler(exchange);
         exchange.unwatch_caller();
         if (!exchange.answered())
             exchange.cut();
-        co_return exchange.keeps_alive() && !m_winding_down;
+        co_return exchange.keeps_alive() && !m_keep_alive_disabled;
     }
 };
 
@@ -316,9 +318,9 @@
     m_impl->m_settings.limits = limits;
 }
 
-void http_server::wind_down()
+void http_server::disable_keep_alive()
 {
-    m_impl->m_winding_down = true;
+    m_impl->m_keep_alive_disabled = true;
 }
 
 void http_server::stop_accepting()
--- a/http/http_server.h
+++ b/http/http_server.h
@@ -38,7 +38,7 @@
     /// For requests that are read from now on.
     void set_limits(http_timeouts timeouts, http_server_limits limits);
     /// From now on each answer ends its connection.
-    void wind_down();
+    void disable_keep_alive();
     /// Takes no new connections and closes those that idle; requests in flight go on.
     void stop_accepting();
     /// Cuts every connection.
--- a/http/http_server_test.cc
+++ b/http/http_server_test.cc
@@ -18,9 +18,9 @@
 using namespace std::chrono_literals;
 
 /// A server on its own thread; the test talks to it over blocking sockets.
-class served {
+class test_server {
 public:
-    explicit served(http_server_settings settings = quick())
+    explicit test_server(http_server_settings settings = short_timeouts())
     {
         auto made = http_server::open(m_io, "127.0.0.1:0", std::move(settings),
                                       [this](http_exchange& exchange) { return answer(exchange); });
@@ -29,13 +29,13 @@
         m_port = m_server->port();
         m_thread = std::thread{[this] { m_io.run(); }};
     }
-    ~served()
+    ~test_server()
     {
         m_io.stop();
         m_thread.join();
     }
 
-    static http_server_settings quick()
+    static http_server_settings short_timeouts()
     {
         http_server_settings settings;
         settings.timeouts.header = 300ms;
@@ -46,7 +46,7 @@
         return settings;
     }
 
-    tcp::socket dial()
+    tcp::socket connect_client()
     {
         tcp::socket socket{m_client_io};
         socket.connect({net::ip::make_address("127.0.0.1"), m_port});
@@ -54,9 +54,9 @@
     }
 
     /// Sends and reads until the server closes.
-    std::string talk(std::string_view bytes, bool half_close = false)
+    std::string send_and_read(std::string_view bytes, bool half_close = false)
     {
-        tcp::socket socket = dial();
+        tcp::socket socket = connect_client();
         boost::system::error_code ignored;
         net::write(socket, net::buffer(bytes), ignored);
         if (half_close)
@@ -86,8 +86,8 @@
 
     bool still_serves()
     {
-        return talk("GET /echo HTTP/1.1\r\nHost: a\r\nConnection: close\r\n\r\n").find("200 OK") !=
-               std::string::npos;
+        return send_and_read("GET /echo HTTP/1.1\r\nHost: a\r\nConnection: close\r\n\r\n")
+                   .find("200 OK") != std::string::npos;
     }
 
 private:
@@ -134,18 +134,20 @@
 // nothing ran, its connection ends, and the next client is served.
 Test(http_server, malformed_input_is_refused_with_the_reason)
 {
-    served server;
+    test_server server;
     const std::string big(8192, 'x');
-    cr_assert(refuses(server.talk("\x16\x03\x01 hello\r\n\r\n"), "400"));
-    cr_assert(refuses(server.talk("GET / HTTP/3.7\r\n\r\n"), "505"));
-    cr_assert(refuses(server.talk("GET / HTTP/1.1\r\nHost: a\r\nX: " + big + "\r\n\r\n"), "431"));
-    cr_assert(
-        refuses(server.talk("POST / HTTP/1.1\r\nHost: a\r\nContent-Length: x\r\n\r\n"), "400"));
-    cr_assert(refuses(server.talk("POST / HTTP/1.1\r\nHost: a\r\nContent-Length: 9000000\r\n\r\n"),
-                      "413"));
+    cr_assert(refuses(server.send_and_read("\x16\x03\x01 hello\r\n\r\n"), "400"));
+    cr_assert(refuses(server.send_and_read("GET / HTTP/3.7\r\n\r\n"), "505"));
+    cr_assert(refuses(server.send_and_read("GET / HTTP/1.1\r\nHost: a\r\nX: " + big + "\r\n\r\n"),
+                      "431"));
+    cr_assert(refuses(
+        server.send_and_read("POST / HTTP/1.1\r\nHost: a\r\nContent-Length: x\r\n\r\n"), "400"));
     cr_assert(refuses(
-        server.talk("POST / HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\n"),
-        "400"));
+        server.send_and_read("POST / HTTP/1.1\r\nHost: a\r\nContent-Length: 9000000\r\n\r\n"),
+        "413"));
+    cr_assert(refuses(server.send_and_read(
+                          "POST / HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\n"),
+                      "400"));
     cr_assert(server.still_serves());
 }
 
@@ -153,10 +155,11 @@
 // for the timeout and no longer.
 Test(http_server, slow_senders_time_out)
 {
-    served server;
-    cr_assert(refuses(server.talk("GET / HTTP/1.1\r\nHost: a\r\nX-Slow: "), "408"));
+    test_server server;
+    cr_assert(refuses(server.send_and_read("GET / HTTP/1.1\r\nHost: a\r\nX-Slow: "), "408"));
     cr_assert(
-        refuses(server.talk("POST / HTTP/1.1\r\nHost: a\r\nContent-Length: 10\r\n\r\nabc"), "504"));
+        refuses(server.send_and_read("POST / HTTP/1.1\r\nHost: a\r\nContent-Length: 10\r\n\r\nabc"),
+                "504"));
     cr_assert(server.still_serves());
 }
 
@@ -164,17 +167,17 @@
 // whole answer.
 Test(http_server, a_half_closed_caller_gets_its_answer)
 {
-    served server;
-    const std::string answer = server.talk("GET /echo HTTP/1.1\r\nHost: a\r\n\r\n", true);
+    test_server server;
+    const std::string answer = server.send_and_read("GET /echo HTTP/1.1\r\nHost: a\r\n\r\n", true);
     cr_assert(answer.find("/echo|") != std::string::npos);
-    cr_assert(server.talk("GET /ec", true).empty());
+    cr_assert(server.send_and_read("GET /ec", true).empty());
 }
 
 // A client sends three requests without waiting. The answers come in order, each to its own.
 Test(http_server, pipelined_requests_are_answered_in_order)
 {
-    served server;
-    const std::string answers = server.talk(
+    test_server server;
+    const std::string answers = server.send_and_read(
         "POST /one HTTP/1.1\r\nHost: a\r\nContent-Length: 3\r\n\r\nabc"
         "POST /two HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: chunked\r\n\r\n3\r\ndef\r\n0\r\n\r\n"
         "GET /three HTTP/1.1\r\nHost: a\r\nConnection: close\r\n\r\n");
@@ -185,10 +188,10 @@
 }
 
 // A client asks before it sends its body (100-continue), or asks for the head alone.
-Test(http_server, continue_and_head)
+Test(http_server, expect_continue_and_head_requests_are_answered)
 {
-    served server;
-    tcp::socket socket = server.dial();
+    test_server server;
+    tcp::socket socket = server.connect_client();
     const std::string head = "POST /c HTTP/1.1\r\nHost: a\r\nExpect: 100-continue\r\n"
                              "Connection: close\r\nContent-Length: 2\r\n\r\n";
     net::write(socket, net::buffer(head));
@@ -196,22 +199,22 @@
     net::read(socket, net::buffer(interim));
     cr_assert(interim.starts_with("HTTP/1.1 100 Continue"));
     net::write(socket, net::buffer("ok", 2));
-    cr_assert(served::read_all(socket).ends_with("/c|ok"));
+    cr_assert(test_server::read_all(socket).ends_with("/c|ok"));
     const std::string answer =
-        server.talk("HEAD /h HTTP/1.1\r\nHost: a\r\nConnection: close\r\n\r\n");
+        server.send_and_read("HEAD /h HTTP/1.1\r\nHost: a\r\nConnection: close\r\n\r\n");
     cr_assert(answer.find("Content-Length: 3") != std::string::npos);
     cr_assert(answer.ends_with("\r\n\r\n"));
 }
 
 // The answer is lost half way at the backend server. The client must be able to tell: no last
 // chunk for HTTP/1.1, a reset for HTTP/1.0, which has no chunks.
-Test(http_server, a_cut_answer_is_not_framed_as_whole)
+Test(http_server, an_incomplete_answer_is_not_framed_as_complete)
 {
-    served server;
-    const std::string answer = server.talk("GET /cut HTTP/1.1\r\nHost: a\r\n\r\n");
+    test_server server;
+    const std::string answer = server.send_and_read("GET /cut HTTP/1.1\r\nHost: a\r\n\r\n");
     cr_assert(answer.find("half an ") != std::string::npos);
     cr_assert(!answer.ends_with("0\r\n\r\n"));
-    tcp::socket old = server.dial();
+    tcp::socket old = server.connect_client();
     net::write(old, net::buffer(std::string{"GET /cut HTTP/1.0\r\n\r\n"}));
     std::string text;
     boost::system::error_code failed;
@@ -222,45 +225,45 @@
 // More clients connect than the node holds. The one too many is told so at once.
 Test(http_server, connections_are_bounded)
 {
-    http_server_settings settings = served::quick();
+    http_server_settings settings = test_server::short_timeouts();
     settings.limits.connections = 2;
-    served server{settings};
-    tcp::socket first = server.dial();
-    tcp::socket second = server.dial();
+    test_server server{settings};
+    tcp::socket first = server.connect_client();
+    tcp::socket second = server.connect_client();
     std::this_thread::sleep_for(100ms);
-    tcp::socket third = server.dial();
-    cr_assert(refuses(served::read_all(third), "503"));
+    tcp::socket third = server.connect_client();
+    cr_assert(refuses(test_server::read_all(third), "503"));
 }
 
 // A client uploads without end while the handler reads nothing. The server must not take the bytes
 // in: the client's socket fills up and stays full.
-Test(http_server, unread_bodies_push_back)
+Test(http_server, unread_bodies_cause_backpressure)
 {
-    served server;
-    tcp::socket socket = server.dial();
+    test_server server;
+    tcp::socket socket = server.connect_client();
     const std::string head = "POST /never HTTP/1.1\r\nHost: a\r\nContent-Length: 60000000\r\n\r\n";
     net::write(socket, net::buffer(head));
     socket.non_blocking(true);
     const std::string block(256 * 1024, 'b');
-    std::size_t taken = 0;
-    for (int quiet = 0; quiet < 20 && taken < 50'000'000;) {
+    std::size_t accepted_bytes = 0;
+    for (int blocked_writes = 0; blocked_writes < 20 && accepted_bytes < 50'000'000;) {
         boost::system::error_code failed;
         const std::size_t sent = socket.write_some(net::buffer(block), failed);
-        taken += sent;
-        quiet = sent == 0 ? quiet + 1 : 0;
+        accepted_bytes += sent;
+        blocked_writes = sent == 0 ? blocked_writes + 1 : 0;
         if (sent == 0)
             std::this_thread::sleep_for(10ms);
     }
-    cr_assert_lt(taken, 20'000'000U); // what kernel buffers of both sides hold
+    cr_assert_lt(accepted_bytes, 20'000'000U); // what kernel buffers of both sides hold
 }
 
 // A caller uploads a file that is over the limit. The refusal goes out while it still writes; if
 // the server closed with the rest unread, the kernel would reset the connection, the caller's next
 // write would fail, and it would never read why it was refused.
-Test(http_server, a_refused_upload_is_read_to_its_end)
+Test(http_server, a_refused_upload_is_drained_before_the_close)
 {
-    served server;
-    tcp::socket caller = server.dial();
+    test_server server;
+    tcp::socket caller = server.connect_client();
     constexpr std::size_t length = 5'000'000;
     const std::string head =
         "POST /echo HTTP/1.1\r\nHost: a\r\nContent-Length: " + std::to_string(length) + "\r\n\r\n";
@@ -272,28 +275,31 @@
         cr_assert(!failed, "after %zu bytes: %s", sent, failed.message().c_str());
         std::this_thread::sleep_for(1ms);
     }
-    cr_assert(refuses(served::read_all(caller), "413"));
+    cr_assert(refuses(test_server::read_all(caller), "413"));
 }
 
 // A process stands still until its planned stop closes the listener. A caller who connected and
 // sent a request meanwhile must not be reset.
 Test(http_server, a_request_waiting_in_the_backlog_is_answered_after_a_stop)
 {
-    served server;
-    tcp::socket known = server.dial();
-    net::write(known, net::buffer(std::string{"GET /first HTTP/1.1\r\nHost: a\r\n\r\n"}));
+    test_server server;
+    tcp::socket kept_client = server.connect_client();
+    net::write(kept_client, net::buffer(std::string{"GET /first HTTP/1.1\r\nHost: a\r\n\r\n"}));
     std::string text(12, '\0');
-    net::read(known, net::buffer(text));
+    net::read(kept_client, net::buffer(text));
     cr_assert_eq(text, "HTTP/1.1 200");
-    std::optional<tcp::socket> late;
-    std::optional<tcp::socket> mute;
+    std::optional<tcp::socket> queued_client;
+    std::optional<tcp::socket> silent_client;
     server.stop_accepting_after([&] {
-        late = server.dial();
-        mute = server.dial();
-        net::write(*late, net::buffer(std::string{"GET /late HTTP/1.1\r\nHost: a\r\n\r\n"}));
-        net::write(known, net::buffer(std::string{"GET /again HTTP/1.1\r\nHost: a\r\n\r\n"}));
+        queued_client = server.connect_client();
+        silent_client = server.connect_client();
+        net::write(*queued_client,
+                   net::buffer(std::string{"GET /late HTTP/1.1\r\nHost: a\r\n\r\n"}));
+        net::write(kept_client, net::buffer(std::string{"GET /again HTTP/1.1\r\nHost: a\r\n\r\n"}));
     });
-    cr_assert(served::read_all(*late).ends_with("/late|"));
-    cr_assert(served::read_all(known).ends_with("/again|"), "nor one on a kept connection");
-    cr_assert(served::read_all(*mute).empty(), "nothing is held up by one who sent nothing");
+    cr_assert(test_server::read_all(*queued_client).ends_with("/late|"));
+    cr_assert(test_server::read_all(kept_client).ends_with("/again|"),
+              "nor one on a kept connection");
+    cr_assert(test_server::read_all(*silent_client).empty(),
+              "nothing is held up by one who sent nothing");
 }
--- a/services/engine.cc
+++ b/services/engine.cc
@@ -9,28 +9,28 @@
 
 namespace {
 
-constexpr std::size_t most_answer_bytes = 2 * 1024 * 1024;
+constexpr std::size_t max_answer_bytes = 2 * 1024 * 1024;
 
 http_limits control_limits()
 {
     http_limits limits;
-    limits.body_bytes = most_answer_bytes;
+    limits.body_bytes = max_answer_bytes;
     limits.idle_connections = 1;
     return limits;
 }
 
-error failed_status(const std::string& address, const http_response& answer)
+error status_error(const std::string& address, const http_response& answer)
 {
-    const std::string said = "engine " + address + " answered " +
-                             std::to_string(static_cast<unsigned>(answer.status)) + ": " +
-                             answer.body.substr(0, std::min<std::size_t>(answer.body.size(), 200));
+    const std::string message =
+        "engine " + address + " answered " + std::to_string(static_cast<unsigned>(answer.status)) +
+        ": " + answer.body.substr(0, std::min<std::size_t>(answer.body.size(), 200));
     if (answer.status == http::status::conflict)
-        return {error_kind::conflict, said, "read the fabric domain's record anew"};
+        return {error_kind::conflict, message, "read the fabric domain's record anew"};
     if (answer.status == http::status::not_found)
-        return {error_kind::not_found, said, "check the engine's version"};
+        return {error_kind::not_found, message, "check the engine's version"};
     if (static_cast<unsigned>(answer.status) >= 500)
-        return {error_kind::unavailable, said, "check the engine"};
-    return {error_kind::protocol, said, "check the engine's version"};
+        return {error_kind::unavailable, message, "check the engine"};
+    return {error_kind::protocol, message, "check the engine's version"};
 }
 
 } // namespace
@@ -49,7 +49,7 @@
     if (!answer)
         co_return answer.error();
     if (answer.value().status != http::status::ok)
-        co_return failed_status(address(), answer.value());
+        co_return status_error(address(), answer.value());
     co_return std::move(answer.value().body);
 }
 
@@ -65,7 +65,7 @@
     if (!answer)
         co_return answer.error();
     if (static_cast<unsigned>(answer.value().status) / 100 != 2)
-        co_return failed_status(address(), answer.value());
+        co_return status_error(address(), answer.value());
     co_return success();
 }
 
--- a/services/engine_wire.cc
+++ b/services/engine_wire.cc
@@ -12,11 +12,11 @@
 
 namespace {
 
-constexpr std::uint64_t most_rank = 4096;
-constexpr std::uint64_t most_requests = 1'000'000;
-constexpr std::size_t most_cache_events = 10'000;
+constexpr std::uint64_t max_rank = 4096;
+constexpr std::uint64_t max_requests = 1'000'000;
+constexpr std::size_t max_cache_events = 10'000;
 
-json::array render_texts(const std::vector<std::string>& texts)
+json::array render_strings(const std::vector<std::string>& texts)
 {
     json::array all;
     for (const auto& text : texts)
@@ -24,7 +24,7 @@
     return all;
 }
 
-double within_one(json_fields& fields, std::string_view name)
+double read_fraction(json_fields& fields, std::string_view name)
 {
     const double value = fields.real(name);
     if (value < 0.0 || value > 1.0)
@@ -66,16 +66,16 @@
     report.boot = fields.text("boot");
     report.group = group_id{fields.text("group")};
     report.fencing = fencing_number{fields.integer("fencing")};
-    report.rank = static_cast<std::uint32_t>(fields.count("rank", most_rank));
+    report.rank = static_cast<std::uint32_t>(fields.count("rank", max_rank));
     report.members = fields.texts("members");
     report.model = fields.text("model");
     report.version = fields.text("version");
     report.adapters = fields.texts("adapters");
     report.state = fields.name_of("state", engine_state::failed);
-    report.progress = within_one(fields, "progress");
-    report.running = static_cast<std::uint32_t>(fields.count("running", most_requests));
-    report.waiting = static_cast<std::uint32_t>(fields.count("waiting", most_requests));
-    report.kv_used = within_one(fields, "kv_used");
+    report.progress = read_fraction(fields, "progress");
+    report.running = static_cast<std::uint32_t>(fields.count("running", max_requests));
+    report.waiting = static_cast<std::uint32_t>(fields.count("waiting", max_requests));
+    report.kv_used = read_fraction(fields, "kv_used");
     report.step_ms = fields.real("step_ms");
     report.leaving = fields.flag("leaving");
     if (fields.failure())
@@ -90,10 +90,10 @@
                       {"group", report.group.value()},
                       {"fencing", report.fencing.value()},
                       {"rank", report.rank},
-                      {"members", render_texts(report.members)},
+                      {"members", render_strings(report.members)},
                       {"model", report.model},
                       {"version", report.version},
-                      {"adapters", render_texts(report.adapters)},
+                      {"adapters", render_strings(report.adapters)},
                       {"state", to_name(report.state)},
                       {"progress", report.progress},
                       {"running", report.running},
@@ -116,7 +116,7 @@
     order.order = fields.text("order");
     order.fencing = fencing_number{fields.integer("fencing")};
     order.group = group_id{fields.text("group")};
-    order.rank = static_cast<std::uint32_t>(fields.count("rank", most_rank));
+    order.rank = static_cast<std::uint32_t>(fields.count("rank", max_rank));
     order.members = fields.texts("members");
     order.model = fields.text("model");
     order.version = fields.text("version");
@@ -132,10 +132,10 @@
                                         {"fencing", order.fencing.value()},
                                         {"group", order.group.value()},
                                         {"rank", order.rank},
-                                        {"members", render_texts(order.members)},
+                                        {"members", render_strings(order.members)},
                                         {"model", order.model},
                                         {"version", order.version},
-                                        {"adapters", render_texts(order.adapters)}});
+                                        {"adapters", render_strings(order.adapters)}});
 }
 
 result<engine_order_release> parse_engine_release(std::string_view body)
@@ -172,7 +172,7 @@
     if (rows == nullptr)
         return events;
     for (const auto& row : *rows) {
-        if (!row.is_object() || events.size() == most_cache_events)
+        if (!row.is_object() || events.size() == max_cache_events)
             return error{error_kind::protocol, "cache events: malformed or too many",
                          "check the engine's version"};
         json_fields inner{row.get_object(), what};
--- a/services/etcd_gateway_kv.cc
+++ b/services/etcd_gateway_kv.cc
@@ -18,9 +18,9 @@
 
 namespace {
 
-constexpr std::size_t longest_watch_line = 16 * 1024 * 1024;
+constexpr std::size_t max_watch_line_bytes = 16 * 1024 * 1024;
 /// A watch may be silent for as long as nothing changes; TCP keep-alive notices a dead peer.
-constexpr duration watch_idle = std::chrono::hours{24};
+constexpr duration watch_read_timeout = std::chrono::hours{24};
 
 struct watch_source {
     explicit watch_source(http_stream opened) : stream{std::move(opened)} {}
@@ -33,7 +33,9 @@
 
 /// Cancels the pump's connection once the watch's owner lets go of it.
 struct watch_handle {
-    explicit watch_handle(std::shared_ptr<watch_source> pumped) : source{std::move(pumped)} {}
+    explicit watch_handle(std::shared_ptr<watch_source> opened_source)
+        : source{std::move(opened_source)}
+    {}
     ~watch_handle() { source->stream.cancel(); }
     watch_handle(const watch_handle&) = delete;
     watch_handle& operator=(const watch_handle&) = delete;
@@ -41,7 +43,7 @@
     std::shared_ptr<watch_source> source;
 };
 
-error failed_status(http::status status, const std::string& body, bool repeatable)
+error status_error(http::status status, const std::string& body, bool repeatable)
 {
     const auto code = static_cast<unsigned>(status);
     const std::string said = "the key-value service answered " + std::to_string(code) + ": " +
@@ -58,7 +60,7 @@
 }
 
 /// Takes whole lines out of `pending` and queues what they hold; false if the watch is over.
-bool take_lines(std::string& pending, kv_watch_queue& queue)
+bool queue_complete_lines(std::string& pending, kv_watch_queue& queue)
 {
     std::size_t start = 0;
     for (;;) {
@@ -86,20 +88,21 @@
     return true;
 }
 
-awaitable<void> pump(std::shared_ptr<watch_source> source, std::shared_ptr<kv_watch_queue> queue)
+awaitable<void> read_events(std::shared_ptr<watch_source> source,
+                            std::shared_ptr<kv_watch_queue> queue)
 {
     std::string pending;
     for (;;) {
-        result<std::string> piece = co_await source->stream.read(watch_idle);
+        result<std::string> piece = co_await source->stream.read(watch_read_timeout);
         if (!piece || piece.value().empty()) {
             queue->close({error_kind::unavailable, "the watch's connection ended",
                           "read the prefix and watch from its revision + 1"});
             co_return;
         }
         pending += piece.value();
-        if (!take_lines(pending, *queue))
+        if (!queue_complete_lines(pending, *queue))
             co_return;
-        if (pending.size() > longest_watch_line) {
+        if (pending.size() > max_watch_line_bytes) {
             queue->close({error_kind::too_large, "a watch's line is too long",
                           "check the key-value service"});
             co_return;
@@ -137,7 +140,7 @@
     if (!answer)
         co_return answer.error();
     if (answer.value().status != http::status::ok)
-        co_return failed_status(answer.value().status, answer.value().body, repeatable);
+        co_return status_error(answer.value().status, answer.value().body, repeatable);
     co_return std::move(answer.value().body);
 }
 
@@ -227,10 +230,10 @@
     if (!opened)
         co_return opened.error();
     if (opened.value().status() != http::status::ok)
-        co_return failed_status(opened.value().status(), "no watch", true);
+        co_return status_error(opened.value().status(), "no watch", true);
     auto queue = std::make_shared<kv_watch_queue>(m_executor);
     auto source = std::make_shared<watch_source>(std::move(opened).value());
-    boost::asio::co_spawn(m_executor, pump(source, queue), boost::asio::detached);
+    boost::asio::co_spawn(m_executor, read_events(source, queue), boost::asio::detached);
     co_return kv_watch{queue, std::make_shared<watch_handle>(source)};
 }
 
--- a/services/kv.cc
+++ b/services/kv.cc
@@ -29,7 +29,7 @@
 }
 
 template <class Answer>
-awaitable<result<Answer>> kv_service::counted(kv_call kind, awaitable<result<Answer>> call)
+awaitable<result<Answer>> kv_service::count_call(kv_call kind, awaitable<result<Answer>> call)
 {
     m_counts.add(kind);
     result<Answer> answer = co_await std::move(call);
@@ -40,46 +40,46 @@
 
 awaitable<result<kv_read>> kv_service::get(std::string key)
 {
-    return counted(kv_call::get,
-                   std::visit([&](auto& via) { return via.get(std::move(key)); }, m_adapter));
+    return count_call(kv_call::get,
+                      std::visit([&](auto& kv) { return kv.get(std::move(key)); }, m_adapter));
 }
 
 awaitable<result<kv_range>> kv_service::get_prefix(std::string prefix)
 {
-    return counted(
+    return count_call(
         kv_call::get_prefix,
-        std::visit([&](auto& via) { return via.get_prefix(std::move(prefix)); }, m_adapter));
+        std::visit([&](auto& kv) { return kv.get_prefix(std::move(prefix)); }, m_adapter));
 }
 
 awaitable<result<kv_outcome>> kv_service::transact(kv_transaction transaction)
 {
-    return counted(
+    return count_call(
         kv_call::transact,
-        std::visit([&](auto& via) { return via.transact(std::move(transaction)); }, m_adapter));
+        std::visit([&](auto& kv) { return kv.transact(std::move(transaction)); }, m_adapter));
 }
 
 awaitable<result<kv_lease>> kv_service::grant(std::chrono::seconds ttl)
 {
-    return counted(kv_call::grant,
-                   std::visit([&](auto& via) { return via.grant(ttl); }, m_adapter));
+    return count_call(kv_call::grant,
+                      std::visit([&](auto& kv) { return kv.grant(ttl); }, m_adapter));
 }
 
 awaitable<result<kv_lease>> kv_service::keep_alive(lease_id lease)
 {
-    return counted(kv_call::keep_alive,
-                   std::visit([&](auto& via) { return via.keep_alive(lease); }, m_adapter));
+    return count_call(kv_call::keep_alive,
+                      std::visit([&](auto& kv) { return kv.keep_alive(lease); }, m_adapter));
 }
 
 awaitable<result<void>> kv_service::revoke(lease_id lease)
 {
-    return counted(kv_call::revoke,
-                   std::visit([&](auto& via) { return via.revoke(lease); }, m_adapter));
+    return count_call(kv_call::revoke,
+                      std::visit([&](auto& kv) { return kv.revoke(lease); }, m_adapter));
 }
 
-void kv_service::set_pace(const watch_pace& pace)
+void kv_service::set_watch_pace(const watch_pace& pace)
 {
     if (auto* store = std::get_if<platform::store_kv>(&m_adapter))
-        store->set_pace(pace);
+        store->set_watch_pace(pace);
 }
 
 kv_call_counts kv_service::counts() const
@@ -94,9 +94,9 @@
 
 awaitable<result<kv_watch>> kv_service::watch(std::string prefix, std::int64_t from_revision)
 {
-    return counted(
+    return count_call(
         kv_call::watch,
-        std::visit([&](auto& via) { return via.watch(std::move(prefix), from_revision); },
+        std::visit([&](auto& kv) { return kv.watch(std::move(prefix), from_revision); },
                    m_adapter));
 }
 
--- a/services/kv.h
+++ b/services/kv.h
@@ -92,7 +92,7 @@
 /// What a test makes a shared in-memory service do; change it at any time.
 struct kv_faults {
     bool outage = false;              ///< every call is refused and did nothing
-    bool dark = false;                ///< calls get no answer and do nothing: they time out
+    bool unresponsive = false;        ///< calls get no answer and do nothing: they time out
     duration delay{0};                ///< before a call takes effect
     std::uint32_t lost_replies = 0;   ///< so many next writes take effect without their replies
     std::uint32_t late_effects = 0;   ///< so many next writes take effect after they timed out
@@ -109,9 +109,9 @@
     kv_call_counts counts;
 
     /// Ends a lease now, as if its time had run out.
-    void lapse(lease_id lease);
+    void expire_lease(lease_id lease);
     /// Ends every watch with an error.
-    void cut_watches();
+    void close_watches();
     /// Hands out what changed since the last call, and arms the timer of the next lease's end.
     void publish();
 
@@ -147,7 +147,7 @@
     void set_partitioned(bool partitioned) { *m_partitioned = partitioned; }
 
 private:
-    awaitable<result<void>> reach();
+    awaitable<result<void>> apply_faults();
     template <class Answer, class Effect>
     awaitable<result<Answer>> write(Effect effect);
 
@@ -181,7 +181,7 @@
     /// Changes of keys that start with `prefix`, from revision `from_revision` on (0: from now).
     awaitable<result<kv_watch>> watch(std::string prefix, std::int64_t from_revision);
     /// Of watches that are made of waiting calls; others bring changes as they come.
-    void set_pace(const watch_pace& pace);
+    void set_watch_pace(const watch_pace& pace);
 
     /// Calls made through this object, as the service counts them: a watch may take many, and so
     /// may the reading of a prefix.
@@ -194,7 +194,7 @@
     explicit kv_service(adapter chosen) : m_adapter{std::move(chosen)} {}
 
     template <class Answer>
-    awaitable<result<Answer>> counted(kv_call kind, awaitable<result<Answer>> call);
+    awaitable<result<Answer>> count_call(kv_call kind, awaitable<result<Answer>> call);
 
     adapter m_adapter;
     kv_call_counts m_counts;
--- a/services/kv_wire.cc
+++ b/services/kv_wire.cc
@@ -83,8 +83,8 @@
             body["lease"] = decimal(put->lease.value());
         rendered["request_put"] = std::move(body);
     }
-    else if (const auto* gone = std::get_if<kv_delete>(&operation)) {
-        rendered["request_delete_range"] = json::object{{"key", base64_encode(gone->key)}};
+    else if (const auto* deletion = std::get_if<kv_delete>(&operation)) {
+        rendered["request_delete_range"] = json::object{{"key", base64_encode(deletion->key)}};
     }
     else {
         const auto& get = std::get<kv_get>(operation);
@@ -116,15 +116,15 @@
             return *body.failure();
         return operation;
     }
-    const json::object* gone = fields.object("request_delete_range");
+    const json::object* deletion = fields.object("request_delete_range");
     const json::object* get = fields.object("request_range");
-    if (gone == nullptr && get == nullptr)
+    if (deletion == nullptr && get == nullptr)
         return malformed;
-    json_fields body{gone != nullptr ? *gone : *get, request};
+    json_fields body{deletion != nullptr ? *deletion : *get, request};
     std::string key = decoded(body, "key");
     if (body.failure())
         return *body.failure();
-    if (gone != nullptr)
+    if (deletion != nullptr)
         return kv_delete{std::move(key)};
     return kv_get{std::move(key)};
 }
--- a/services/memory_kv.cc
+++ b/services/memory_kv.cc
@@ -15,16 +15,16 @@
 
 namespace {
 
-constexpr duration late_by = std::chrono::milliseconds{200};
+constexpr duration late_effect_delay = std::chrono::milliseconds{200};
 
-awaitable<void> sleep(asio::any_io_executor executor, duration step)
+awaitable<void> wait_for(asio::any_io_executor executor, duration step)
 {
     timer wait{executor, step};
     boost::system::error_code ignored;
     co_await wait.async_wait(asio::redirect_error(asio::use_awaitable, ignored));
 }
 
-error lost()
+error no_reply()
 {
     return {error_kind::unknown_outcome, "no answer from the key-value service: timed out",
             "read back before writing again"};
@@ -41,13 +41,13 @@
     : m_executor{executor}, m_expiry{executor}
 {}
 
-void memory_kv_server::lapse(lease_id lease)
+void memory_kv_server::expire_lease(lease_id lease)
 {
     store.revoke(lease);
     publish();
 }
 
-void memory_kv_server::cut_watches()
+void memory_kv_server::close_watches()
 {
     for (const auto& row : m_watchers) {
         if (const auto queue = row.queue.lock())
@@ -85,25 +85,25 @@
     : m_executor{executor}, m_server{std::move(server)}, m_timeout{timeout}
 {}
 
-awaitable<result<void>> memory_kv::reach()
+awaitable<result<void>> memory_kv::apply_faults()
 {
     // Even a fault-free call gives way once, as one over a socket does.
     co_await asio::post(m_executor, asio::use_awaitable);
     if (*m_partitioned) {
-        co_await sleep(m_executor, m_timeout);
+        co_await wait_for(m_executor, m_timeout);
         co_return error{error_kind::unavailable, "the key-value service can't be reached",
                         "check the network"};
     }
     if (m_server->faults.outage)
         co_return error{error_kind::unavailable, "the key-value service can't be reached",
                         "check the key-value service"};
-    if (m_server->faults.dark || m_server->faults.delay > m_timeout) {
-        co_await sleep(m_executor, m_timeout);
+    if (m_server->faults.unresponsive || m_server->faults.delay > m_timeout) {
+        co_await wait_for(m_executor, m_timeout);
         co_return error{error_kind::deadline_exceeded, "no answer from the key-value service",
                         "check the key-value service"};
     }
     if (m_server->faults.delay > duration{0})
-        co_await sleep(m_executor, m_server->faults.delay);
+        co_await wait_for(m_executor, m_server->faults.delay);
     m_server->publish();
     co_return success();
 }
@@ -112,30 +112,30 @@
 awaitable<result<Answer>> memory_kv::write(Effect effect)
 {
     const auto server = m_server;
-    result<void> reached = co_await reach();
-    if (!reached && reached.error().kind == error_kind::deadline_exceeded)
-        co_return lost();
-    if (!reached)
-        co_return reached.error();
+    result<void> applied = co_await apply_faults();
+    if (!applied && applied.error().kind == error_kind::deadline_exceeded)
+        co_return no_reply();
+    if (!applied)
+        co_return applied.error();
     if (server->faults.late_effects > 0) {
         --server->faults.late_effects;
         auto later = [](asio::any_io_executor executor, duration wait,
                         std::shared_ptr<memory_kv_server> target, Effect done) -> awaitable<void> {
-            co_await sleep(executor, wait);
+            co_await wait_for(executor, wait);
             (void)done(*target);
             target->publish();
         };
-        asio::co_spawn(m_executor, later(m_executor, m_timeout + late_by, server, effect),
+        asio::co_spawn(m_executor, later(m_executor, m_timeout + late_effect_delay, server, effect),
                        asio::detached);
-        co_await sleep(m_executor, m_timeout);
-        co_return lost();
+        co_await wait_for(m_executor, m_timeout);
+        co_return no_reply();
     }
     result<Answer> answer = effect(*server);
     server->publish();
     if (server->faults.lost_replies > 0) {
         --server->faults.lost_replies;
-        co_await sleep(m_executor, m_timeout);
-        co_return lost();
+        co_await wait_for(m_executor, m_timeout);
+        co_return no_reply();
     }
     co_return answer;
 }
@@ -143,9 +143,9 @@
 awaitable<result<kv_read>> memory_kv::get(std::string key)
 {
     m_server->counts.add(kv_call::get);
-    const result<void> reached = co_await reach();
-    if (!reached)
-        co_return reached.error();
+    const result<void> applied = co_await apply_faults();
+    if (!applied)
+        co_return applied.error();
     kv_read read;
     read.revision = m_server->store.revision();
     if (const kv_entry* entry = m_server->store.find(key))
@@ -156,9 +156,9 @@
 awaitable<result<kv_range>> memory_kv::get_prefix(std::string prefix)
 {
     m_server->counts.add(kv_call::get_prefix);
-    const result<void> reached = co_await reach();
-    if (!reached)
-        co_return reached.error();
+    const result<void> applied = co_await apply_faults();
+    if (!applied)
+        co_return applied.error();
     co_return kv_range{m_server->store.revision(), m_server->store.with_prefix(prefix)};
 }
 
@@ -206,9 +206,9 @@
 awaitable<result<kv_watch>> memory_kv::watch(std::string prefix, std::int64_t from_revision)
 {
     m_server->counts.add(kv_call::watch);
-    const result<void> reached = co_await reach();
-    if (!reached)
-        co_return reached.error();
+    const result<void> applied = co_await apply_faults();
+    if (!applied)
+        co_return applied.error();
     auto queue = std::make_shared<kv_watch_queue>(m_executor);
     if (m_server->faults.failed_watches > 0) {
         --m_server->faults.failed_watches;
--- a/services/vm_list.cc
+++ b/services/vm_list.cc
@@ -12,7 +12,7 @@
 namespace {
 
 constexpr std::string_view what = "VM list";
-constexpr std::uint64_t most_accelerators = 1024;
+constexpr std::uint64_t max_accelerators = 1024;
 
 vm_entry read_vm(json_fields& fields)
 {
@@ -23,8 +23,7 @@
     entry.address = fields.text("address");
     entry.fabric_domain = fabric_domain_id{fields.text("fabric_domain")};
     entry.failure_domain = failure_domain_id{fields.text("failure_domain")};
-    entry.accelerators =
-        static_cast<std::uint32_t>(fields.count("accelerators", most_accelerators));
+    entry.accelerators = static_cast<std::uint32_t>(fields.count("accelerators", max_accelerators));
     entry.state = fields.name_of("state", vm_state::live);
     entry.leave_by_ms = fields.integer("leave_by_ms");
     return entry;
--- a/services/wire_test.cc
+++ b/services/wire_test.cc
@@ -9,7 +9,7 @@
 /// Cuts off and flips bytes of a good body; every result must be an error or a value, and each
 /// truncation of a JSON object must be an error.
 template <class Parse>
-void spoil(const std::string& good, Parse parse)
+void parse_corrupted(const std::string& good, Parse parse)
 {
     for (std::size_t length = 0; length < good.size(); ++length)
         cr_assert(!parse(good.substr(0, length)));
@@ -24,26 +24,28 @@
 
 } // namespace
 
-Test(wire, spoiled_answers_are_read_or_refused)
+Test(wire, corrupted_bodies_are_parsed_or_refused)
 {
-    spoil(R"({"header":{"revision":"7"},"succeeded":true,"responses":[{"response_range":{"kvs":[)"
-          R"({"key":"YQ==","value":"Yg==","create_revision":"3","mod_revision":"7"}]}}]})",
-          [](const std::string& body) { return bool(parse_kv_outcome(body)); });
-    spoil(
+    parse_corrupted(
+        R"({"header":{"revision":"7"},"succeeded":true,"responses":[{"response_range":{"kvs":[)"
+        R"({"key":"YQ==","value":"Yg==","create_revision":"3","mod_revision":"7"}]}}]})",
+        [](const std::string& body) { return bool(parse_kv_outcome(body)); });
+    parse_corrupted(
         R"({"result":{"header":{"revision":"7"},"events":[{"type":"DELETE","kv":{"key":"YQ=="}}]}})",
         [](const std::string& body) { return bool(parse_kv_watch(body)); });
     engine_report report;
     report.vm = vm_id{"vm-1"};
     report.boot = "b";
     report.members = {"127.0.0.1:1", "127.0.0.1:2"};
-    spoil(render_engine_report(report),
-          [](const std::string& body) { return bool(parse_engine_report(body)); });
+    parse_corrupted(render_engine_report(report),
+                    [](const std::string& body) { return bool(parse_engine_report(body)); });
     vm_list list;
     list.vms.push_back({.vm = vm_id{"vm-1"}, .address = "127.0.0.1:1"});
-    spoil(render_vm_list(list), [](const std::string& body) { return bool(parse_vm_list(body)); });
+    parse_corrupted(render_vm_list(list),
+                    [](const std::string& body) { return bool(parse_vm_list(body)); });
 }
 
-Test(wire, bounds_of_a_report_hold)
+Test(wire, report_fields_out_of_range_are_refused)
 {
     const auto with = [](const std::string& member) {
         return parse_engine_report(R"({"vm":"v","boot":"b","state":"ready",)" + member + "}");
@@ -58,14 +60,14 @@
 }
 
 // Two rows of one VM would put it into two fabric domains' records, and so into two groups.
-Test(wire, a_vm_list_that_names_a_vm_twice_is_refused)
+Test(wire, a_vm_list_with_a_duplicate_vm_is_refused)
 {
     const std::string row = R"({"vm":"v1","address":"127.0.0.1:1","state":"live"})";
     cr_assert(parse_vm_list(R"({"as_of_ms":1,"vms":[)" + row + "]}"));
     cr_assert(!parse_vm_list(R"({"as_of_ms":1,"vms":[)" + row + "," + row + "]}"));
 }
 
-Test(wire, a_prefix_ends_right_behind_its_last_key)
+Test(wire, prefix_end_is_the_first_key_after_the_prefix)
 {
     cr_assert_eq(prefix_end("a/"), "a0");
     cr_assert_eq(prefix_end("a\xff"), "b");
@@ -73,7 +75,7 @@
 }
 
 // The store against an obvious model: a map, and compares answered by looking.
-Test(kv_store, agrees_with_a_plain_map)
+Test(kv_store, matches_a_map_model)
 {
     kv_store store;
     std::map<std::string, std::string> model;
@@ -117,7 +119,7 @@
 
 // Each waiting call costs the store the same whatever it brings: while hundreds of entries change
 // at once, a follower that gathers no longer than usual calls many times a second.
-Test(watch_pace, many_changes_gather_longer_up_to_a_bound)
+Test(watch_pace, the_pause_grows_with_the_changes_up_to_a_bound)
 {
     using std::chrono::milliseconds;
     const watch_pace pace{.gather = milliseconds{100},
