--- a/http/connection.cc
+++ b/http/connection.cc
@@ -5,19 +5,19 @@
 #include <boost/asio/write.hpp>
 #include <boost/beast/core/buffers_suffix.hpp>
 
-// A plain socket is written to directly first and only waited for when it takes no more: most
-// writes are one small event of a stream, and a turn through the reactor would cost more than they
-// do.
+// A write on a plain socket first tries a non-blocking send and waits only for what the socket did
+// not accept. Most writes are one small event of a stream, for which a pass through the reactor
+// costs more than the write itself.
 
 namespace jaynotch {
 
 namespace {
 
-constexpr std::size_t small_read_bytes = 2 * 1024;  // an idle connection holds this much
-constexpr std::size_t large_read_bytes = 16 * 1024; // once more has come than a small request
-constexpr std::size_t max_unread_bytes = 64 * 1024; // pipelined bytes that are held
-/// Bytes thrown away when closing. A caller whose upload is refused mostly writes all of it before
-/// it reads why; they take no memory, and the time for them is bounded as well.
+constexpr std::size_t small_read_bytes = 2 * 1024;  // buffer of an idle connection
+constexpr std::size_t large_read_bytes = 16 * 1024; // after a read that filled its buffer
+constexpr std::size_t max_unread_bytes = 64 * 1024; // pipelined bytes buffered per connection
+/// Most bytes that close() discards. A caller whose upload is refused usually sends all of it
+/// before it reads the response. Discarded bytes use no memory, and `linger` bounds the time.
 constexpr std::size_t max_drained_bytes = 64 * 1024 * 1024;
 
 } // namespace
@@ -119,7 +119,8 @@
     if (m_reading || m_closed || m_state != input_state::arrived)
         return;
     m_reading = true;
-    // The read has room of its own: consuming m_input may move what a pending read would write to.
+    // The read has a buffer of its own, because consuming m_input may move its memory while the
+    // read is pending.
     m_read_buffer.resize(m_last_read_full ? large_read_bytes : small_read_bytes);
     const net::mutable_buffer target = net::buffer(m_read_buffer);
     const auto done = [self = shared_from_this()](boost::system::error_code failed,
@@ -180,7 +181,8 @@
 
 net::awaitable<bool> connection::write_rest(out_buffers buffers, std::size_t sent, duration stall)
 {
-    // A caller that takes no bytes would hold its request's memory for ever: the guard ends it.
+    // A caller that stops reading would hold its request's memory forever, so the write has a
+    // deadline that closes the connection.
     timer deadline{m_input_timer.get_executor(), stall};
     deadline.async_wait([self = weak_from_this()](boost::system::error_code stopped) {
         if (const auto locked = self.lock(); locked && !stopped)
@@ -207,7 +209,8 @@
         return;
     m_closed = true;
     boost::system::error_code ignored;
-    // Without lingering the kernel sends a reset, which no client takes for an orderly end.
+    // With a linger time of 0 the kernel sends a reset, which no client mistakes for a normal
+    // close.
     socket().set_option(net::socket_base::linger{true, 0}, ignored);
     socket().close(ignored);
     m_input_timer.cancel();
@@ -230,8 +233,8 @@
         }
     }
     socket().shutdown(tcp::socket::shutdown_send, ignored);
-    // Closing with unread input makes the kernel reset the connection, and a refusal that was just
-    // sent would be lost with it: so what still comes is read and thrown away for a while.
+    // Closing with unread input makes the kernel reset the connection, and the caller could lose
+    // the response that was just sent. Input is therefore read and discarded first.
     const time_point until = runtime_clock::now() + linger;
     std::size_t drained = 0;
     while (!m_closed && drained < max_drained_bytes && runtime_clock::now() < until) {
--- a/http/connection.h
+++ b/http/connection.h
@@ -1,12 +1,12 @@
-// One accepted TCP connection, with or without TLS: bytes in, bytes out, and word of its end.
+// One accepted TCP connection, plain or TLS: buffered reads, bounded writes and notice of its end.
 //
 //   auto caller = std::make_shared<connection>(std::move(socket), tls);
 //   if (!co_await caller->handshake(10s)) co_return;
 //   while (co_await caller->wait_for_input(10s) == input_state::arrived) parse(caller->input());
 //   co_await caller->write(30s, net::buffer(head), net::buffer(body));
 //
-// At most one read is outstanding; it stays outstanding while an answer is written, so that the
-// caller's going away is noticed at once and bytes of a pipelined request are kept.
+// At most one read is pending. It stays pending while a response is written, so that a disconnect
+// is detected at once and the bytes of a pipelined request are kept for later.
 #pragma once
 
 #include "base/base.h"
@@ -30,43 +30,46 @@
 using tcp = net::ip::tcp;
 
 enum class input_state {
-    arrived,   ///< more bytes are in input()
-    ended,     ///< the other side sends nothing more
+    arrived,   ///< input() holds new bytes
+    ended,     ///< the peer has closed its sending half
     failed,    ///< the connection is broken
-    timed_out, ///< nothing came in time
+    timed_out, ///< no bytes arrived before the timeout
 };
 
 class connection : public std::enable_shared_from_this<connection> {
 public:
-    /// `tls` null for plain TCP.
+    /// `tls` is null for plain TCP.
     connection(tcp::socket socket, net::ssl::context* tls);
 
-    /// False if the TLS handshake failed; true at once without TLS.
+    /// Performs the TLS handshake. False if it failed or took longer than `timeout`; always true
+    /// for plain TCP.
     net::awaitable<bool> handshake(duration timeout);
 
-    /// Waits until bytes arrive that were not there before.
+    /// Waits until input() has received bytes that no earlier call has reported.
     net::awaitable<input_state> wait_for_input(duration timeout);
     boost::beast::flat_buffer& input() { return m_input; }
-    /// Whether bytes have come that are not consumed, also where no read has seen them yet.
+    /// Whether unconsumed bytes exist, in input() or still in the kernel's receive buffer.
     [[nodiscard]] bool has_input();
-    /// Frees the input's memory if it is empty, for connections that idle.
+    /// Frees the read buffers of an idle connection; does nothing if input() holds bytes.
     void release_buffers();
 
-    /// Keeps reading while nobody waits for input, and calls `gone` once if the connection breaks
-    /// or, with `half_close` set, if the other side closes its sending half. Stop with
-    /// watch_disconnect(nullptr).
+    /// Keeps reading while nobody waits for input, and calls `on_disconnect` once when the
+    /// connection breaks or, with `half_close` set, when the peer closes its sending half.
+    /// watch_disconnect(nullptr) stops watching.
     void watch_disconnect(std::function<void()> on_disconnect, bool half_close = false);
-    /// Whether the other side has closed its sending half.
+    /// Whether the peer has closed its sending half.
     [[nodiscard]] bool half_closed() const { return m_state == input_state::ended; }
     [[nodiscard]] bool broken() const { return m_closed || m_state == input_state::failed; }
 
-    /// False if the connection broke or took no bytes for `stall`.
+    /// Writes the buffers in order. False if the connection broke or the write did not complete
+    /// within `stall`.
     net::awaitable<bool> write(duration stall, net::const_buffer first,
                                net::const_buffer second = {}, net::const_buffer third = {});
 
-    /// Ends at once; the other side sees a reset if it still sends.
+    /// Closes the connection at once with a TCP reset.
     void abort();
-    /// Ends in order: says that nothing follows and lets the other side read what was sent.
+    /// Closes the connection gracefully: closes the sending half, then discards input for up to
+    /// `linger` so that the peer can read what was sent.
     net::awaitable<void> close(duration linger);
 
     [[nodiscard]] net::any_io_executor executor() { return m_input_timer.get_executor(); }
@@ -83,14 +86,14 @@
 
     std::variant<tcp::socket, std::unique_ptr<tls_stream>> m_stream;
     boost::beast::flat_buffer m_input;
-    std::vector<char> m_read_buffer; ///< what the pending read writes to
-    timer m_input_timer;             ///< the waiter in wait_for_input; expires as its timeout
+    std::vector<char> m_read_buffer; ///< target of the pending read
+    timer m_input_timer; ///< wakes wait_for_input; cancelled on input, expires as its timeout
     std::function<void()> m_on_disconnect;
-    bool m_half_close_counts = false;
+    bool m_half_close_counts = false; ///< a half-closed connection counts as disconnected
     input_state m_state = input_state::arrived;
     bool m_reading = false;
-    bool m_unreported_input = false; ///< bytes came in that wait_for_input has not told yet
-    bool m_last_read_full = false;   ///< reads come full: the next one gets more room
+    bool m_unreported_input = false; ///< bytes that wait_for_input has not reported yet
+    bool m_last_read_full = false; ///< the last read filled the buffer; the next uses a larger one
     bool m_closed = false;
 };
 
--- a/http/hop_headers.cc
+++ b/http/hop_headers.cc
@@ -9,6 +9,7 @@
 
 namespace http = boost::beast::http;
 
+/// Removed from requests and responses alike.
 constexpr std::array common_hop_headers{
     http::field::connection, http::field::keep_alive,     http::field::proxy_connection,
     http::field::te,         http::field::trailer,        http::field::transfer_encoding,
--- a/http/hop_headers.h
+++ b/http/hop_headers.h
@@ -1,5 +1,5 @@
-// Headers that a relay never passes on: those that concern one connection only (RFC 9110, 7.6.1),
-// and those that each connection frames anew.
+// Headers that a proxy does not forward: hop-by-hop headers (RFC 9110, section 7.6.1) and those
+// that frame the message on each connection, such as Content-Length.
 //
 //   if (!is_request_hop_header(field.name())) forwarded.insert(...);
 #pragma once
@@ -8,9 +8,9 @@
 
 namespace jaynotch {
 
-/// Of a request on its way to a backend server.
+/// Whether `name` is removed from a request that is forwarded to a backend server.
 bool is_request_hop_header(boost::beast::http::field name);
-/// Of an answer on its way to the caller.
+/// Whether `name` is removed from a response that is forwarded to the caller.
 bool is_response_hop_header(boost::beast::http::field name);
 
 } // namespace jaynotch
--- a/http/http_client.cc
+++ b/http/http_client.cc
@@ -11,15 +11,15 @@
 #include <algorithm>
 #include <charconv>
 
-// Every wait on the socket stands under one timer, which closes the socket: all waits then end
-// with an error, and a flag tells a timeout from a cut. What has been sent when the failure comes
-// decides its kind: before the first byte it is `unavailable`; after it, a request that may not be
-// repeated is `unknown_outcome`, since the server may have read and run it.
+// One timer bounds every wait on the socket by closing it. All pending operations then fail, and a
+// flag distinguishes the timeout from a failure of the connection. The kind of the error depends on
+// what had been sent: `unavailable` before the first byte; after it, `unknown_outcome` for a
+// request that is not repeatable, since the server may have read and executed it.
 //
-// An idle connection may have been closed by the server just before its next use. It is looked at
-// before (fresh()), and a repeatable request that meets the rest of this race is sent once more on
-// a new connection. The race shows within a round trip; a server that closes later may have worked
-// on the request, and whether it is repeated is for the caller to decide.
+// The server may close an idle connection just before its next use. is_usable() detects most such
+// cases; a repeatable request that fails in the remaining window is sent once more on a new
+// connection. That failure arrives within a round trip. A server that closes later may have worked
+// on the request, so the decision to retry is left to the caller.
 
 namespace jaynotch {
 
@@ -31,11 +31,11 @@
 
 namespace {
 
-constexpr std::size_t small_read_bytes = 1024;      // a few events of a stream
-constexpr std::size_t large_read_bytes = 16 * 1024; // once more has come than that
+constexpr std::size_t small_read_bytes = 1024;      // holds a few events of a stream
+constexpr std::size_t large_read_bytes = 16 * 1024; // after a read that filled its buffer
 
-/// From sending on a kept connection to the sign that the server was closing it: a round trip
-/// between two regions, and some.
+/// Longest time from sending on an idle connection to the error that shows that the server was
+/// closing it: a round trip between two regions, with a margin.
 constexpr duration idle_close_race = std::chrono::milliseconds{50};
 
 error exchange_error(const http_connection& connection, const std::string& address,
@@ -76,9 +76,9 @@
     return {found->value().data(), found->value().size()};
 }
 
-// One timer waits at a time and is moved only when a nearer deadline comes: a stream sets a
-// deadline for each of its reads, and cancelling and starting a timer for each would cost more than
-// the read.
+// At most one timer wait is pending, and it is restarted only for an earlier deadline; after expiry
+// it waits again if the deadline has moved. A stream sets a deadline for each read, and restarting
+// the timer each time would cost more than the read.
 void http_connection::arm(duration timeout)
 {
     const time_point now = runtime_clock::now();
@@ -96,7 +96,7 @@
     m_deadline_timer.async_wait([self = weak_from_this()](const error_code& ec) {
         const auto connection = self.lock();
         if (ec || !connection)
-            return; // moved to a nearer time, or the connection is gone
+            return; // restarted for an earlier deadline, or the connection is destroyed
         connection->m_timer_pending = false;
         if (!connection->m_armed)
             return;
@@ -139,8 +139,8 @@
 
 bool http_connection::reusable() const
 {
-    // Bytes beyond the answer mean that the server is out of step; what follows on such a
-    // connection would be taken for the answer to the next request.
+    // Bytes after the end of the response mean that requests and responses no longer match: they
+    // would be read as the response to the next request.
     return m_parser && m_parser->is_done() && m_parser->get().keep_alive() &&
            m_buffer.size() == 0 && !m_cancelled && !m_request_incomplete && m_socket.is_open();
 }
@@ -193,7 +193,8 @@
     while (!ec && message.body().more) {
         result<std::string> piece = co_await request.body_source();
         if (!piece) {
-            // The caller left: the server must not take the half for a whole, so it is cut off.
+            // The body can't be completed. Closing the connection keeps the server from processing
+            // a truncated body.
             close();
             co_return asio::error::operation_aborted;
         }
@@ -222,8 +223,8 @@
     else {
         ec = co_await send_buffered(request, host);
     }
-    // A server that refuses a long body answers before it has read all of it and closes: the
-    // answer is there though the sending failed.
+    // A server that refuses a long body responds before it has read all of it and closes the
+    // connection, so a response may be available although sending failed.
     if (ec && !m_request_incomplete)
         co_return ec;
     co_return co_await read_header(header_bytes, request.method == http::verb::head);
@@ -452,7 +453,7 @@
         co_return exchange_error(*connection, pool->address, ec, request.repeatable);
     }
     if (connection->parser().need_eof() && !pool->limits.allow_unframed_answers) {
-        // Without a length or chunks a cut answer looks like a whole one.
+        // Without Content-Length or chunks a truncated response looks complete.
         connection->close();
         co_return error{request.repeatable ? error_kind::protocol : error_kind::unknown_outcome,
                         pool->address + " sent an answer with neither length nor chunks",
--- a/http/http_client.h
+++ b/http/http_client.h
@@ -1,17 +1,18 @@
-// A keep-alive HTTP/1.1 client for one server, with timeouts and bounded sizes.
+// An HTTP/1.1 client of one server with keep-alive, timeouts and size limits.
 //
 //   http_client client{executor, address, http_limits{}};
 //   result<http_response> answer = co_await client.call(request, std::chrono::seconds{2});
 //
-//   result<http_stream> stream = co_await client.open(request, timeout);      // until the header
+//   result<http_stream> stream = co_await client.open(request, timeout);      // reads the header
 //   for (;;) {
 //       result<std::string> piece = co_await stream.value().read(idle_timeout);
-//       if (!piece) ...                        // cut: the answer is not whole
-//       if (piece.value().empty()) break;      // whole
+//       if (!piece) ...                        // the response is incomplete
+//       if (piece.value().empty()) break;      // end of the response
 //   }
 //
-// A connection with an unfinished answer is closed, never used again, so an answer can't reach
-// the wrong caller. A client must outlive the calls made on it, but not its streams.
+// A connection whose response was not read to its end is closed and not reused, so that no request
+// can receive the rest of another's response. A client must outlive the calls made on it, but not
+// its streams.
 #pragma once
 
 #include "base/base.h"
@@ -31,16 +32,16 @@
 
 namespace jaynotch {
 
-/// Sizes that hold whatever the other side sends.
+/// Limits of a client, whatever the server sends.
 struct http_limits {
     std::size_t header_bytes = 16 * 1024;
-    std::size_t body_bytes = 8 * 1024 * 1024; ///< of one buffered answer; streams have no end
-    std::size_t idle_connections = 4;         ///< kept for later calls
-    duration idle_connection_timeout = std::chrono::seconds{20};
-    duration connect_timeout = duration::max(); ///< of a call's timeout, for connecting
-    /// Take answers with neither length nor chunks, which end with their connection. One that is
-    /// cut in an orderly way can't be told from a whole one, so a mark in its headers must vouch
-    /// for it.
+    std::size_t body_bytes = 8 * 1024 * 1024; ///< of one buffered response; streams are unlimited
+    std::size_t idle_connections = 4;         ///< most that are kept open
+    duration idle_connection_timeout = std::chrono::seconds{20}; ///< older ones are not reused
+    duration connect_timeout = duration::max();                  ///< part of a call's timeout
+    /// Accept responses with neither Content-Length nor chunked encoding, which end when the
+    /// connection closes. If the server closes such a connection early, the response looks
+    /// complete, so the caller needs another proof that it is, such as a header.
     bool allow_unframed_answers = false;
 };
 
@@ -54,18 +55,18 @@
     std::string target = "/";
     std::vector<http_header> headers;
     std::string body;
-    /// Instead of `body`: gives the next bytes, none at the end. Nothing is asked of it while the
-    /// server takes nothing. Such a request is never sent a second time.
+    /// Replaces `body`: returns the next bytes, or an empty string at the end. It is not called
+    /// while the server accepts no more bytes. Such a request is never sent a second time.
     std::function<awaitable<result<std::string>>()> body_source;
-    std::optional<std::uint64_t> body_length; ///< of body_source; chunked if unknown
-    /// Called once a connection stands, right before the first byte may leave.
+    std::optional<std::uint64_t> body_length; ///< of body_source; chunked if empty
+    /// Called when the connection is established, right before the first byte is sent.
     std::function<void()> before_send;
-    /// May be sent again on a fresh connection if an idle one turned out to be closing, with
-    /// another call of `before_send`; its failure is deadline_exceeded or unavailable instead of
-    /// unknown_outcome.
+    /// The request may be sent again on a new connection, after another call of `before_send`, if
+    /// the idle connection it was sent on was being closed. Its failures are reported as
+    /// deadline_exceeded or unavailable instead of unknown_outcome.
     bool repeatable = false;
-    /// An idle connection is used only if it has idled no longer: the server may be closing it, and
-    /// what was sent then can't be told from what ran.
+    /// Idle connections are reused only up to this idle time. A server may be closing an older one,
+    /// and the failure would not show whether the request was executed.
     duration max_connection_idle = duration::max();
 };
 
@@ -80,7 +81,7 @@
 class http_connection;
 struct http_pool;
 
-/// An answer whose body is read piece by piece.
+/// A response whose body is read piece by piece.
 class http_stream {
 public:
     http_stream(std::shared_ptr<http_connection> connection, std::shared_ptr<http_pool> pool,
@@ -89,22 +90,23 @@
     http_stream& operator=(http_stream&&) noexcept;
     http_stream(const http_stream&) = delete;
     http_stream& operator=(const http_stream&) = delete;
-    /// Closes the connection unless the answer was read whole.
+    /// Returns the connection to the pool if the response was read to its end, else closes it.
     ~http_stream();
 
     [[nodiscard]] boost::beast::http::status status() const;
     [[nodiscard]] const boost::beast::http::fields& headers() const;
     [[nodiscard]] std::string_view header(std::string_view name) const;
-    /// As the header states it; nothing if it is missing or no number.
+    /// The Content-Length header; empty if it is missing or not a number.
     [[nodiscard]] std::optional<std::uint64_t> content_length() const;
-    /// The next bytes of the body; empty once the body is whole.
+    /// The next bytes of the body; empty at its end.
     awaitable<result<std::string>> read(duration idle_timeout);
-    /// Passes over this answer, which belongs to an earlier request, to the one that follows on the
-    /// connection. False if there is none in time.
+    /// Discards this response, which belongs to an earlier request, and reads the header of the
+    /// next one on the connection. False if none arrives within `timeout`.
     awaitable<bool> skip(duration timeout);
-    /// The server closes an idle connection after `limit`, as it says.
+    /// Sets how long the connection may stay idle before it is no longer reused, as announced by
+    /// the server.
     void set_idle_limit(duration limit);
-    /// Closes the connection; a read that waits ends with `cancelled`.
+    /// Closes the connection; a pending read fails with `cancelled`.
     void cancel();
 
 private:
@@ -113,7 +115,7 @@
     bool m_repeatable = false;
 };
 
-/// Client of one server.
+/// Client of one server, with a pool of idle connections.
 class http_client {
 public:
     http_client(boost::asio::any_io_executor executor, std::string address, http_limits limits);
@@ -123,9 +125,11 @@
     http_client(const http_client&) = delete;
     http_client& operator=(const http_client&) = delete;
 
-    /// Sends a request and reads the whole answer, of any status. `timeout` covers all of it.
+    /// Sends a request and reads the whole response, whatever its status. `timeout` covers the
+    /// whole exchange.
     awaitable<result<http_response>> call(http_request request, duration timeout);
-    /// Sends a request and reads the answer's header. `timeout` covers connecting up to it.
+    /// Sends a request and reads the response's header. `timeout` covers connecting, sending and
+    /// the header.
     awaitable<result<http_stream>> open(http_request request, duration timeout);
     [[nodiscard]] const std::string& address() const;
 
--- a/http/http_client_test.cc
+++ b/http/http_client_test.cc
@@ -17,8 +17,8 @@
 namespace net = boost::asio;
 using net::ip::tcp;
 
-/// A server that answers its first request, works on the second for `working` and closes the
-/// connection without an answer, and answers all others. Time is paused and moved on by it.
+/// A server that answers every request but the second: it processes that one for `processing_time`
+/// and closes the connection without a response. It pauses and advances the runtime clock.
 class closing_server {
 public:
     explicit closing_server(duration processing_time)
@@ -30,7 +30,7 @@
     }
     ~closing_server() { runtime_clock::resume(); }
 
-    /// Sends two requests one after the other and returns what became of the second.
+    /// Sends two requests one after the other and returns the result of the second.
     result<http_response> send_two_requests()
     {
         std::optional<result<http_response>> second;
@@ -96,7 +96,7 @@
 
 } // namespace
 
-// Guards against a read that fails though its server only closed an idle connection.
+// Guards against a read that fails only because the server was closing the idle connection.
 Test(http_client, a_race_with_an_idle_close_is_retried)
 {
     closing_server server{0ms};
@@ -104,7 +104,8 @@
     cr_assert_eq(server.requests(), 3);
 }
 
-// Guards against a request that runs again, uncounted, after its server worked on it and broke off.
+// Guards against a request that is executed a second time, without the caller's knowledge, after
+// its server worked on it and closed the connection.
 Test(http_client, a_request_the_server_may_have_processed_is_not_retried)
 {
     closing_server server{500ms};
--- a/http/http_connection.h
+++ b/http/http_connection.h
@@ -1,4 +1,4 @@
-// One connection of the HTTP client and the pool that keeps idle ones; private to the client.
+// One connection of the HTTP client, and the pool of idle connections. Internal to the client.
 #pragma once
 
 #include "http/http_client.h"
@@ -15,7 +15,7 @@
 
 namespace jaynotch {
 
-/// A socket, what was read beyond the answer's header, and the deadline over both.
+/// A socket, its read buffer and the deadline of the pending operation.
 class http_connection : public std::enable_shared_from_this<http_connection> {
 public:
     using response_parser = boost::beast::http::response_parser<boost::beast::http::buffer_body>;
@@ -24,18 +24,18 @@
         : m_socket{executor}, m_deadline_timer{executor}
     {}
 
-    /// Closes the socket `timeout` from now unless `disarm` comes first.
+    /// Closes the socket after `timeout` unless `disarm` is called first.
     void arm(duration timeout);
     void disarm();
     void close();
     [[nodiscard]] bool timed_out() const { return m_timed_out; }
     [[nodiscard]] bool cancelled() const { return m_cancelled; }
     void cancel();
-    /// Whether an idle connection can be used: open, and nothing unasked for came in.
+    /// Whether an idle connection can be reused: it is open and has received no unexpected bytes.
     bool is_usable();
-    /// Whether the answer was read whole and another request may follow it.
+    /// Whether the response was read to its end and another request may follow.
     [[nodiscard]] bool reusable() const;
-    /// Gives back what an idle connection has no use for: a node holds hundreds of them.
+    /// Frees the buffers of an idle connection; a node holds hundreds of them.
     void release_buffers();
 
     awaitable<boost::system::error_code> connect(boost::asio::ip::tcp::endpoint remote);
@@ -47,7 +47,7 @@
     awaitable<boost::system::error_code> send_streamed(const http_request& request,
                                                        std::string_view host);
     awaitable<result<std::string>> read(duration idle_timeout, bool repeatable);
-    /// Reads the header of the next answer.
+    /// Reads the header of the next response. `bodiless` is set for the response to a HEAD request.
     awaitable<boost::system::error_code> read_header(std::size_t header_bytes, bool bodiless);
     void set_idle_limit(duration limit) { m_idle_limit = limit; }
     [[nodiscard]] duration idle_limit() const { return m_idle_limit; }
@@ -61,18 +61,18 @@
     timer m_deadline_timer;
     boost::beast::flat_buffer m_buffer;
     std::optional<response_parser> m_parser;
-    std::vector<char> m_read_buffer; ///< what the body is read into
-    bool m_last_read_full = false;   ///< the last read came full: the next one gets more room
-    time_point m_deadline_at;        ///< the deadline, if armed
+    std::vector<char> m_read_buffer; ///< target of body reads
+    bool m_last_read_full = false; ///< the last read filled the buffer; the next uses a larger one
+    time_point m_deadline_at;      ///< valid if m_armed
     duration m_idle_limit = duration::max();
     bool m_armed = false;
     bool m_timer_pending = false;
     bool m_timed_out = false;
     bool m_cancelled = false;
-    bool m_request_incomplete = false; ///< the request's body was not sent to its end
+    bool m_request_incomplete = false; ///< the request's body was not sent completely
 };
 
-/// Idle connections to one server.
+/// Idle connections to one server, the most recently used last.
 struct http_pool {
     struct idle_connection {
         std::shared_ptr<http_connection> connection;
@@ -84,7 +84,10 @@
     http_limits limits;
     std::deque<idle_connection> idle;
 
+    /// Removes and returns the most recently used connection that can be reused, or null.
+    /// Connections that have been idle for too long or were closed by the server are closed.
     std::shared_ptr<http_connection> acquire(duration max_connection_idle);
+    /// Adds an idle connection; at the limit the one idle for the longest time is dropped.
     void release(std::shared_ptr<http_connection> connection);
 };
 
--- a/http/http_exchange.cc
+++ b/http/http_exchange.cc
@@ -6,9 +6,9 @@
 #include <boost/url/parse.hpp>
 #include <boost/url/url_view.hpp>
 
-// Beast parses and frames; the bytes go through `connection`, which keeps a read outstanding. An
-// answer is whole for the caller only by its length or its last chunk, so leaving either out is
-// how a cut answer is told.
+// Beast parses requests and renders response headers; the bytes go through `connection`, which
+// keeps a read pending. A caller recognises a complete response by its length or its last chunk, so
+// an incomplete one is marked by leaving these out.
 
 namespace jaynotch {
 
@@ -267,7 +267,7 @@
     }
     if (bodiless || head_only)
         m_framing = framing::none;
-    // A body that was not read whole would be taken for the next request.
+    // The unread rest of a request body would be parsed as the next request.
     if (!m_parser.is_done() || m_framing == framing::until_close)
         m_keep_alive = false;
     message.keep_alive(m_keep_alive);
@@ -340,8 +340,8 @@
 {
     m_answered = true;
     m_keep_alive = false;
-    // A missing length or last chunk tells that bytes are missing. Where neither frames the answer
-    // an orderly end would look like a whole one, so the connection is reset.
+    // Missing bytes or a missing last chunk show that the response is incomplete. If neither frames
+    // it, a normal close would make it look complete, so the connection is reset.
     if (!m_header_sent || m_framing == framing::until_close || m_framing == framing::none)
         m_caller->abort();
 }
--- a/http/http_exchange.h
+++ b/http/http_exchange.h
@@ -1,10 +1,10 @@
-// One request of a caller and its answer, as a handler sees it.
+// One request of a caller and its response, as a handler sees them.
 //
-//   result<std::string> body = co_await exchange.read_body(limit);        // whole, bounded
-//   co_await exchange.answer(http::status::ok, "application/json", text); // whole, with length
+//   result<std::string> body = co_await exchange.read_body(limit);        // whole body
+//   co_await exchange.answer(http::status::ok, "application/json", text); // Content-Length
 //
 //   co_await exchange.begin(http::status::ok, headers, std::nullopt);     // chunked
-//   while (...) if (!co_await exchange.write(piece)) break;               // the caller is gone
+//   while (...) if (!co_await exchange.write(piece)) break;               // disconnected
 //   co_await exchange.finish();                                           // or exchange.cut()
 #pragma once
 
@@ -26,20 +26,21 @@
 
 using request_parser = http::request_parser<http::buffer_body>;
 
-/// How a refusal is put to a caller.
+/// An error response to a caller.
 struct refusal {
     error failure;
-    ran_state ran = ran_state::no;
+    ran_state ran = ran_state::no; ///< whether the request was executed
     std::optional<std::chrono::milliseconds> retry_after = std::nullopt;
-    /// Overrides the status that goes with the kind, where HTTP has a more telling one.
+    /// Replaces the status that status_of gives for the kind, where HTTP has a more specific one.
     std::optional<http::status> status = std::nullopt;
-    /// Whether the callers read fractions of a second in Retry-After. By RFC 9110 they need not.
+    /// Send Retry-After with fractions of a second, for callers that accept them; RFC 9110 only
+    /// allows whole seconds.
     bool fractional_retry_after = false;
 };
 
-/// The status that goes with a kind of error.
+/// The HTTP status for a kind of error.
 http::status status_of(error_kind kind);
-/// `{"error":{"kind","message","remedy","ran"}}`.
+/// The JSON body of an error response: `{"error":{"kind","message","remedy","ran"}}`.
 std::string refusal_body(const refusal& refused);
 
 class http_exchange {
@@ -51,49 +52,53 @@
     [[nodiscard]] std::string_view header(std::string_view name) const;
     /// The target's path, without the query.
     [[nodiscard]] std::string_view path() const;
-    /// The value of `name` in the target's query, decoded; empty if it isn't there.
+    /// The decoded value of the query parameter `name`; empty if it is missing.
     [[nodiscard]] std::string query(std::string_view name) const;
     [[nodiscard]] std::optional<std::uint64_t> content_length() const;
     [[nodiscard]] bool has_body() const;
 
-    /// The next bytes of the body; empty at its end. Says 100-continue first if it was asked for.
+    /// The next bytes of the body; empty at its end. Sends 100 Continue first if the caller expects
+    /// it.
     net::awaitable<result<std::string>> read_some();
-    /// The whole body, or too_large.
+    /// The whole body; too_large if it is longer than `limit` bytes.
     net::awaitable<result<std::string>> read_body(std::size_t limit);
 
-    /// Headers that go out with whatever answer follows.
+    /// Sets a header of the response, whichever call sends it.
     void set(std::string_view name, std::string_view value);
 
+    /// Sends a complete response. Like the other sending calls, returns false if that failed.
     net::awaitable<bool> answer(http::status status, std::string_view content_type,
                                 std::string_view body);
+    /// Sends a complete error response.
     net::awaitable<bool> refuse(const refusal& refused);
-    /// Sends the head of an answer whose body follows piece by piece; without a length it is
-    /// chunked, or ended by the connection's end for HTTP/1.0.
+    /// Sends the header of a response whose body follows piece by piece. Without a length the body
+    /// is chunked or, for HTTP/1.0, ends when the connection closes.
     net::awaitable<bool> begin(http::status status, const http::fields& headers,
                                std::optional<std::uint64_t> length);
+    /// Sends the next bytes of the body.
     net::awaitable<bool> write(std::string_view piece);
-    /// The answer is whole.
+    /// Ends a complete response. Fails if fewer bytes than the announced length were written.
     net::awaitable<bool> finish();
-    /// The answer is not whole: ends the connection so that the caller can tell.
+    /// Ends an incomplete response and the connection, such that the caller can detect the loss.
     void cut();
-    /// Resets the connection at once, also under a write that waits.
+    /// Resets the connection at once, even while a write is pending.
     void abort();
 
-    /// Calls `gone` once if the caller is known to have left, or with `half_close` set says that it
-    /// sends nothing more; the body must have been read.
+    /// Calls `on_disconnect` once when the caller disconnects or, with `half_close` set, when it
+    /// closes its sending half. The body must have been read.
     void watch_caller(std::function<void()> on_disconnect, bool half_close);
     void unwatch_caller();
     [[nodiscard]] bool caller_gone() const { return m_caller->broken(); }
     [[nodiscard]] bool half_closed() const { return m_caller->half_closed(); }
-    /// An answer without a length that says nothing of its end: passes on the framing of a server
-    /// that ends its answer by closing the connection.
+    /// Ends a response without a length by closing the connection instead of chunking it, as the
+    /// server did from which the response is forwarded.
     void close_delimited() { m_close_delimited = true; }
 
     [[nodiscard]] bool header_sent() const { return m_header_sent; }
     [[nodiscard]] bool answered() const { return m_answered; }
     [[nodiscard]] bool keeps_alive() const { return m_keep_alive; }
     void close_after_answer() { m_keep_alive = false; }
-    /// Bytes of the answer's body that were handed to the connection.
+    /// Bytes of the response's body that were passed to the connection.
     [[nodiscard]] std::uint64_t bytes_sent() const { return m_sent; }
 
 private:
@@ -107,7 +112,7 @@
     std::shared_ptr<connection> m_caller;
     request_parser& m_parser;
     const http_timeouts& m_timeouts;
-    std::vector<std::string> m_extra_headers; ///< names and values by turns
+    std::vector<std::string> m_extra_headers; ///< alternating names and values
     framing m_framing = framing::length;
     std::uint64_t m_sent = 0;
     std::uint64_t m_announced_length = 0;
--- a/http/http_server.cc
+++ b/http/http_server.cc
@@ -8,10 +8,10 @@
 
 #include <set>
 
-// One coroutine a connection. It waits for the first byte of a request without holding a parser or
-// a buffer, so that an idle connection costs little; then it reads the header against a deadline
-// that starts with that byte, so that a caller who sends a byte now and then (slow loris) holds a
-// connection no longer than that.
+// Each connection has one coroutine. It waits for the first byte of a request without a parser or
+// buffer, so that idle connections use little memory. The header must then arrive within a timeout
+// that starts with this byte, which bounds how long a caller that sends single bytes (slow loris)
+// can hold a connection.
 
 namespace jaynotch {
 
@@ -19,14 +19,14 @@
 
 constexpr duration refuse_linger = std::chrono::seconds{2};
 constexpr std::size_t accept_backlog = 1024;
-/// For the request of a connection that was accepted as the listener closed.
+/// How long a connection accepted while the listener closes may take to send its request.
 constexpr duration backlog_request_wait = std::chrono::milliseconds{200};
 
-/// A connection as the server keeps book of it.
+/// An open connection and its state.
 struct session {
     std::shared_ptr<connection> caller;
-    bool idle = false;              ///< waits for a request
-    bool accepted_at_close = false; ///< was accepted as the listener closed
+    bool idle = false;              ///< waiting for a request
+    bool accepted_at_close = false; ///< accepted from the backlog while the listener closed
 };
 
 refusal header_refusal(boost::system::error_code failed)
@@ -51,7 +51,7 @@
             .status = http::status::request_timeout};
 }
 
-/// The whole answer to a connection over the limit, sent before anything is read.
+/// The response to a connection over the limit, sent before anything is read.
 std::string connection_limit_answer()
 {
     const std::string body = refusal_body(
@@ -98,11 +98,12 @@
             boost::system::error_code failed;
             tcp::socket accepted =
                 co_await m_acceptor.async_accept(net::redirect_error(net::use_awaitable, failed));
-            // One that was accepted just before the listener closed is served.
+            // A connection accepted just before the listener closed is served.
             if (!failed)
                 start_session(std::move(accepted));
             else if (m_acceptor.is_open()) {
-                // Out of descriptors: without a pause this would spin.
+                // Accepting fails while the process has no free file descriptors; the pause keeps
+                // the loop from spinning.
                 timer pause{m_acceptor.get_executor(), std::chrono::milliseconds{50}};
                 co_await pause.async_wait(net::redirect_error(net::use_awaitable, failed));
             }
@@ -120,7 +121,7 @@
         net::co_spawn(m_acceptor.get_executor(), serve(current, admitted), net::detached);
     }
 
-    /// Takes what waits in the backlog, which closing the listener would reset.
+    /// Accepts the connections in the listen backlog; closing the listener would reset them.
     std::vector<tcp::socket> accept_backlogged()
     {
         std::vector<tcp::socket> taken;
@@ -168,7 +169,7 @@
         m_acceptor.close(ignored);
         for (tcp::socket& accepted : backlogged)
             start_session(std::move(accepted));
-        // Posted, so that reads that are done already have handed their bytes over.
+        // Posted, so that reads that have already completed deliver their bytes first.
         net::post(m_acceptor.get_executor(), [self = shared_from_this()] { self->close_idle(); });
     }
 
@@ -223,7 +224,7 @@
         co_await caller.write(m_settings.timeouts.write_stall, net::buffer(text));
     }
 
-    /// Waits for the first byte of the next request; false if there is none.
+    /// Waits for the first byte of the next request; false if none arrives.
     net::awaitable<bool> next_request(std::shared_ptr<session> current)
     {
         if (current->caller->input().size() > 0)
@@ -248,7 +249,7 @@
         }
     }
 
-    /// Reads one header and has the request answered; false if the connection is to end.
+    /// Reads one request header and calls the handler; false if the connection is to be closed.
     net::awaitable<bool> serve_request(std::shared_ptr<session> current)
     {
         request_parser parser;
--- a/http/http_server.h
+++ b/http/http_server.h
@@ -1,12 +1,12 @@
-// An HTTP/1.1 server: the front for callers and the admin port are one each.
+// An HTTP/1.1 server. The port for callers and the admin port are one instance each.
 //
 //   auto server = http_server::open(io, "127.0.0.1:0", settings, [](http_exchange& exchange)
 //       -> net::awaitable<void> { co_await exchange.answer(http::status::ok, "text/plain", "hi");
 //       });
 //   server.value()->start();
 //
-// Input is bounded before it is read, slow senders time out, and whatever can't be understood is
-// refused with the reason. A handler answers once, whole or piece by piece.
+// Headers and bodies have size limits, slow senders time out, and malformed input is refused with
+// an error that states the reason. A handler sends one response, in one call or streamed.
 #pragma once
 
 #include "base/base.h"
@@ -25,7 +25,7 @@
 
 class http_server {
 public:
-    /// Binds the port. Errors: a port in use, TLS files that can't be read.
+    /// Binds the port. Errors: the port is in use, or the TLS files can't be read.
     static result<std::unique_ptr<http_server>> open(net::io_context& io,
                                                      const std::string& address,
                                                      http_server_settings settings,
@@ -34,14 +34,16 @@
     http_server& operator=(const http_server&) = delete;
     ~http_server();
 
+    /// Starts accepting connections.
     void start();
-    /// For requests that are read from now on.
+    /// Changes timeouts and limits for requests that are read after this call.
     void set_limits(http_timeouts timeouts, http_server_limits limits);
-    /// From now on each answer ends its connection.
+    /// Closes each connection after its next response.
     void disable_keep_alive();
-    /// Takes no new connections and closes those that idle; requests in flight go on.
+    /// Stops accepting connections and closes idle ones; requests in flight are completed.
+    /// Connections that are already in the listen backlog are accepted first.
     void stop_accepting();
-    /// Cuts every connection.
+    /// Stops accepting connections and resets all open ones.
     void abort();
 
     [[nodiscard]] std::uint16_t port() const;
--- a/http/http_server_test.cc
+++ b/http/http_server_test.cc
@@ -17,7 +17,7 @@
 
 using namespace std::chrono_literals;
 
-/// A server on its own thread; the test talks to it over blocking sockets.
+/// A server on its own thread; the test connects to it with blocking sockets.
 class test_server {
 public:
     explicit test_server(http_server_settings settings = short_timeouts())
@@ -53,7 +53,7 @@
         return socket;
     }
 
-    /// Sends and reads until the server closes.
+    /// Sends `bytes` and reads until the server closes the connection.
     std::string send_and_read(std::string_view bytes, bool half_close = false)
     {
         tcp::socket socket = connect_client();
@@ -72,7 +72,7 @@
         return text;
     }
 
-    /// Runs `act` while the server reads and accepts nothing, then has it stop accepting.
+    /// Blocks the server's thread while `act` runs, then makes the server stop accepting.
     void stop_accepting_after(std::function<void()> act)
     {
         std::promise<void> done;
@@ -130,8 +130,8 @@
 
 } // namespace
 
-// A broken or hostile client sends bytes that are no request. It is told what is wrong and that
-// nothing ran, its connection ends, and the next client is served.
+// A faulty or hostile client sends malformed requests. It gets an error with the reason and the
+// note that nothing was executed, its connection is closed, and the next client is served.
 Test(http_server, malformed_input_is_refused_with_the_reason)
 {
     test_server server;
@@ -151,8 +151,8 @@
     cr_assert(server.still_serves());
 }
 
-// A slow-loris client sends a header byte by byte, or a body that stops. It holds its connection
-// for the timeout and no longer.
+// A slow-loris client sends an incomplete header or body. It can hold its connection no longer than
+// the timeout.
 Test(http_server, slow_senders_time_out)
 {
     test_server server;
@@ -163,8 +163,8 @@
     cr_assert(server.still_serves());
 }
 
-// A client closes its sending half right after its request, as `nc -N` does. It still gets the
-// whole answer.
+// A client that closes its sending half right after the request, as `nc -N` does, gets the whole
+// response.
 Test(http_server, a_half_closed_caller_gets_its_answer)
 {
     test_server server;
@@ -173,7 +173,7 @@
     cr_assert(server.send_and_read("GET /ec", true).empty());
 }
 
-// A client sends three requests without waiting. The answers come in order, each to its own.
+// A client sends three requests without waiting; the responses must come in the same order.
 Test(http_server, pipelined_requests_are_answered_in_order)
 {
     test_server server;
@@ -187,7 +187,7 @@
     cr_assert(one < two && two < three && three != std::string::npos);
 }
 
-// A client asks before it sends its body (100-continue), or asks for the head alone.
+// Requests with `Expect: 100-continue`, whose body follows the interim response, and HEAD requests.
 Test(http_server, expect_continue_and_head_requests_are_answered)
 {
     test_server server;
@@ -206,8 +206,8 @@
     cr_assert(answer.ends_with("\r\n\r\n"));
 }
 
-// The answer is lost half way at the backend server. The client must be able to tell: no last
-// chunk for HTTP/1.1, a reset for HTTP/1.0, which has no chunks.
+// When the backend server fails in the middle of a response, the client must be able to detect it:
+// HTTP/1.1 by the missing last chunk; HTTP/1.0, which has no chunks, by a reset.
 Test(http_server, an_incomplete_answer_is_not_framed_as_complete)
 {
     test_server server;
@@ -222,7 +222,7 @@
     cr_assert(failed == net::error::connection_reset);
 }
 
-// More clients connect than the node holds. The one too many is told so at once.
+// A client that connects when the connection limit is reached gets an error at once.
 Test(http_server, connections_are_bounded)
 {
     http_server_settings settings = test_server::short_timeouts();
@@ -235,8 +235,8 @@
     cr_assert(refuses(test_server::read_all(third), "503"));
 }
 
-// A client uploads without end while the handler reads nothing. The server must not take the bytes
-// in: the client's socket fills up and stays full.
+// A client uploads while the handler does not read the body. The server must not buffer the bytes:
+// the client's socket buffer fills up and stays full.
 Test(http_server, unread_bodies_cause_backpressure)
 {
     test_server server;
@@ -254,12 +254,12 @@
         if (sent == 0)
             std::this_thread::sleep_for(10ms);
     }
-    cr_assert_lt(accepted_bytes, 20'000'000U); // what kernel buffers of both sides hold
+    cr_assert_lt(accepted_bytes, 20'000'000U); // more than the kernel buffers of both sides hold
 }
 
-// A caller uploads a file that is over the limit. The refusal goes out while it still writes; if
-// the server closed with the rest unread, the kernel would reset the connection, the caller's next
-// write would fail, and it would never read why it was refused.
+// A caller uploads a file that is over the size limit and gets the error while it is still sending.
+// If the server closed the connection with unread input, the kernel would reset it, the caller's
+// next write would fail, and the caller would not see the error.
 Test(http_server, a_refused_upload_is_drained_before_the_close)
 {
     test_server server;
@@ -278,8 +278,8 @@
     cr_assert(refuses(test_server::read_all(caller), "413"));
 }
 
-// A process stands still until its planned stop closes the listener. A caller who connected and
-// sent a request meanwhile must not be reset.
+// The process is paused until a planned stop closes the listener. A caller that connected and sent
+// a request in the meantime must get its response instead of a reset.
 Test(http_server, a_request_waiting_in_the_backlog_is_answered_after_a_stop)
 {
     test_server server;
@@ -299,7 +299,7 @@
     });
     cr_assert(test_server::read_all(*queued_client).ends_with("/late|"));
     cr_assert(test_server::read_all(kept_client).ends_with("/again|"),
-              "nor one on a kept connection");
+              "a request on a kept connection was not answered");
     cr_assert(test_server::read_all(*silent_client).empty(),
-              "nothing is held up by one who sent nothing");
+              "a connection without a request was not closed");
 }
--- a/http/server_settings.h
+++ b/http/server_settings.h
@@ -1,4 +1,4 @@
-// What an HTTP server allows its callers: times, sizes and TLS.
+// Settings of an HTTP server: timeouts, size limits and TLS.
 //
 //   http_server_settings settings;
 //   settings.limits.header_bytes = 8 * 1024;
@@ -12,28 +12,28 @@
 
 namespace jaynotch {
 
-/// PEM files of one side of a TLS connection; all empty for plain TCP.
+/// PEM files of one endpoint of a TLS connection; all empty for plain TCP.
 struct tls_files {
     std::string certificate;
     std::string key;
-    std::string authority; ///< checks the other side's certificate; empty: it needs none
+    std::string authority; ///< CA that the peer's certificate must chain to; empty: not checked
 
     [[nodiscard]] bool enabled() const { return !certificate.empty(); }
 };
 
-/// How long a server waits for a caller.
+/// How long the server waits for a caller before it gives up.
 struct http_timeouts {
-    std::chrono::milliseconds header{10'000};      ///< a header, from its first byte
+    std::chrono::milliseconds header{10'000};      ///< whole header, from its first byte
     std::chrono::milliseconds body_stall{15'000};  ///< between two reads of a body
-    std::chrono::milliseconds idle{75'000};        ///< a connection between two requests
-    std::chrono::milliseconds write_stall{30'000}; ///< a caller that takes no bytes
+    std::chrono::milliseconds idle{75'000};        ///< between two requests of a connection
+    std::chrono::milliseconds write_stall{30'000}; ///< one write of response bytes
 };
 
-/// What a server takes at most, whatever callers send.
+/// Upper limits on what callers may send and open.
 struct http_server_limits {
     std::size_t header_bytes = 16 * 1024;
     std::size_t body_bytes = 1024ULL * 1024 * 1024;
-    std::size_t connections = 10'000;
+    std::size_t connections = 10'000; ///< open at the same time
 };
 
 struct http_server_settings {
