--- a/services/engine.cc
+++ b/services/engine.cc
@@ -1,7 +1,7 @@
 #include "services/engine.h"
 
-// Orders are idempotent (the engine takes the same order twice as one), so they are sent as
-// repeatable: a lost reply shows as deadline_exceeded and the sender sends again.
+// Orders are idempotent, so they are sent as repeatable requests: if the response is lost, the call
+// fails with deadline_exceeded and the sender may send the order again.
 
 namespace jaynotch {
 
--- a/services/engine.h
+++ b/services/engine.h
@@ -1,11 +1,12 @@
-// The model engine on a backend VM: what it reports and the orders that it takes.
+// The model engine on a backend VM: its status reports and the orders it accepts.
 //
 //   engine_client engine{executor, "10.1.0.7:9000", std::chrono::seconds{1}};
 //   result<engine_report> seen = co_await engine.report();
-//   result<void> taken = co_await engine.assign(order);   // conflict: it knows a newer fencing
+//   result<void> taken = co_await engine.assign(order);   // conflict: outdated order
 //
-// Orders carry the fencing number of the record that they come from and may be sent again: the
-// same order twice changes nothing. Requests for answers go through http_client (open).
+// An order carries the fencing number of the group record that it is derived from. Orders are
+// idempotent and may be sent again. Generation requests don't use this class; they go through
+// http_client::open.
 #pragma once
 
 #include "base/base.h"
@@ -31,41 +32,41 @@
     };
 };
 
-/// What an engine says of itself.
+/// The engine's report of its own state.
 struct engine_report {
     vm_id vm;
     std::string boot; ///< changes with each start of the engine
-    group_id group;   ///< empty if it is in none
+    group_id group;   ///< empty if it is in no group
     fencing_number fencing;
     std::uint32_t rank = 0;
-    std::vector<std::string> members; ///< addresses of the group by rank
+    std::vector<std::string> members; ///< the group's addresses, indexed by rank
     std::string model;
     std::string version;
     std::vector<std::string> adapters;
     engine_state state = engine_state::idle;
-    double progress = 0.0; ///< of loading, 0 to 1
+    double progress = 0.0; ///< of loading the model, 0 to 1
     std::uint32_t running = 0;
     std::uint32_t waiting = 0;
-    double kv_used = 0.0; ///< of the KV cache's memory, 0 to 1
-    double step_ms = 0.0; ///< mean time between tokens lately
+    double kv_used = 0.0; ///< used fraction of the KV cache, 0 to 1
+    double step_ms = 0.0; ///< recent mean time between tokens
     bool leaving = false;
 
     friend bool operator==(const engine_report&, const engine_report&) = default;
 };
 
-/// Makes the engine a member of a group and loads what it lacks.
+/// Makes the engine a member of a group and loads the model and adapters that it lacks.
 struct engine_order_assign {
-    std::string order; ///< identity of the order, for logs and repeats
+    std::string order; ///< identifies the order in logs and when it is sent again
     fencing_number fencing;
     group_id group;
     std::uint32_t rank = 0;
-    std::vector<std::string> members; ///< addresses by rank
+    std::vector<std::string> members; ///< addresses, indexed by rank
     std::string model;
     std::string version;
     std::vector<std::string> adapters;
 };
 
-/// Takes the engine out of its group once its answers are finished.
+/// Removes the engine from its group after it has finished its running requests.
 struct engine_order_release {
     std::string order;
     fencing_number fencing;
@@ -82,7 +83,8 @@
     };
 };
 
-/// A prefix came into or left an engine's cache. Events come late and with gaps: a hint only.
+/// A prefix was stored in or evicted from an engine's cache. Events arrive late and some are lost,
+/// so they are hints only.
 struct cache_event {
     std::uint64_t sequence = 0;
     cache_change change = cache_change::stored;
@@ -91,7 +93,7 @@
     friend bool operator==(const cache_event&, const cache_event&) = default;
 };
 
-/// Load as the engine's metrics page shows it, which lags.
+/// Load from the engine's metrics page, which lags behind its state.
 struct engine_load {
     double running = 0.0;
     double waiting = 0.0;
@@ -107,7 +109,7 @@
 std::string render_engine_release(const engine_order_release& order);
 result<std::vector<cache_event>> parse_cache_events(std::string_view body);
 std::string render_cache_events(const std::vector<cache_event>& events);
-/// Reads the gauges of a Prometheus text page that concern load; others are skipped.
+/// Reads the load gauges of a page in the Prometheus text format and skips all other samples.
 result<engine_load> parse_engine_metrics(std::string_view page);
 
 /// Client of one engine's control calls.
@@ -117,11 +119,12 @@
                   duration timeout);
 
     awaitable<result<engine_report>> report();
-    /// conflict: the engine knows a newer fencing number and did not take the order.
+    /// Fails with `conflict` if the engine has seen a newer fencing number and rejects the order.
     awaitable<result<void>> assign(engine_order_assign order);
     awaitable<result<void>> release(engine_order_release order);
-    /// Stops the generation of one attempt, if it runs.
+    /// Stops the generation of an attempt if it is running.
     awaitable<result<void>> cancel(attempt_id attempt);
+    /// Cache events with sequence numbers above `after`.
     awaitable<result<std::vector<cache_event>>> cache_events(std::uint64_t after);
     awaitable<result<engine_load>> load();
     /// Asks the engine to fetch a prefix's KV cache from another engine.
--- a/services/engine_report_fuzz.cc
+++ b/services/engine_report_fuzz.cc
@@ -1,5 +1,5 @@
-// Whatever an engine answers must be read or refused; what was read stays within its bounds and
-// is rendered and read again to the same.
+// Fuzzes the parsers of engine responses. Any input must be parsed or refused; parsed values must
+// lie within their bounds and survive rendering and parsing unchanged.
 #include "services/services.h"
 
 #include <cstdlib>
@@ -15,7 +15,7 @@
     result<engine_report> again = parse_engine_report(render_engine_report(report));
     if (!bounded || !again)
         std::abort();
-    // Boost.JSON reads the last bit of a double loosely.
+    // Boost.JSON may parse a double with an error in the last bit, so these are not compared.
     again.value().progress = report.progress;
     again.value().kv_used = report.kv_used;
     again.value().step_ms = report.step_ms;
--- a/services/engine_wire.cc
+++ b/services/engine_wire.cc
@@ -3,8 +3,8 @@
 
 #include <charconv>
 
-// The engine's control calls in JSON (docs/DESIGN.md, wire forms) and its load gauges in
-// Prometheus text.
+// Wire formats of the engine: its control calls in JSON (docs/DESIGN.md, wire forms) and its load
+// gauges in the Prometheus text format.
 
 namespace jaynotch {
 
@@ -24,6 +24,7 @@
     return all;
 }
 
+/// A number from 0 to 1; any other is recorded as a failure of `fields`.
 double read_fraction(json_fields& fields, std::string_view name)
 {
     const double value = fields.real(name);
@@ -32,7 +33,7 @@
     return value;
 }
 
-/// The number at the end of a line of a Prometheus page.
+/// The value at the end of a sample line; empty if it is not a number.
 std::optional<double> sample_value(std::string_view line)
 {
     const std::size_t space = line.rfind(' ');
--- a/services/etcd_gateway_kv.cc
+++ b/services/etcd_gateway_kv.cc
@@ -4,13 +4,13 @@
 #include <boost/asio/co_spawn.hpp>
 #include <boost/asio/detached.hpp>
 
-// Each call is one POST. A status other than 200 tells what became of a write only where it is
-// certain: 4xx means that nothing happened; a 5xx of a write may come after it took effect (etcd
-// answers "request timed out" so), hence unknown_outcome.
+// Each call is one POST request. Status 4xx means that a write had no effect. After a 5xx the write
+// may have taken effect (etcd sends one with "request timed out"), so it is reported as
+// unknown_outcome.
 //
-// A watch is one POST whose answer never ends, one JSON object a line. A pump coroutine reads it
-// into the queue; it ends when the watch is dropped, since the handle it hangs on cancels its
-// connection.
+// A watch is one POST request whose response does not end and holds one JSON object per line. The
+// coroutine read_events() moves the events into the queue. When the watch is destroyed, its handle
+// cancels the connection, which ends the coroutine.
 
 namespace jaynotch {
 
@@ -19,7 +19,7 @@
 namespace {
 
 constexpr std::size_t max_watch_line_bytes = 16 * 1024 * 1024;
-/// A watch may be silent for as long as nothing changes; TCP keep-alive notices a dead peer.
+/// A watch receives nothing while no key changes. A dead peer is detected by TCP keep-alive.
 constexpr duration watch_read_timeout = std::chrono::hours{24};
 
 struct watch_source {
@@ -31,7 +31,7 @@
     http_stream stream;
 };
 
-/// Cancels the pump's connection once the watch's owner lets go of it.
+/// Cancels the connection of a watch when the watch is destroyed.
 struct watch_handle {
     explicit watch_handle(std::shared_ptr<watch_source> opened_source)
         : source{std::move(opened_source)}
@@ -59,7 +59,7 @@
     return {error_kind::unknown_outcome, said, "read back before writing again"};
 }
 
-/// Takes whole lines out of `pending` and queues what they hold; false if the watch is over.
+/// Removes the complete lines from `pending` and queues their events; false if the watch has ended.
 bool queue_complete_lines(std::string& pending, kv_watch_queue& queue)
 {
     std::size_t start = 0;
@@ -188,7 +188,7 @@
 {
     const std::string request =
         boost::json::serialize(boost::json::object{{"TTL", std::to_string(ttl.count())}});
-    // A lease granted without the reply seen ends by itself, so asking again is harmless.
+    // If the response is lost, the granted lease expires unused, so repeating the call is harmless.
     const result<std::string> body = co_await post("/v3/lease/grant", request, true);
     if (!body)
         co_return body.error();
--- a/services/kv.h
+++ b/services/kv.h
@@ -1,16 +1,17 @@
-// The key-value service: compare-and-swap, leases and watches.
+// Client of the key-value service: compare-and-swap transactions, leases and watches.
 //
 //   kv_service kv = kv_service::over_etcd(executor, {.address = "10.0.0.9:2379"});
 //   result<kv_read> head = co_await kv.get("/jaynotch/prod/config/head");
 //   kv_transaction swap{.compares = {{head_key, head.value().mod_revision()}},
 //                       .then = {kv_put{head_key, next}}};
 //   result<kv_outcome> done = co_await kv.transact(std::move(swap));
-//   if (!done && done.error().kind == error_kind::unknown_outcome) ...   // read back and settle
+//   if (!done && done.error().kind == error_kind::unknown_outcome) ...   // read back
 //
-// A call that failed with unknown_outcome may have taken effect, also later than the failure. Only
-// a compare on a revision or on a key of one's own settles it.
+// A write that failed with unknown_outcome may have taken effect or may still do so after the
+// failure was reported. Only a transaction that compares a revision, or a key that no other client
+// writes, can determine or fix the outcome.
 //
-// Tests use `kv_service::in_memory`, whose store can be made to fail (kv_faults).
+// Tests use kv_service::in_memory, which can inject faults (kv_faults).
 #pragma once
 
 #include "base/base.h"
@@ -33,7 +34,7 @@
 
 namespace jaynotch {
 
-/// What kind of call; the service counts and limits each.
+/// Kinds of calls; the service counts and limits each kind.
 enum class kv_call { get, get_prefix, transact, grant, keep_alive, revoke, watch };
 
 template <>
@@ -49,10 +50,11 @@
     };
 };
 
-/// Calls made so far by kind, failed ones included.
+/// Calls by kind, including failed ones.
 struct kv_call_counts {
     std::array<std::uint64_t, enum_names<kv_call>::entries.size()> by_kind{};
-    std::array<std::uint64_t, enum_names<kv_call>::entries.size()> failed{}; ///< of those
+    std::array<std::uint64_t, enum_names<kv_call>::entries.size()>
+        failed{}; ///< failed calls of `by_kind`
 
     [[nodiscard]] std::uint64_t of(kv_call kind) const { return by_kind.at(index(kind)); }
     void add(kv_call kind) { ++by_kind.at(index(kind)); }
@@ -65,10 +67,10 @@
 struct etcd_settings {
     std::string address; ///< "IP:port" of the JSON gateway
     duration timeout = std::chrono::seconds{2};
-    std::size_t answer_bytes = 16 * 1024 * 1024; ///< most that one answer may be long
+    std::size_t answer_bytes = 16 * 1024 * 1024; ///< maximum size of a response
 };
 
-/// Adapter for etcd v3's JSON gateway.
+/// Adapter for the JSON gateway of etcd v3.
 class etcd_gateway_kv {
 public:
     etcd_gateway_kv(const boost::asio::any_io_executor& executor, etcd_settings settings);
@@ -86,20 +88,21 @@
 
     boost::asio::any_io_executor m_executor;
     etcd_settings m_settings;
-    std::unique_ptr<http_client> m_client; ///< stays in place while calls on it run
+    std::unique_ptr<http_client> m_client; ///< on the heap: calls in progress need a stable address
 };
 
-/// What a test makes a shared in-memory service do; change it at any time.
+/// Faults injected by an in-memory service; may be changed at any time.
 struct kv_faults {
-    bool outage = false;              ///< every call is refused and did nothing
-    bool unresponsive = false;        ///< calls get no answer and do nothing: they time out
-    duration delay{0};                ///< before a call takes effect
-    std::uint32_t lost_replies = 0;   ///< so many next writes take effect without their replies
-    std::uint32_t late_effects = 0;   ///< so many next writes take effect after they timed out
-    std::uint32_t failed_watches = 0; ///< so many next watches end at once
+    bool outage = false;       ///< every call fails without effect
+    bool unresponsive = false; ///< calls time out without effect
+    duration delay{0};         ///< before a call takes effect
+    std::uint32_t lost_replies =
+        0; ///< number of next writes that take effect but whose response is lost
+    std::uint32_t late_effects = 0;   ///< number of next writes that take effect after timing out
+    std::uint32_t failed_watches = 0; ///< number of next watches that end at once
 };
 
-/// An in-process service that several `memory_kv` share.
+/// An in-process key-value service that several memory_kv clients share.
 class memory_kv_server : public std::enable_shared_from_this<memory_kv_server> {
 public:
     static std::shared_ptr<memory_kv_server> make(const boost::asio::any_io_executor& executor);
@@ -108,11 +111,11 @@
     kv_store store;
     kv_call_counts counts;
 
-    /// Ends a lease now, as if its time had run out.
+    /// Ends a lease now, as if it had expired.
     void expire_lease(lease_id lease);
     /// Ends every watch with an error.
     void close_watches();
-    /// Hands out what changed since the last call, and arms the timer of the next lease's end.
+    /// Expires due leases, delivers new changes to the watches and schedules the next expiry.
     void publish();
 
 private:
@@ -129,7 +132,8 @@
     std::vector<watcher> m_watchers;
 };
 
-/// A client of a memory_kv_server, with faults of its own besides the server's.
+/// A client of a memory_kv_server. A test can partition it from the server, besides the server's
+/// own faults.
 class memory_kv {
 public:
     memory_kv(const boost::asio::any_io_executor& executor,
@@ -143,7 +147,7 @@
     awaitable<result<void>> revoke(lease_id lease);
     awaitable<result<kv_watch>> watch(std::string prefix, std::int64_t from_revision);
 
-    /// Cuts this client alone off the service, and joins it again.
+    /// Separates only this client from the service, or reconnects it.
     void set_partitioned(bool partitioned) { *m_partitioned = partitioned; }
 
 private:
@@ -157,12 +161,13 @@
     std::shared_ptr<bool> m_partitioned = std::make_shared<bool>(false);
 };
 
-/// The service through any of its adapters. It must outlive its calls, but not its watches.
+/// The key-value service through one of its adapters. It must outlive its calls, but not its
+/// watches.
 class kv_service {
 public:
     static kv_service over_etcd(const boost::asio::any_io_executor& executor,
                                 etcd_settings settings);
-    /// The users' platform's store.
+    /// The store of the users' platform.
     static kv_service over_store(const boost::asio::any_io_executor& executor,
                                  platform::store_settings settings);
     static kv_service in_memory(const boost::asio::any_io_executor& executor,
@@ -170,23 +175,25 @@
                                 duration timeout = std::chrono::seconds{2});
 
     awaitable<result<kv_read>> get(std::string key);
-    /// All entries whose key starts with `prefix`, by key.
+    /// All entries whose key starts with `prefix`, sorted by key.
     awaitable<result<kv_range>> get_prefix(std::string prefix);
     awaitable<result<kv_outcome>> transact(kv_transaction transaction);
     awaitable<result<kv_lease>> grant(std::chrono::seconds ttl);
-    /// Renews a lease; not_found if it has lapsed.
+    /// Renews a lease; not_found if it has expired.
     awaitable<result<kv_lease>> keep_alive(lease_id lease);
     /// Ends a lease and deletes its keys.
     awaitable<result<void>> revoke(lease_id lease);
-    /// Changes of keys that start with `prefix`, from revision `from_revision` on (0: from now).
+    /// Watches the keys that start with `prefix` for changes from revision `from_revision` on; 0
+    /// starts with the next change.
     awaitable<result<kv_watch>> watch(std::string prefix, std::int64_t from_revision);
-    /// Of watches that are made of waiting calls; others bring changes as they come.
+    /// Sets how often watches poll. Affects only the platform's store, whose watches are long
+    /// polls; other adapters receive changes as they happen.
     void set_watch_pace(const watch_pace& pace);
 
-    /// Calls made through this object, as the service counts them: a watch may take many, and so
-    /// may the reading of a prefix.
+    /// Calls made through this object as the service counts them: one watch or one get_prefix may
+    /// take several calls.
     [[nodiscard]] kv_call_counts counts() const;
-    /// The in-memory adapter, for tests that cut one client off; null for others.
+    /// The in-memory adapter, for tests that partition one client; null for other adapters.
     memory_kv* memory() { return std::get_if<memory_kv>(&m_adapter); }
 
 private:
--- a/services/kv_answer_fuzz.cc
+++ b/services/kv_answer_fuzz.cc
@@ -1,5 +1,5 @@
-// Whatever a key-value service answers must be read or refused, never trip the reader; a
-// transaction that was read is rendered and read again to the same.
+// Fuzzes the parsers of the key-value service's messages. Any input must be parsed or refused; a
+// parsed transaction must survive rendering and parsing unchanged.
 #include "services/services.h"
 
 #include <cstdlib>
--- a/services/kv_wire.cc
+++ b/services/kv_wire.cc
@@ -2,9 +2,9 @@
 
 #include "base/json_fields.h"
 
-// The forms are those of etcd's rpc.proto through grpc-gateway. Only what this project uses is
-// read and written: compares on mod_revision, puts, deletes and gets of single keys, ranges by
-// prefix.
+// The messages of etcd's rpc.proto as mapped to JSON by grpc-gateway. Only the parts that this
+// project uses are supported: compares on mod_revision; puts, deletes and gets of single keys;
+// ranges by prefix.
 
 namespace jaynotch {
 
@@ -20,7 +20,7 @@
     return std::to_string(number);
 }
 
-/// A base64 member, decoded; a failure is recorded in `fields`.
+/// The decoded value of a base64 member; invalid base64 is recorded as a failure of `fields`.
 std::string decoded(json_fields& fields, std::string_view name)
 {
     result<std::string> bytes = base64_decode(fields.text(name));
@@ -182,7 +182,7 @@
         }
         end.pop_back();
     }
-    return std::string(1, '\0'); // to the end of all keys
+    return std::string(1, '\0'); // no upper bound
 }
 
 std::string render_kv_get(std::string_view key)
--- a/services/kv_wire.h
+++ b/services/kv_wire.h
@@ -1,6 +1,6 @@
-// etcd v3's JSON gateway, both ways: what an adapter sends and reads, and what a stand-in reads
-// and sends. Numbers of 64 bits are strings, keys and values are base64, and fields of value zero
-// may be missing (the JSON mapping of protocol buffers).
+// Wire format of etcd v3's JSON gateway, for the client and for a stand-in of the service. It
+// follows the JSON mapping of protocol buffers: 64-bit integers are strings, keys and values are
+// base64, and fields with the value zero may be missing.
 #pragma once
 
 #include "base/base.h"
@@ -15,7 +15,7 @@
 
 namespace jaynotch {
 
-/// What is read of a range request or answer.
+/// The response to a range request.
 struct kv_wire_range {
     std::int64_t revision = 0;
     std::vector<kv_entry> entries;
@@ -33,7 +33,7 @@
     std::vector<kv_event> events;
 };
 
-/// First key after every key that starts with `prefix`, the gateway's range_end.
+/// The first key after all keys that start with `prefix`; the gateway's range_end.
 std::string prefix_end(std::string_view prefix);
 
 std::string render_kv_get(std::string_view key);
@@ -45,7 +45,7 @@
 result<kv_outcome> parse_kv_outcome(std::string_view body);
 result<kv_wire_lease> parse_kv_grant(std::string_view body);
 result<kv_wire_lease> parse_kv_keep_alive(std::string_view body);
-/// One line of a watch's answer.
+/// Parses one line of a watch's response.
 result<kv_wire_watch> parse_kv_watch(std::string_view line);
 
 boost::json::object render_kv_entry(const kv_entry& entry);
--- a/services/memory_kv.cc
+++ b/services/memory_kv.cc
@@ -5,9 +5,9 @@
 #include <boost/asio/redirect_error.hpp>
 #include <boost/asio/use_awaitable.hpp>
 
-// Faults are those of the real service as its client sees them: refused before anything happened,
-// silence without effect, an effect whose reply is lost, and an effect that comes after the client
-// gave up. Timers run on the runtime's clock, so a test on the paused clock decides their order.
+// The injected faults are those that a client of the real service can see: a refused call, a call
+// that times out without effect, an effect whose response is lost, and an effect after the client's
+// timeout. Timers use the runtime clock, so a test that pauses the clock controls their order.
 
 namespace jaynotch {
 
@@ -15,6 +15,7 @@
 
 namespace {
 
+/// From a client's timeout to the late effect of its write.
 constexpr duration late_effect_delay = std::chrono::milliseconds{200};
 
 awaitable<void> wait_for(asio::any_io_executor executor, duration step)
@@ -87,7 +88,7 @@
 
 awaitable<result<void>> memory_kv::apply_faults()
 {
-    // Even a fault-free call gives way once, as one over a socket does.
+    // Every call suspends at least once, as a call over a socket does.
     co_await asio::post(m_executor, asio::use_awaitable);
     if (*m_partitioned) {
         co_await wait_for(m_executor, m_timeout);
--- a/services/services.h
+++ b/services/services.h
@@ -1,17 +1,19 @@
-// Public header of the services library: the outside systems that a daemon talks to, in our terms.
+// Public header of the services library: clients of the external systems that a daemon uses.
 //
 //   kv.h           the key-value service: compare-and-swap, leases, watches
-//   vm_list.h      the lagging list of live and leaving VMs
+//   vm_list.h      the platform's list of live and leaving VMs, which may be out of date
 //   engine.h       the model engine on each backend VM
 //
-// Each outside system is met through one narrow class in our own terms; its wire form stays in one
-// adapter file. Every call has a timeout and returns a result. The kinds of its errors:
+// Each external system has one client class that uses the project's own types; its wire format is
+// confined to one source file. Every call has a timeout and returns a result. Kinds of errors:
 //
-//   unavailable        nothing was sent: refused, no route, or the service said that it did nothing
-//   unknown_outcome    a write was sent and its reply did not come; it may have taken effect
-//   deadline_exceeded  a read took too long
-//   protocol           the answer is not what the wire form allows
-//   too_large          the answer is over the stated size
+//   unavailable        the call was not sent, was rejected without effect, or was repeatable and
+//   its
+//                      connection failed
+//   unknown_outcome    a write was sent but not confirmed; it may have taken effect
+//   deadline_exceeded  a read or a repeatable call did not complete within its timeout
+//   protocol           the response does not conform to the wire format
+//   too_large          the response exceeds the size limit
 #pragma once
 
 #include "outside/kv_store.h"
--- a/services/vm_list.cc
+++ b/services/vm_list.cc
@@ -50,10 +50,10 @@
         vm_entry entry = read_vm(inner);
         if (inner.failure())
             return *inner.failure();
-        // Two rows for one VM would put it into two fabric domains' records at once.
+        // Two rows for one VM could add it to the records of two fabric domains at once.
         if (!seen.insert(entry.vm).second)
-            return error{error_kind::protocol, "VM list: " + entry.vm.value() + " stands twice",
-                         "mend the VM list"};
+            return error{error_kind::protocol, "VM list: " + entry.vm.value() + " is listed twice",
+                         "correct the VM list"};
         list.vms.push_back(std::move(entry));
     }
     return list;
--- a/services/vm_list.h
+++ b/services/vm_list.h
@@ -1,4 +1,4 @@
-// The platform's list of VMs, which lags behind the truth.
+// Client of the platform's list of VMs, which lags behind the VMs' actual state.
 //
 //   vm_list_client list{executor, "10.0.0.9:8080", std::chrono::seconds{2}};
 //   result<vm_list> seen = co_await list.fetch();
@@ -26,7 +26,7 @@
     };
 };
 
-/// One backend VM as the list shows it.
+/// One backend VM in the list.
 struct vm_entry {
     vm_id vm;
     std::string address; ///< "IP:port" of its engine
@@ -34,19 +34,20 @@
     failure_domain_id failure_domain = {};
     std::uint32_t accelerators = 0;
     vm_state state = vm_state::live;
-    std::int64_t leave_by_ms = 0; ///< wall time by which a leaving VM goes; 0 if it stays
+    std::int64_t leave_by_ms =
+        0; ///< wall-clock time by which a leaving VM is removed; 0 if it stays
 
     friend bool operator==(const vm_entry&, const vm_entry&) = default;
 };
 
 struct vm_list {
-    std::int64_t as_of_ms = 0; ///< wall time at which the list was true
+    std::int64_t as_of_ms = 0; ///< wall-clock time of the list's contents
     std::vector<vm_entry> vms;
 
     friend bool operator==(const vm_list&, const vm_list&) = default;
 };
 
-/// Reads the list's wire form; refuses duplicate VMs and unknown states.
+/// Parses the list; fails on duplicate VMs and unknown states.
 result<vm_list> parse_vm_list(std::string_view body);
 std::string render_vm_list(const vm_list& list);
 
--- a/services/vm_list_fuzz.cc
+++ b/services/vm_list_fuzz.cc
@@ -1,5 +1,5 @@
-// Whatever the VM list answers must be read or refused; a list that was read holds no VM twice and
-// is rendered and read again to the same.
+// Fuzzes the parser of the VM list. Any input must be parsed or refused; a parsed list has no
+// duplicate VMs and survives rendering and parsing unchanged.
 #include "services/services.h"
 
 #include <cstdlib>
--- a/services/wire_test.cc
+++ b/services/wire_test.cc
@@ -6,8 +6,8 @@
 
 namespace {
 
-/// Cuts off and flips bytes of a good body; every result must be an error or a value, and each
-/// truncation of a JSON object must be an error.
+/// Parses truncated and randomly changed copies of a valid body. Each must give an error or a
+/// value, and each truncated JSON object must give an error.
 template <class Parse>
 void parse_corrupted(const std::string& good, Parse parse)
 {
@@ -54,12 +54,12 @@
     for (const char* member :
          {R"("progress":1.5)", R"("progress":-0.1)", R"("kv_used":"full")", R"("running":-1)",
           R"("rank":99999999999)", R"("members":[1])", R"("fencing":1.5)", R"("step_ms":1e999)"})
-        cr_assert(!with(member), "%s was taken", member);
+        cr_assert(!with(member), "%s was accepted", member);
     cr_assert(!parse_engine_report(R"({"vm":"v","boot":"b","state":"sleeping"})"));
     cr_assert(!parse_engine_report(R"({"vm":"v","state":"ready"})"));
 }
 
-// Two rows of one VM would put it into two fabric domains' records, and so into two groups.
+// Two rows for one VM would add it to the records of two fabric domains, and so to two groups.
 Test(wire, a_vm_list_with_a_duplicate_vm_is_refused)
 {
     const std::string row = R"({"vm":"v1","address":"127.0.0.1:1","state":"live"})";
@@ -74,7 +74,7 @@
     cr_assert_eq(prefix_end("\xff\xff"), std::string(1, '\0'));
 }
 
-// The store against an obvious model: a map, and compares answered by looking.
+// Compares the store with a simple model: a map, and the revision of each key's last write.
 Test(kv_store, matches_a_map_model)
 {
     kv_store store;
@@ -117,8 +117,9 @@
     cr_assert(replayed == model);
 }
 
-// Each waiting call costs the store the same whatever it brings: while hundreds of entries change
-// at once, a follower that gathers no longer than usual calls many times a second.
+// Each long poll costs the store the same, however many changes it returns. While hundreds of
+// entries change at once, a watch with a constant pause between polls would call many times a
+// second.
 Test(watch_pace, the_pause_grows_with_the_changes_up_to_a_bound)
 {
     using std::chrono::milliseconds;
