--- a/daemon/forward_front.cc
+++ b/daemon/forward_front.cc
@@ -69,7 +69,7 @@
         co_return error{error_kind::overloaded, "this node holds as many requests as it may",
                         "come back later, or raise --max_requests"};
     incoming.body = std::move(body).value();
-    result<call_metadata> metadata = platform::read_call(exchange.request());
+    result<call_metadata> metadata = platform::parse_call_headers(exchange.request());
     if (!metadata)
         co_return metadata.error();
     request_info& info = incoming.info;
@@ -92,7 +92,7 @@
     ++m_services.counts.refused;
     m_services.exported_metrics.refused(why.kind);
     refusal reply{.failure = why, .ran = ran_state::no};
-    reply.fractions = true;
+    reply.fractional_retry_after = true;
     if (why.kind == error_kind::unavailable || why.kind == error_kind::overloaded)
         reply.retry_after = default_retry_after;
     if (why.kind == error_kind::deadline_exceeded)
--- a/daemon/registry_daemon.cc
+++ b/daemon/registry_daemon.cc
@@ -131,7 +131,7 @@
         m_stopping = true;
         const time_point until = runtime_clock::now() + settings.timeouts.max_stop_time;
         log_event(log_level::info, "daemon_stopping", {{"in_flight", counts.in_flight}});
-        caller_server->wind_down();
+        caller_server->disable_keep_alive();
         co_await managers->resign(resignation::where_possible);
         co_await sleep_for(io, settings.timeouts.balancer_wait);
         co_await drain_callers(io, *caller_server, counts, until);
--- a/daemon/registry_feed.cc
+++ b/daemon/registry_feed.cc
@@ -108,7 +108,7 @@
     void tick()
     {
         relay.tick();
-        kv.set_pace(pace());
+        kv.set_watch_pace(pace());
         remove_overdue_runners();
         end_batch();
         if (current && runtime_clock::now() - m_last_push_at >= push_interval)
--- a/daemon/relay.cc
+++ b/daemon/relay.cc
@@ -238,14 +238,15 @@
 net::awaitable<void> relay_request::impl::end_abandoned()
 {
     m_log.abandoned(m_any_attempt_sent, m_event_count);
-    if (!m_incoming.metadata && !m_exchange.begun() && m_exchange.half_closed() && !m_writing) {
+    if (!m_incoming.metadata && !m_exchange.header_sent() && m_exchange.half_closed() && !m_writing)
+    {
         const refusal reply{.failure = {error_kind::cancelled,
                                         "the connection's sending half was closed before the "
                                         "answer came, which counts as giving up",
                                         "keep the connection open until the answer is whole"},
                             .ran = m_any_attempt_sent ? ran_state::unknown : ran_state::no,
                             .status = http::status::bad_request};
-        m_exchange.end_connection();
+        m_exchange.close_after_answer();
         co_await m_exchange.refuse(reply);
     }
     else {
--- a/daemon/relay_forward.cc
+++ b/daemon/relay_forward.cc
@@ -40,7 +40,7 @@
     refusal reply{.failure = cmd.failure, .ran = cmd.ran, .retry_after = cmd.retry_after};
     if (!m_incoming.metadata)
         return reply;
-    reply.fractions = true;
+    reply.fractional_retry_after = true;
     // Callers take 503 and 429 to mean that the request did not run, so these are used only if that
     // is certain.
     const http::status default_status = status_of(cmd.failure.kind);
@@ -66,11 +66,11 @@
     http_request request;
     request.method = received.method();
     request.target = std::string{received.target()};
-    request.headers = platform::dress(received, outgoing);
+    request.headers = platform::forwarded_request_headers(received, outgoing);
     request.body = m_incoming.body;
     request.repeatable = attempt.send_command.repeat == repeat_policy::idempotent;
     if (!request.repeatable)
-        request.longest_idle = max_idle_if_not_repeatable;
+        request.max_connection_idle = max_idle_if_not_repeatable;
     return request;
 }
 
@@ -82,7 +82,7 @@
         co_return;
     http_stream& answer = *opened;
     attempt.stream = &answer;
-    answer_metadata metadata = platform::read_answer(answer.status(), answer.headers());
+    answer_metadata metadata = platform::parse_answer_headers(answer.status(), answer.headers());
     for (std::size_t skipped = 0;
          !metadata.attempt.empty() && metadata.attempt != m_incoming.metadata->attempt &&
          skipped < max_foreign_answers;
@@ -96,7 +96,7 @@
             report_failure(attempt, attempt_failure::wrong_attempt);
             co_return;
         }
-        metadata = platform::read_answer(answer.status(), answer.headers());
+        metadata = platform::parse_answer_headers(answer.status(), answer.headers());
     }
     if (metadata.idle_limit)
         answer.set_idle_limit(*metadata.idle_limit - idle_margin);
@@ -155,7 +155,7 @@
     if (m_streaming_events)
         co_return true; // the caller has the head of an earlier server's answer
     m_streaming_events = true;
-    http::fields headers = platform::forwarded(answer.headers());
+    http::fields headers = platform::forwarded_answer_headers(answer.headers());
     co_return co_await begin_answer(attempt, answer.status(), std::move(headers), std::nullopt);
 }
 
@@ -228,8 +228,8 @@
     }
     if (!report_forwarded_head(attempt, answer, metadata, delivery_mode::buffered))
         co_return;
-    m_buffered_answer =
-        buffered_answer{answer.status(), platform::forwarded(answer.headers()), std::move(*body)};
+    m_buffered_answer = buffered_answer{
+        answer.status(), platform::forwarded_answer_headers(answer.headers()), std::move(*body)};
     report_finished(attempt);
 }
 
--- a/services/kv_wire.cc
+++ b/services/kv_wire.cc
@@ -2,9 +2,9 @@
 
 #include "base/json_fields.h"
 
-// The forms are those of etcd's rpc.proto through grpc-gateway. Only what this project uses is
-// read and written: compares on mod_revision, puts, deletes and gets of single keys, ranges by
-// prefix.
+// The messages of etcd's rpc.proto as mapped to JSON by grpc-gateway. Only the parts that this
+// project uses are supported: compares on mod_revision; puts, deletes and gets of single keys;
+// ranges by prefix.
 
 namespace jaynotch {
 
@@ -20,7 +20,7 @@
     return std::to_string(number);
 }
 
-/// A base64 member, decoded; a failure is recorded in `fields`.
+/// The decoded value of a base64 member; invalid base64 is recorded as a failure of `fields`.
 std::string decoded(json_fields& fields, std::string_view name)
 {
     result<std::string> bytes = base64_decode(fields.text(name));
@@ -83,8 +83,8 @@
             body["lease"] = decimal(put->lease.value());
         rendered["request_put"] = std::move(body);
     }
-    else if (const auto* gone = std::get_if<kv_delete>(&operation)) {
-        rendered["request_delete_range"] = json::object{{"key", base64_encode(gone->key)}};
+    else if (const auto* deletion = std::get_if<kv_delete>(&operation)) {
+        rendered["request_delete_range"] = json::object{{"key", base64_encode(deletion->key)}};
     }
     else {
         const auto& get = std::get<kv_get>(operation);
@@ -116,15 +116,15 @@
             return *body.failure();
         return operation;
     }
-    const json::object* gone = fields.object("request_delete_range");
+    const json::object* deletion = fields.object("request_delete_range");
     const json::object* get = fields.object("request_range");
-    if (gone == nullptr && get == nullptr)
+    if (deletion == nullptr && get == nullptr)
         return malformed;
-    json_fields body{gone != nullptr ? *gone : *get, request};
+    json_fields body{deletion != nullptr ? *deletion : *get, request};
     std::string key = decoded(body, "key");
     if (body.failure())
         return *body.failure();
-    if (gone != nullptr)
+    if (deletion != nullptr)
         return kv_delete{std::move(key)};
     return kv_get{std::move(key)};
 }
@@ -182,7 +182,7 @@
         }
         end.pop_back();
     }
-    return std::string(1, '\0'); // to the end of all keys
+    return std::string(1, '\0'); // no upper bound
 }
 
 std::string render_kv_get(std::string_view key)
--- a/services/vm_list.cc
+++ b/services/vm_list.cc
@@ -12,7 +12,7 @@
 namespace {
 
 constexpr std::string_view what = "VM list";
-constexpr std::uint64_t most_accelerators = 1024;
+constexpr std::uint64_t max_accelerators = 1024;
 
 vm_entry read_vm(json_fields& fields)
 {
@@ -23,8 +23,7 @@
     entry.address = fields.text("address");
     entry.fabric_domain = fabric_domain_id{fields.text("fabric_domain")};
     entry.failure_domain = failure_domain_id{fields.text("failure_domain")};
-    entry.accelerators =
-        static_cast<std::uint32_t>(fields.count("accelerators", most_accelerators));
+    entry.accelerators = static_cast<std::uint32_t>(fields.count("accelerators", max_accelerators));
     entry.state = fields.enumerator("state", vm_state::live);
     entry.leave_by_ms = fields.integer("leave_by_ms");
     return entry;
@@ -51,10 +50,10 @@
         vm_entry entry = read_vm(inner);
         if (inner.failure())
             return *inner.failure();
-        // Two rows for one VM would put it into two fabric domains' records at once.
+        // Two rows for one VM could add it to the records of two fabric domains at once.
         if (!seen.insert(entry.vm).second)
-            return error{error_kind::protocol, "VM list: " + entry.vm.value() + " stands twice",
-                         "mend the VM list"};
+            return error{error_kind::protocol, "VM list: " + entry.vm.value() + " is listed twice",
+                         "correct the VM list"};
         list.vms.push_back(std::move(entry));
     }
     return list;
