--- a/cli/admin_client.cc
+++ b/cli/admin_client.cc
@@ -20,7 +20,7 @@
 namespace beast = boost::beast;
 namespace http = boost::beast::http;
 
-constexpr std::size_t largest_answer = 64U << 20U;
+constexpr std::size_t max_answer_bytes = 64U << 20U;
 
 struct admin_request {
     std::string address;
@@ -52,7 +52,7 @@
     co_await http::async_write(stream, request, asio::use_awaitable);
     beast::flat_buffer buffer;
     http::response_parser<http::string_body> parser;
-    parser.body_limit(largest_answer);
+    parser.body_limit(max_answer_bytes);
     co_await http::async_read(stream, buffer, parser, asio::use_awaitable);
     answer.status = parser.get().result_int();
     answer.body = std::move(parser.get().body());
@@ -88,7 +88,7 @@
 
 /// With TLS 1.3 a daemon that refuses our certificate says so only after the handshake, as an alert
 /// that the first read meets: such a request was not looked at.
-bool refused_by_alert(const boost::system::error_code& code)
+bool is_tls_alert(const boost::system::error_code& code)
 {
     return code.category() == asio::error::get_ssl_category();
 }
@@ -104,7 +104,7 @@
     }
     catch (const boost::system::system_error& failure) {
         answer.detail = failure.code().message();
-        if (answer.sent && !refused_by_alert(failure.code()))
+        if (answer.sent && !is_tls_alert(failure.code()))
             answer.failure = error_kind::unavailable;
     }
 }
@@ -123,11 +123,11 @@
 /// The error object that a daemon refuses with.
 error error_of(const admin_answer& answer)
 {
-    boost::system::error_code bad;
-    const boost::json::value parsed = boost::json::parse(answer.body, bad);
-    const boost::json::object* body = bad ? nullptr : parsed.if_object();
-    const boost::json::value* inner = body == nullptr ? nullptr : body->if_contains("error");
-    const boost::json::object* fields = inner == nullptr ? nullptr : inner->if_object();
+    boost::system::error_code parse_error;
+    const boost::json::value parsed = boost::json::parse(answer.body, parse_error);
+    const boost::json::object* body = parse_error ? nullptr : parsed.if_object();
+    const boost::json::value* error_value = body == nullptr ? nullptr : body->if_contains("error");
+    const boost::json::object* fields = error_value == nullptr ? nullptr : error_value->if_object();
     if (fields == nullptr)
         return {error_kind::protocol, "status " + std::to_string(answer.status) + " without reason",
                 "check that --admin is the admin port of a daemon"};
@@ -145,9 +145,9 @@
 {
     if (answer.status < 200 || answer.status > 299)
         return error_of(answer);
-    boost::system::error_code bad;
-    boost::json::value parsed = boost::json::parse(answer.body, bad);
-    if (bad)
+    boost::system::error_code parse_error;
+    boost::json::value parsed = boost::json::parse(answer.body, parse_error);
+    if (parse_error)
         return error{error_kind::protocol, "the daemon's answer is no JSON",
                      "check that --admin is the admin port of a daemon"};
     return parsed;
@@ -169,7 +169,7 @@
 result<boost::json::value> admin_client::call(const std::string& method, const std::string& target,
                                               const std::string& body)
 {
-    error last{error_kind::unavailable, "no daemon to ask", "give --admin"};
+    error last_error{error_kind::unavailable, "no daemon to ask", "give --admin"};
     for (const std::string& address : m_options.admin) {
         BOOST_OUTCOME_TRY(const auto endpoint, parse_endpoint(address));
         const admin_request ask{address, method, target, body};
@@ -183,10 +183,10 @@
             return error{error_kind::unknown_outcome,
                          address + " did not answer (" + answer.detail + ")",
                          "ask again with the same --change_id"};
-        last = error{error_kind::unavailable, address + ": " + answer.detail,
-                     "start the daemon, or name another with --admin"};
+        last_error = error{error_kind::unavailable, address + ": " + answer.detail,
+                           "start the daemon, or name another with --admin"};
     }
-    return last;
+    return last_error;
 }
 
 } // namespace jaynotch
--- a/cli/calls_command.cc
+++ b/cli/calls_command.cc
@@ -13,8 +13,8 @@
 
 namespace {
 
-constexpr std::int64_t window_ms = 10'000; ///< as often as daemons write the line
-constexpr std::size_t most_nodes = 20;     ///< told one by one
+constexpr std::int64_t window_ms = 10'000;   ///< as often as daemons write the line
+constexpr std::size_t max_listed_nodes = 20; ///< told one by one
 
 /// Kinds of call as the line names them.
 constexpr std::array call_fields{"reads",    "pages",  "watches", "transactions",
@@ -22,18 +22,19 @@
 
 using call_sums = std::array<std::int64_t, call_fields.size()>;
 
-std::int64_t total_of(const call_sums& sums)
+std::int64_t total_of(const call_sums& counts)
 {
     std::int64_t total = 0;
-    for (std::size_t field = 0; field + 1 < sums.size(); ++field) // failed ones count under theirs
-        total += sums[field];
+    for (std::size_t field = 0; field + 1 < counts.size();
+         ++field) // failed ones count under theirs
+        total += counts[field];
     return total;
 }
 
-void add(call_sums& sums, const log_line& line)
+void add(call_sums& counts, const log_line& line)
 {
-    for (std::size_t field = 0; field < sums.size(); ++field)
-        sums[field] += log_number(line, call_fields[field], 0);
+    for (std::size_t field = 0; field < counts.size(); ++field)
+        counts[field] += number_field(line, call_fields[field], 0);
 }
 
 text_rows heading(const std::string& first)
@@ -43,10 +44,10 @@
     return {row};
 }
 
-std::vector<std::string> row_of(const std::string& name, const call_sums& sums)
+std::vector<std::string> row_of(const std::string& name, const call_sums& counts)
 {
-    std::vector<std::string> row{name, std::to_string(total_of(sums))};
-    for (const std::int64_t sum : sums)
+    std::vector<std::string> row{name, std::to_string(total_of(counts))};
+    for (const std::int64_t sum : counts)
         row.push_back(std::to_string(sum));
     return row;
 }
@@ -55,8 +56,9 @@
 
 result<exit_code> run_calls(const command_context& context)
 {
-    const std::vector<std::string>& words = context.options.words;
-    BOOST_OUTCOME_TRY(const log_lines read, read_log_files({words.begin() + 1, words.end()}));
+    const std::vector<std::string>& arguments = context.options.arguments;
+    BOOST_OUTCOME_TRY(const log_lines read,
+                      read_log_files({arguments.begin() + 1, arguments.end()}));
     std::map<std::int64_t, call_sums> windows;
     std::map<std::string, call_sums> nodes;
     call_sums all{};
@@ -75,9 +77,9 @@
                      "take logs of daemons on a platform's registry, with the lines of kind "
                      "store_calls"};
     text_rows by_time = heading("second");
-    for (const auto& [window, sums] : windows)
+    for (const auto& [window, counts] : windows)
         by_time.push_back(
-            row_of(std::to_string((window - first_ms / window_ms) * window_ms / 1000), sums));
+            row_of(std::to_string((window - first_ms / window_ms) * window_ms / 1000), counts));
     by_time.push_back(row_of("all", all));
     print_columns(context.out, by_time);
     context.out << "\n";
@@ -86,12 +88,12 @@
         return total_of(a.second) > total_of(b.second);
     });
     text_rows by_node = heading("node");
-    for (std::size_t index = 0; index < std::min(most_nodes, ranked.size()); ++index)
+    for (std::size_t index = 0; index < std::min(max_listed_nodes, ranked.size()); ++index)
         by_node.push_back(row_of(ranked[index].first, ranked[index].second));
     print_columns(context.out, by_node);
-    if (ranked.size() > most_nodes)
-        context.out << ranked.size() - most_nodes << " more nodes called less\n";
-    return exit_code::fine;
+    if (ranked.size() > max_listed_nodes)
+        context.out << ranked.size() - max_listed_nodes << " more nodes called less\n";
+    return exit_code::succeeded;
 }
 
 } // namespace jaynotch
--- a/cli/change_commands.cc
+++ b/cli/change_commands.cc
@@ -17,7 +17,7 @@
 constexpr std::chrono::milliseconds poll_interval{100};
 constexpr std::size_t change_id_length = 24;
 
-std::string fresh_change_id()
+std::string generate_change_id()
 {
     std::random_device entropy;
     std::string bytes;
@@ -45,7 +45,7 @@
 {
     acceptance accepted;
     accepted.change_id =
-        context.options.change_id.empty() ? fresh_change_id() : context.options.change_id;
+        context.options.change_id.empty() ? generate_change_id() : context.options.change_id;
     boost::json::object body;
     body["routes"] = copy.routes;
     body["pools"] = copy.pools;
@@ -86,22 +86,23 @@
         if (state == "left")
             continue;
         count.nodes += 1;
-        const std::string has = field_text(node, "revision");
-        if (std::atoll(has.c_str()) >= revision) {
+        const std::string node_revision = field_text(node, "revision");
+        if (std::atoll(node_revision.c_str()) >= revision) {
             count.confirmed += 1;
             continue;
         }
         count.missing += count.missing.empty() ? "" : ", ";
-        count.missing += field_text(node, "node") + " (" + state + ", revision " + has + ")";
+        count.missing +=
+            field_text(node, "node") + " (" + state + ", revision " + node_revision + ")";
     }
     return count;
 }
 
-std::string progress_line(const result<confirmation_count>& polled, std::int64_t revision)
+std::string progress_line(const result<confirmation_count>& poll_result, std::int64_t revision)
 {
-    if (!polled)
-        return to_string(polled.error());
-    const confirmation_count& count = polled.value();
+    if (!poll_result)
+        return to_string(poll_result.error());
+    const confirmation_count& count = poll_result.value();
     std::string line = "revision " + std::to_string(revision) + " in force on " +
                        std::to_string(count.confirmed) + " of " + std::to_string(count.nodes) +
                        " nodes";
@@ -114,17 +115,17 @@
 bool wait_for_nodes(const command_context& context, std::int64_t revision)
 {
     admin_client client{context.options};
-    const time_point give_up = runtime_clock::now() + context.options.wait_timeout;
-    std::string shown;
+    const time_point deadline = runtime_clock::now() + context.options.wait_timeout;
+    std::string last_line;
     for (;;) {
-        const result<confirmation_count> polled = count_confirmations(client, revision);
-        const std::string line = progress_line(polled, revision);
-        if (line != shown)
+        const result<confirmation_count> poll_result = count_confirmations(client, revision);
+        const std::string line = progress_line(poll_result, revision);
+        if (line != last_line)
             context.progress << line << std::endl;
-        shown = line;
-        if (polled && polled.value().nodes > 0 && polled.value().missing.empty())
+        last_line = line;
+        if (poll_result && poll_result.value().nodes > 0 && poll_result.value().missing.empty())
             return true;
-        if (runtime_clock::now() >= give_up)
+        if (runtime_clock::now() >= deadline)
             return false;
         std::this_thread::sleep_for(poll_interval);
     }
@@ -146,7 +147,7 @@
                            "the next edit\n";
     }
     if (!context.options.wait || wait_for_nodes(context, accepted.revision))
-        return exit_code::fine;
+        return exit_code::succeeded;
     return exit_code::not_confirmed;
 }
 
--- a/cli/cli.cc
+++ b/cli/cli.cc
@@ -41,17 +41,17 @@
 
 exit_code run(const cli_options& options)
 {
-    if (options.words.empty() || options.words[0] == "help") {
+    if (options.arguments.empty() || options.arguments[0] == "help") {
         std::cout << usage_text();
-        return options.words.empty() ? exit_code::usage : exit_code::fine;
+        return options.arguments.empty() ? exit_code::usage : exit_code::succeeded;
     }
-    for (const command& each : commands) {
-        if (each.name != options.words[0])
+    for (const command& entry : commands) {
+        if (entry.name != options.arguments[0])
             continue;
-        const result<exit_code> done = each.run({options, std::cout, std::cerr});
+        const result<exit_code> done = entry.run({options, std::cout, std::cerr});
         return done ? done.value() : report(done.error());
     }
-    return report({error_kind::invalid_argument, "unknown command '" + options.words[0] + "'",
+    return report({error_kind::invalid_argument, "unknown command '" + options.arguments[0] + "'",
                    "`jaynotch help` lists them"});
 }
 
@@ -75,7 +75,7 @@
     case error_kind::unauthorized:
         return exit_code::unauthorized;
     case error_kind::unknown_outcome:
-        return exit_code::unknown;
+        return exit_code::outcome_unknown;
     case error_kind::not_found:
     case error_kind::cancelled:
     case error_kind::protocol:
--- a/cli/cli_test.cc
+++ b/cli/cli_test.cc
@@ -123,14 +123,14 @@
     std::ostringstream out;
     std::ostringstream progress;
     const auto code = run_apply({options, out, progress});
-    cr_assert(code.value() == exit_code::fine);
+    cr_assert(code.value() == exit_code::succeeded);
     cr_assert_eq(lock_of(folder), 4);
     cr_assert(progress.str().find("waiting for b (alive, revision 3)") != std::string::npos);
 }
 
 // Others' rows were merged in. If the lock moved on, the next apply from the same files would read
 // the others' rows as removed by this operator, and undo their change.
-Test(apply, a_merge_leaves_the_base_where_it_was)
+Test(apply, a_merge_keeps_the_base_revision)
 {
     const scratch_folder folder;
     write_working_copy(folder.path(), small_tables()).value();
@@ -140,14 +140,14 @@
     options.admin = {daemon.address()};
     std::ostringstream out;
     std::ostringstream progress;
-    cr_assert(run_apply({options, out, progress}).value() == exit_code::fine);
+    cr_assert(run_apply({options, out, progress}).value() == exit_code::succeeded);
     cr_assert_eq(lock_of(folder), 3);
     cr_assert(out.str().find("jaynotch fetch") != std::string::npos);
 }
 
 // The daemon dies after it got the change: nobody knows whether it was accepted. Sending it to the
 // next daemon with a fresh id could make it twice; calling it failed could be a lie.
-Test(apply, an_unanswered_change_is_unknown_and_not_sent_elsewhere)
+Test(apply, an_unanswered_change_is_unknown_and_not_resent)
 {
     const scratch_folder folder;
     write_working_copy(folder.path(), small_tables()).value();
@@ -162,10 +162,10 @@
     cr_assert(!code && code.error().kind == error_kind::unknown_outcome);
     cr_assert(code.error().remedy.find("--change_id=once") != std::string::npos);
     cr_assert_eq(lock_of(folder), 3);
-    cr_assert(to_exit_code(code.error().kind) == exit_code::unknown);
+    cr_assert(to_exit_code(code.error().kind) == exit_code::outcome_unknown);
 }
 
-Test(apply, bad_tables_are_not_sent)
+Test(apply, invalid_tables_are_not_sent)
 {
     const scratch_folder folder;
     working_copy copy = small_tables();
@@ -180,7 +180,7 @@
     cr_assert(!code && code.error().kind == error_kind::invalid_table);
 }
 
-Test(admin_client, passes_over_a_daemon_that_is_down)
+Test(admin_client, skips_an_unreachable_daemon)
 {
     fake_daemon daemon{{{http::status::ok, R"({"ready":true})"}}};
     cli_options options;
@@ -188,7 +188,7 @@
     cr_assert(admin_client{options}.get("/admin/v1/status").has_value());
 }
 
-Test(admin_client, a_refusal_keeps_kind_message_and_remedy)
+Test(admin_client, an_error_answer_keeps_kind_message_and_remedy)
 {
     fake_daemon daemon{
         {{http::status::conflict, R"({"error":{"kind":"conflict","message":"m","remedy":"r"}})"},
@@ -203,7 +203,7 @@
     cr_assert(client.get("/").error().kind == error_kind::protocol);
 }
 
-Test(working_copy, a_spoilt_lock_is_told)
+Test(working_copy, an_invalid_lock_is_reported)
 {
     const scratch_folder folder;
     write_working_copy(folder.path(), small_tables()).value();
@@ -215,7 +215,7 @@
 // A caller complains of one request. Its lines lie in the logs of two nodes, between those of
 // others; the story tells them in order, with what the node believed at the time and nothing of
 // other nodes.
-Test(explain, tells_one_requests_story_from_the_logs_of_several_nodes)
+Test(explain, shows_one_requests_timeline_from_the_logs_of_several_nodes)
 {
     const scratch_folder folder;
     const auto line = [](int at, const std::string& node, const std::string& kind,
@@ -233,9 +233,9 @@
         << line(15, "b", "group_silent", R"(,"group":"g2")")
         << "2026 b: " << line(90, "c", "request_finished", R"(,"request":"r1","status":200)");
     cli_options options;
-    options.words = {"explain", "r1", folder.path() + "/a.log", folder.path() + "/b.log"};
+    options.arguments = {"explain", "r1", folder.path() + "/a.log", folder.path() + "/b.log"};
     std::ostringstream out;
-    cr_assert(run_explain({options, out, out}).value() == exit_code::fine);
+    cr_assert(run_explain({options, out, out}).value() == exit_code::succeeded);
     const std::string text = out.str();
     const std::size_t admitted = text.find("request_admitted");
     const std::size_t silent = text.find("(group_silent)");
@@ -243,14 +243,14 @@
     const std::size_t finished = text.find("request_finished");
     cr_assert(admitted < silent && silent < refused && refused < finished, "%s", text.c_str());
     cr_assert(text.find("r2") == std::string::npos && text.find("g2") == std::string::npos);
-    options.words = {"explain", "unknown", folder.path() + "/a.log"};
+    options.arguments = {"explain", "unknown", folder.path() + "/a.log"};
     cr_assert(run_explain({options, out, out}).error().kind == error_kind::not_found);
 }
 
 // An operator asks what a bad quarter of an hour cost its callers. Logs of several nodes, one of an
 // older version, one cut in its middle: each request counts once, under its cause, and what the
 // tables can't tell is said.
-Test(losses, tells_what_was_late_or_not_served_by_cause)
+Test(losses, counts_late_and_unserved_requests_by_cause)
 {
     const scratch_folder folder;
     const auto line = [](int at, const std::string& kind, const std::string& more) {
@@ -276,9 +276,9 @@
         << line(2600, "runners_used", R"(,"subject":"d","detail":"d0 open m 1, d0 warm m 2")")
         << line(2700, "log_dropped", R"(,"lines":{"request_sent":7})") << R"({"ts_ms":10000)";
     cli_options options;
-    options.words = {"losses", folder.path() + "/a.log"};
+    options.arguments = {"losses", folder.path() + "/a.log"};
     std::ostringstream out;
-    cr_assert(run_losses({options, out, out}).value() == exit_code::fine);
+    cr_assert(run_losses({options, out, out}).value() == exit_code::succeeded);
     const std::string text = out.str();
     const auto row = [&](const std::string& name) {
         const std::size_t from = text.find("\n" + name + " ") + 1;
@@ -293,14 +293,14 @@
     for (const char* gap : {"refused as overloaded: 1", "1 lines could not be read",
                             "7 lines were dropped", "1 requests were finished by daemons"})
         cr_assert(text.find(gap) != std::string::npos, "%s in %s", gap, text.c_str());
-    options.words = {"losses", folder.path() + "/none.log"};
+    options.arguments = {"losses", folder.path() + "/none.log"};
     cr_assert(run_losses({options, out, out}).error().kind == error_kind::not_found);
     std::ofstream{folder.path() + "/other.log"} << "no line of ours\n";
-    options.words = {"losses", folder.path() + "/other.log"};
+    options.arguments = {"losses", folder.path() + "/other.log"};
     cr_assert(run_losses({options, out, out}).error().kind == error_kind::not_found);
 }
 
-Test(calls, are_summed_by_time_and_by_node)
+Test(calls, store_calls_are_summed_by_time_and_by_node)
 {
     const scratch_folder folder;
     const auto line = [](int at, const std::string& node, int watches, int failed) {
@@ -313,9 +313,9 @@
     std::ofstream{folder.path() + "/a.log"} << line(0, "a", 10, 0) << line(10'000, "a", 20, 1)
                                             << line(10'500, "b", 90, 0) << "cut short";
     cli_options options;
-    options.words = {"calls", folder.path() + "/a.log"};
+    options.arguments = {"calls", folder.path() + "/a.log"};
     std::ostringstream out;
-    cr_assert(run_calls({options, out, out}).value() == exit_code::fine);
+    cr_assert(run_calls({options, out, out}).value() == exit_code::succeeded);
     const std::string text = out.str();
     const auto cells = [&](const std::string& name) {
         const std::size_t from = text.find("\n" + name + " ") + 1;
@@ -327,15 +327,15 @@
     cr_assert(cells("all") == all, "%s", text.c_str());
     cr_assert(cells("10") == later, "%s", text.c_str());
     cr_assert_lt(text.find("\nb "), text.find("\na "), "who calls most comes first");
-    options.words = {"calls", folder.path() + "/none.log"};
+    options.arguments = {"calls", folder.path() + "/none.log"};
     cr_assert(run_calls({options, out, out}).error().kind == error_kind::not_found);
     std::ofstream{folder.path() + "/other.log"} << "no line of ours\n";
-    options.words = {"calls", folder.path() + "/other.log"};
+    options.arguments = {"calls", folder.path() + "/other.log"};
     cr_assert(run_calls({options, out, out}).error().kind == error_kind::not_found);
 }
 
-Test(exit_codes, every_kind_has_one_that_is_not_fine)
+Test(exit_codes, every_error_kind_has_a_failure_code)
 {
     for (const auto& entry : enum_names<error_kind>::entries)
-        cr_assert(to_exit_code(entry.value) != exit_code::fine);
+        cr_assert(to_exit_code(entry.value) != exit_code::succeeded);
 }
--- a/cli/explain_command.cc
+++ b/cli/explain_command.cc
@@ -14,37 +14,41 @@
 
 namespace {
 
-constexpr std::int64_t before_ms = 2'000; ///< beliefs this much older than the request are shown
-constexpr std::int64_t after_ms = 500;
+constexpr std::int64_t context_before_ms =
+    2'000; ///< beliefs this much older than the request are shown
+constexpr std::int64_t context_after_ms = 500;
 /// Kinds of lines that are a daemon's beliefs and not a request's.
-constexpr std::array belief_kinds{
+constexpr std::array node_event_kinds{
     "config_installed", "group_silent",   "group_ended",     "group_opened",   "group_closed",
     "runner_silent",    "member_taken",   "store_lost",      "store_regained", "manager_elected",
     "manager_ended",    "daemon_started", "daemon_stopping", "log_dropped"};
 /// Fields that every line has and that stand in columns of their own.
-constexpr std::array common_fields{"ts_ms", "level", "program", "instance", "kind", "request"};
+constexpr std::array column_fields{"ts_ms", "level", "program", "instance", "kind", "request"};
 
 /// The fields that have no column of their own, "name=value".
 std::string other_fields(const log_line& line)
 {
-    std::string told;
+    std::string fields_text;
     for (const auto& field : line.fields) {
         const std::string name{field.key()};
-        if (std::find(common_fields.begin(), common_fields.end(), name) != common_fields.end())
+        if (std::find(column_fields.begin(), column_fields.end(), name) != column_fields.end())
             continue;
-        const auto* word = field.value().if_string();
-        told += (told.empty() ? "" : " ") + name + "=" +
-                (word != nullptr ? std::string{*word} : boost::json::serialize(field.value()));
+        const auto* string_value = field.value().if_string();
+        fields_text += (fields_text.empty() ? "" : " ") + name + "=" +
+                       (string_value != nullptr ? std::string{*string_value}
+                                                : boost::json::serialize(field.value()));
     }
-    return told;
+    return fields_text;
 }
 
-bool is_belief(const log_line& line)
+bool is_node_event(const log_line& line)
 {
-    return std::find(belief_kinds.begin(), belief_kinds.end(), line.kind) != belief_kinds.end();
+    return std::find(node_event_kinds.begin(), node_event_kinds.end(), line.kind) !=
+           node_event_kinds.end();
 }
 
-std::vector<log_line> story_of(std::vector<log_line> own, const std::vector<log_line>& beliefs)
+std::vector<log_line> build_timeline(std::vector<log_line> request_lines,
+                                     const std::vector<log_line>& node_events)
 {
     // Warnings may overtake routine lines of the same millisecond on their way out.
     const auto by_time = [](const log_line& a, const log_line& b) {
@@ -53,55 +57,55 @@
         };
         return order(a) < order(b);
     };
-    std::stable_sort(own.begin(), own.end(), by_time);
-    const std::int64_t from = own.front().at_ms - before_ms;
-    const std::int64_t until = own.back().at_ms + after_ms;
+    std::stable_sort(request_lines.begin(), request_lines.end(), by_time);
+    const std::int64_t from = request_lines.front().at_ms - context_before_ms;
+    const std::int64_t until = request_lines.back().at_ms + context_after_ms;
     std::set<std::string> daemons;
-    for (const log_line& line : own)
+    for (const log_line& line : request_lines)
         daemons.insert(line.instance);
-    std::vector<log_line> story = std::move(own);
-    for (const log_line& line : beliefs) {
+    std::vector<log_line> timeline = std::move(request_lines);
+    for (const log_line& line : node_events) {
         if (daemons.contains(line.instance) && line.at_ms >= from && line.at_ms <= until)
-            story.push_back(line);
+            timeline.push_back(line);
     }
-    std::stable_sort(story.begin(), story.end(), by_time);
-    return story;
+    std::stable_sort(timeline.begin(), timeline.end(), by_time);
+    return timeline;
 }
 
 } // namespace
 
 result<exit_code> run_explain(const command_context& context)
 {
-    const std::vector<std::string>& words = context.options.words;
-    if (words.size() < 2)
+    const std::vector<std::string>& arguments = context.options.arguments;
+    if (arguments.size() < 2)
         return error{
             error_kind::invalid_argument, "no request is named",
             "write `jaynotch explain REQUEST [LOG ...]`; without files, logs are read from "
             "standard input"};
-    const std::string& request = words[1];
-    BOOST_OUTCOME_TRY(log_lines read, read_log_files({words.begin() + 2, words.end()}));
-    std::vector<log_line> own;
-    std::vector<log_line> beliefs;
+    const std::string& request = arguments[1];
+    BOOST_OUTCOME_TRY(log_lines read, read_log_files({arguments.begin() + 2, arguments.end()}));
+    std::vector<log_line> request_lines;
+    std::vector<log_line> node_events;
     for (log_line& line : read.lines) {
         if (line.request == request)
-            own.push_back(std::move(line));
-        else if (is_belief(line))
-            beliefs.push_back(std::move(line));
+            request_lines.push_back(std::move(line));
+        else if (is_node_event(line))
+            node_events.push_back(std::move(line));
     }
-    if (own.empty())
+    if (request_lines.empty())
         return error{error_kind::not_found, "no line of these logs is about request " + request,
                      "take the logs of every entry VM around that time; lines may also have been "
                      "dropped (kind log_dropped)"};
-    const std::vector<log_line> story = story_of(std::move(own), beliefs);
-    const auto first = std::find_if(story.begin(), story.end(),
+    const std::vector<log_line> timeline = build_timeline(std::move(request_lines), node_events);
+    const auto first = std::find_if(timeline.begin(), timeline.end(),
                                     [&](const log_line& line) { return line.request == request; });
     text_rows rows{{"ms", "node", "what", "with"}};
-    for (const log_line& line : story)
+    for (const log_line& line : timeline)
         rows.push_back({std::to_string(line.at_ms - first->at_ms), line.instance,
                         line.request.empty() ? "(" + line.kind + ")" : line.kind,
                         other_fields(line)});
     print_columns(context.out, rows);
-    return exit_code::fine;
+    return exit_code::succeeded;
 }
 
 } // namespace jaynotch
--- a/cli/load_command.cc
+++ b/cli/load_command.cc
@@ -31,7 +31,7 @@
 {
     out << std::left << std::setw(16) << name << std::right << std::fixed << std::setprecision(1)
         << std::setw(9) << row.p50 << std::setw(9) << row.p95 << std::setw(9) << row.p99
-        << std::setw(9) << row.most << "\n";
+        << std::setw(9) << row.maximum << "\n";
 }
 
 void print_report(std::ostream& out, const load_report& report)
@@ -40,7 +40,7 @@
         << " s, " << report.tokens << " tokens\n";
     for (const auto& entry : enum_names<call_outcome>::entries)
         out << std::left << std::setw(16) << entry.name << std::right << std::setw(9)
-            << report.of(entry.value) << "\n";
+            << report.count_of(entry.value) << "\n";
     out << "milliseconds          p50      p95      p99      max\n";
     print_percentiles(out, "first token", report.first_token);
     print_percentiles(out, "between tokens", report.between_tokens);
@@ -71,8 +71,9 @@
         context.out << render_load_report(report) << "\n";
     else
         print_report(context.out, report);
-    const bool truthful = report.of(call_outcome::wrong) == 0 && report.of(call_outcome::cut) == 0;
-    return truthful ? exit_code::fine : exit_code::failed;
+    const bool no_invalid_answers =
+        report.count_of(call_outcome::wrong) == 0 && report.count_of(call_outcome::cut) == 0;
+    return no_invalid_answers ? exit_code::succeeded : exit_code::failed;
 }
 
 } // namespace jaynotch
--- a/cli/log_lines.cc
+++ b/cli/log_lines.cc
@@ -13,16 +13,16 @@
 
 std::optional<log_line> parse(std::string_view text)
 {
-    boost::system::error_code failed;
-    boost::json::value parsed = boost::json::parse({text.data(), text.size()}, failed);
-    if (failed || !parsed.is_object())
+    boost::system::error_code parse_error;
+    boost::json::value parsed = boost::json::parse({text.data(), text.size()}, parse_error);
+    if (parse_error || !parsed.is_object())
         return std::nullopt;
     log_line line;
     line.fields = std::move(parsed.as_object());
-    line.at_ms = log_number(line, "ts_ms", -1);
-    line.instance = log_text(line, "instance");
-    line.kind = log_text(line, "kind");
-    line.request = log_text(line, "request");
+    line.at_ms = number_field(line, "ts_ms", -1);
+    line.instance = text_field(line, "instance");
+    line.kind = text_field(line, "kind");
+    line.request = text_field(line, "request");
     if (line.at_ms < 0 || line.kind.empty())
         return std::nullopt;
     return line;
@@ -30,24 +30,24 @@
 
 } // namespace
 
-std::string log_text(const log_line& line, std::string_view name)
+std::string text_field(const log_line& line, std::string_view name)
 {
     const boost::json::value* found = line.fields.if_contains({name.data(), name.size()});
     return found != nullptr && found->is_string() ? std::string{found->get_string()}
                                                   : std::string{};
 }
 
-std::int64_t log_number(const log_line& line, std::string_view name, std::int64_t otherwise)
+std::int64_t number_field(const log_line& line, std::string_view name, std::int64_t default_value)
 {
     const boost::json::value* found = line.fields.if_contains({name.data(), name.size()});
-    return found != nullptr && found->is_int64() ? found->get_int64() : otherwise;
+    return found != nullptr && found->is_int64() ? found->get_int64() : default_value;
 }
 
-log_lines read_log_lines(std::istream& from)
+log_lines read_log_lines(std::istream& input)
 {
     log_lines read;
     std::string text;
-    while (std::getline(from, text)) {
+    while (std::getline(input, text)) {
         const std::size_t start = text.find('{');
         if (start == std::string::npos)
             continue;
--- a/cli/log_lines.h
+++ b/cli/log_lines.h
@@ -29,13 +29,13 @@
     std::size_t unreadable = 0; ///< begun as a daemon's line, but cut short or garbled
 };
 
-log_lines read_log_lines(std::istream& from);
+log_lines read_log_lines(std::istream& input);
 /// Of the files named, or of standard input if none is.
 result<log_lines> read_log_files(const std::vector<std::string>& paths);
 
 /// A field's text; empty if there is none, or it is of another type.
-std::string log_text(const log_line& line, std::string_view name);
+std::string text_field(const log_line& line, std::string_view name);
 /// A field's number; `otherwise` if there is none, or it is of another type.
-std::int64_t log_number(const log_line& line, std::string_view name, std::int64_t otherwise);
+std::int64_t number_field(const log_line& line, std::string_view name, std::int64_t default_value);
 
 } // namespace jaynotch
--- a/cli/losses_command.cc
+++ b/cli/losses_command.cc
@@ -26,24 +26,37 @@
 
 constexpr std::int64_t window_ms = 2'000;
 
-enum class fate { in_time, late, waited, sent_again, paused, refused, cut, left, no_end };
+enum class request_outcome {
+    in_time,
+    late,
+    waited,
+    sent_again,
+    paused,
+    refused,
+    cut,
+    abandoned,
+    no_end
+};
 
 } // namespace
 
 template <>
-struct enum_names<fate> {
-    static constexpr std::array entries{
-        named{fate::in_time, "in time"}, named{fate::late, "late"},
-        named{fate::waited, "waited"},   named{fate::sent_again, "sent again"},
-        named{fate::paused, "paused"},   named{fate::refused, "refused"},
-        named{fate::cut, "cut"},         named{fate::left, "left"},
-        named{fate::no_end, "no end"}};
+struct enum_names<request_outcome> {
+    static constexpr std::array entries{named{request_outcome::in_time, "in time"},
+                                        named{request_outcome::late, "late"},
+                                        named{request_outcome::waited, "waited"},
+                                        named{request_outcome::sent_again, "sent again"},
+                                        named{request_outcome::paused, "paused"},
+                                        named{request_outcome::refused, "refused"},
+                                        named{request_outcome::cut, "cut"},
+                                        named{request_outcome::abandoned, "left"},
+                                        named{request_outcome::no_end, "no end"}};
 };
 
 namespace {
 
 /// One request, as far as its lines tell.
-struct request_story {
+struct request_summary {
     std::int64_t arrived_ms = -1;
     std::string route;
     std::int64_t first_target_ms = 0;
@@ -56,81 +69,82 @@
     bool finished = false;
     bool refused = false;
     bool cut = false;
-    bool left = false;
+    bool abandoned = false;
 };
 
-fate late_fate(const request_story& told)
+request_outcome outcome_of_finished(const request_summary& told)
 {
     if (told.first_target_ms > 0 && told.first_ms > told.first_target_ms) {
         if (told.failed_once)
-            return fate::sent_again;
-        return told.first_ms - told.waited_ms <= told.first_target_ms ? fate::waited : fate::late;
+            return request_outcome::sent_again;
+        return told.first_ms - told.waited_ms <= told.first_target_ms ? request_outcome::waited
+                                                                      : request_outcome::late;
     }
     const bool paused = told.pause_target_ms > 0 && told.pause_ms > told.pause_target_ms;
-    return paused ? fate::paused : fate::in_time;
+    return paused ? request_outcome::paused : request_outcome::in_time;
 }
 
-fate fate_of(const request_story& told)
+request_outcome outcome_of(const request_summary& told)
 {
     if (told.refused)
-        return fate::refused;
+        return request_outcome::refused;
     if (told.cut)
-        return fate::cut;
-    if (told.left)
-        return fate::left;
-    return told.finished ? late_fate(told) : fate::no_end;
+        return request_outcome::cut;
+    if (told.abandoned)
+        return request_outcome::abandoned;
+    return told.finished ? outcome_of_finished(told) : request_outcome::no_end;
 }
 
-void take_sending(const log_line& line, request_story& told)
+void add_attempt(const log_line& line, request_summary& told)
 {
-    told.route = log_text(line, "route");
-    told.first_target_ms = log_number(line, "first_target_ms", 0);
-    told.pause_target_ms = log_number(line, "pause_target_ms", 0);
-    if (log_number(line, "sending", 1) <= 1)
-        told.waited_ms = log_number(line, "waited_ms", 0);
+    told.route = text_field(line, "route");
+    told.first_target_ms = number_field(line, "first_target_ms", 0);
+    told.pause_target_ms = number_field(line, "pause_target_ms", 0);
+    if (number_field(line, "sending", 1) <= 1)
+        told.waited_ms = number_field(line, "waited_ms", 0);
 }
 
-void take(const log_line& line, request_story& told)
+void add_line(const log_line& line, request_summary& told)
 {
     if (line.kind == "request_admitted")
         told.arrived_ms = line.at_ms;
     else if (line.kind == "request_sent" || line.kind == "request_resumed")
-        take_sending(line, told);
+        add_attempt(line, told);
     else if (line.kind == "attempt_failed")
         told.failed_once = true;
     else if (line.kind == "request_cut")
         told.cut = true;
     else if (line.kind == "request_abandoned")
-        told.left = true;
+        told.abandoned = true;
     else if (line.kind == "request_refused") {
         told.refused = true;
-        told.refusal = log_text(line, "kind_of_error");
-        const std::string route = log_text(line, "route");
+        told.refusal = text_field(line, "kind_of_error");
+        const std::string route = text_field(line, "route");
         told.route = route.empty() ? told.route : route;
     }
     else if (line.kind == "request_finished") {
         told.finished = true;
-        told.first_ms = log_number(line, "first_ms", -1);
-        told.pause_ms = log_number(line, "pause_ms", 0);
+        told.first_ms = number_field(line, "first_ms", -1);
+        told.pause_ms = number_field(line, "pause_ms", 0);
     }
 }
 
-struct tally {
-    std::size_t asked = 0;
-    std::map<fate, std::size_t> by_fate;
+struct outcome_counts {
+    std::size_t requests = 0;
+    std::map<request_outcome, std::size_t> by_outcome;
 
-    void add(fate came_to)
+    void add(request_outcome outcome)
     {
-        ++asked;
-        ++by_fate[came_to];
+        ++requests;
+        ++by_outcome[outcome];
     }
 };
 
 /// Of all that the runners of the managed domains do, at one time.
-using uses = std::map<std::string, std::size_t>;
+using runner_uses = std::map<std::string, std::size_t>;
 
 /// "fabric-domain use model 3, ..." without the domains, added up.
-void add_uses(const std::string& detail, uses& sum)
+void add_runner_uses(const std::string& detail, runner_uses& sum)
 {
     std::istringstream entries{detail};
     std::string entry;
@@ -152,13 +166,13 @@
 }
 
 /// In a group that is open, or may be: its members other than the head stay "ready".
-bool serves(const std::string& use)
+bool is_serving(const std::string& use)
 {
     return use.starts_with("open") || use.starts_with("ready") || use.starts_with("closing");
 }
 
 /// Lines that a daemon says it dropped, of all kinds.
-std::int64_t dropped_in(const log_line& line)
+std::int64_t dropped_lines(const log_line& line)
 {
     const boost::json::value* counts = line.fields.if_contains("lines");
     std::int64_t sum = 0;
@@ -169,73 +183,74 @@
     return sum;
 }
 
-struct account {
-    std::map<std::string, tally> routes;
-    std::map<std::int64_t, tally> windows;
-    std::map<std::int64_t, std::map<std::string, uses>> runners; ///< by window and manager's domain
+struct loss_report {
+    std::map<std::string, outcome_counts> routes;
+    std::map<std::int64_t, outcome_counts> windows;
+    std::map<std::int64_t, std::map<std::string, runner_uses>>
+        runners; ///< by window and manager's domain
     std::map<std::string, std::size_t> refusals;
     std::size_t without_pauses = 0; ///< finished, told by daemons that don't log pauses
     std::size_t without_route = 0;
     std::int64_t dropped = 0;
 };
 
-account account_of(const std::vector<log_line>& lines)
+loss_report build_report(const std::vector<log_line>& lines)
 {
-    account made;
-    std::map<std::string, request_story> stories;
+    loss_report report;
+    std::map<std::string, request_summary> summaries;
     std::int64_t first_ms = std::numeric_limits<std::int64_t>::max();
     for (const log_line& line : lines) {
         if (!line.request.empty())
-            take(line, stories[line.request]);
+            add_line(line, summaries[line.request]);
         if (line.kind == "request_admitted")
             first_ms = std::min(first_ms, line.at_ms);
         if (line.kind == "request_finished" && !line.fields.contains("pause_ms"))
-            ++made.without_pauses;
+            ++report.without_pauses;
         if (line.kind == "log_dropped")
-            made.dropped += dropped_in(line);
+            report.dropped += dropped_lines(line);
     }
     const auto window_of = [&](std::int64_t at_ms) { return (at_ms - first_ms) / window_ms; };
-    for (const auto& [request, told] : stories) {
+    for (const auto& [request, told] : summaries) {
         if (told.arrived_ms < 0)
             continue; // its first lines are not in these logs
-        const fate came_to = fate_of(told);
-        made.without_route += told.route.empty() ? 1 : 0;
-        made.routes[told.route.empty() ? "-" : told.route].add(came_to);
-        made.windows[window_of(told.arrived_ms)].add(came_to);
-        if (came_to == fate::refused)
-            ++made.refusals[told.refusal];
+        const request_outcome outcome = outcome_of(told);
+        report.without_route += told.route.empty() ? 1 : 0;
+        report.routes[told.route.empty() ? "-" : told.route].add(outcome);
+        report.windows[window_of(told.arrived_ms)].add(outcome);
+        if (outcome == request_outcome::refused)
+            ++report.refusals[told.refusal];
     }
     for (const log_line& line : lines) {
         if (line.kind != "runners_used" || line.at_ms < first_ms)
             continue;
-        uses now;
-        add_uses(log_text(line, "detail"), now);
-        made.runners[window_of(line.at_ms)][log_text(line, "subject")] = std::move(now);
+        runner_uses now;
+        add_runner_uses(text_field(line, "detail"), now);
+        report.runners[window_of(line.at_ms)][text_field(line, "subject")] = std::move(now);
     }
-    return made;
+    return report;
 }
 
-void add_cells(const tally& counted, std::vector<std::string>& row)
+void add_cells(const outcome_counts& counted, std::vector<std::string>& row)
 {
-    row.push_back(std::to_string(counted.asked));
-    for (const auto& entry : enum_names<fate>::entries) {
-        const auto found = counted.by_fate.find(entry.value);
-        row.push_back(std::to_string(found == counted.by_fate.end() ? 0 : found->second));
+    row.push_back(std::to_string(counted.requests));
+    for (const auto& entry : enum_names<request_outcome>::entries) {
+        const auto found = counted.by_outcome.find(entry.value);
+        row.push_back(std::to_string(found == counted.by_outcome.end() ? 0 : found->second));
     }
 }
 
 text_rows heading(const std::string& first)
 {
     std::vector<std::string> row{first, "asked"};
-    for (const auto& entry : enum_names<fate>::entries)
+    for (const auto& entry : enum_names<request_outcome>::entries)
         row.emplace_back(entry.name);
     return {row};
 }
 
-void print_routes(const account& made, std::ostream& out)
+void print_routes(const loss_report& report, std::ostream& out)
 {
     text_rows rows = heading("route");
-    for (const auto& [route, counted] : made.routes) {
+    for (const auto& [route, counted] : report.routes) {
         rows.push_back({route});
         add_cells(counted, rows.back());
     }
@@ -243,14 +258,15 @@
 }
 
 /// How many runners served, how many were idle, and what those did.
-void add_runner_cells(const std::map<std::string, uses>& by_domain, std::vector<std::string>& row)
+void add_runner_cells(const std::map<std::string, runner_uses>& by_domain,
+                      std::vector<std::string>& row)
 {
     std::size_t serving = 0;
     std::size_t idle = 0;
-    uses idle_by_use;
+    runner_uses idle_by_use;
     for (const auto& [domain, used] : by_domain) {
         for (const auto& [use, count] : used) {
-            if (serves(use)) {
+            if (is_serving(use)) {
                 serving += count;
                 continue;
             }
@@ -266,54 +282,56 @@
     row.push_back(told);
 }
 
-void print_windows(const account& made, std::ostream& out)
+void print_windows(const loss_report& report, std::ostream& out)
 {
     text_rows rows = heading("second");
     for (const char* name : {"serving", "idle", "of which"})
         rows.front().emplace_back(name);
-    for (const auto& [window, counted] : made.windows) {
+    for (const auto& [window, counted] : report.windows) {
         rows.push_back({std::to_string(window * window_ms / 1000)});
         add_cells(counted, rows.back());
-        const auto seen = made.runners.find(window);
-        add_runner_cells(seen == made.runners.end() ? std::map<std::string, uses>{} : seen->second,
+        const auto seen = report.runners.find(window);
+        add_runner_cells(seen == report.runners.end() ? std::map<std::string, runner_uses>{}
+                                                      : seen->second,
                          rows.back());
     }
     print_columns(out, rows);
 }
 
 /// What the tables can't tell, so that nobody takes a gap for a fact.
-void print_gaps(const account& made, std::size_t unreadable, std::ostream& out)
+void print_missing_data(const loss_report& report, std::size_t unreadable, std::ostream& out)
 {
     if (unreadable > 0)
         out << unreadable << " lines could not be read (cut short or garbled)\n";
-    if (made.dropped > 0)
-        out << made.dropped << " lines were dropped by daemons over their log budget\n";
-    if (made.without_pauses > 0)
-        out << made.without_pauses
+    if (report.dropped > 0)
+        out << report.dropped << " lines were dropped by daemons over their log budget\n";
+    if (report.without_pauses > 0)
+        out << report.without_pauses
             << " requests were finished by daemons that don't log pauses: of these, those late in "
                "a pause count as in time\n";
-    if (made.without_route > 0)
-        out << made.without_route << " requests have no line that names their route (-)\n";
+    if (report.without_route > 0)
+        out << report.without_route << " requests have no line that names their route (-)\n";
 }
 
 } // namespace
 
 result<exit_code> run_losses(const command_context& context)
 {
-    const std::vector<std::string>& words = context.options.words;
-    BOOST_OUTCOME_TRY(const log_lines read, read_log_files({words.begin() + 1, words.end()}));
-    const account made = account_of(read.lines);
-    if (made.routes.empty())
+    const std::vector<std::string>& arguments = context.options.arguments;
+    BOOST_OUTCOME_TRY(const log_lines read,
+                      read_log_files({arguments.begin() + 1, arguments.end()}));
+    const loss_report report = build_report(read.lines);
+    if (report.routes.empty())
         return error{error_kind::not_found, "these logs tell of no request",
                      "take the logs of every entry VM, with the lines of kind request_admitted"};
-    print_routes(made, context.out);
+    print_routes(report, context.out);
     context.out << "\n";
-    print_windows(made, context.out);
+    print_windows(report, context.out);
     context.out << "\n";
-    for (const auto& [kind, count] : made.refusals)
+    for (const auto& [kind, count] : report.refusals)
         context.out << "refused as " << kind << ": " << count << "\n";
-    print_gaps(made, read.unreadable, context.out);
-    return exit_code::fine;
+    print_missing_data(report, read.unreadable, context.out);
+    return exit_code::succeeded;
 }
 
 } // namespace jaynotch
--- a/cli/options.cc
+++ b/cli/options.cc
@@ -64,24 +64,24 @@
 `jaynotch --helpfull` lists them all.
 )";
 
-error bad_flag(std::string_view flag, std::string_view what, std::string_view remedy)
+error flag_error(std::string_view flag, std::string_view what, std::string_view remedy)
 {
     return error{error_kind::invalid_argument, "--" + std::string{flag} + " " + std::string{what},
                  std::string{remedy}};
 }
 
-result<void> check(const cli_options& chosen)
+result<void> check(const cli_options& options)
 {
-    if (chosen.admin.empty())
-        return bad_flag("admin", "is empty", "give the admin IP:port of a daemon");
-    if (chosen.certificate.empty() != chosen.key.empty())
-        return bad_flag("certificate", "and --key go together", "set both or neither");
-    if (chosen.timeout.count() <= 0 || chosen.wait_timeout.count() <= 0)
-        return bad_flag("timeout_ms", "or --wait_timeout_ms is not positive", "give 1 or more");
-    if (chosen.load.rate <= 0 || chosen.load.seconds <= 0)
-        return bad_flag("rate", "or --seconds is not positive", "give a number above 0");
-    if (chosen.revision < 0 || chosen.base_revision < -1)
-        return bad_flag("revision", "or --base_revision is negative", "give a revision");
+    if (options.admin.empty())
+        return flag_error("admin", "is empty", "give the admin IP:port of a daemon");
+    if (options.certificate.empty() != options.key.empty())
+        return flag_error("certificate", "and --key go together", "set both or neither");
+    if (options.timeout.count() <= 0 || options.wait_timeout.count() <= 0)
+        return flag_error("timeout_ms", "or --wait_timeout_ms is not positive", "give 1 or more");
+    if (options.load.rate <= 0 || options.load.seconds <= 0)
+        return flag_error("rate", "or --seconds is not positive", "give a number above 0");
+    if (options.revision < 0 || options.base_revision < -1)
+        return flag_error("revision", "or --base_revision is negative", "give a revision");
     return success();
 }
 
@@ -116,31 +116,31 @@
 {
     absl::SetProgramUsageMessage(usage_text());
     BOOST_OUTCOME_TRY(read_environment("cli/options.cc"));
-    const std::vector<char*> words = absl::ParseCommandLine(argc, argv);
-    cli_options chosen;
-    chosen.words.assign(words.begin() + 1, words.end());
-    chosen.admin = absl::GetFlag(FLAGS_admin);
-    chosen.certificate = absl::GetFlag(FLAGS_certificate);
-    chosen.key = absl::GetFlag(FLAGS_key);
-    chosen.authority = absl::GetFlag(FLAGS_authority);
-    chosen.directory = absl::GetFlag(FLAGS_dir);
-    chosen.author = absl::GetFlag(FLAGS_author);
-    if (chosen.author.empty())
-        chosen.author = login_name();
-    chosen.message = absl::GetFlag(FLAGS_message);
-    chosen.change_id = absl::GetFlag(FLAGS_change_id);
-    chosen.base_revision = absl::GetFlag(FLAGS_base_revision);
-    chosen.revision = absl::GetFlag(FLAGS_revision);
-    chosen.wait = absl::GetFlag(FLAGS_wait);
-    chosen.timeout = std::chrono::milliseconds{absl::GetFlag(FLAGS_timeout_ms)};
-    chosen.wait_timeout = std::chrono::milliseconds{absl::GetFlag(FLAGS_wait_timeout_ms)};
+    const std::vector<char*> arguments = absl::ParseCommandLine(argc, argv);
+    cli_options options;
+    options.arguments.assign(arguments.begin() + 1, arguments.end());
+    options.admin = absl::GetFlag(FLAGS_admin);
+    options.certificate = absl::GetFlag(FLAGS_certificate);
+    options.key = absl::GetFlag(FLAGS_key);
+    options.authority = absl::GetFlag(FLAGS_authority);
+    options.directory = absl::GetFlag(FLAGS_dir);
+    options.author = absl::GetFlag(FLAGS_author);
+    if (options.author.empty())
+        options.author = login_name();
+    options.message = absl::GetFlag(FLAGS_message);
+    options.change_id = absl::GetFlag(FLAGS_change_id);
+    options.base_revision = absl::GetFlag(FLAGS_base_revision);
+    options.revision = absl::GetFlag(FLAGS_revision);
+    options.wait = absl::GetFlag(FLAGS_wait);
+    options.timeout = std::chrono::milliseconds{absl::GetFlag(FLAGS_timeout_ms)};
+    options.wait_timeout = std::chrono::milliseconds{absl::GetFlag(FLAGS_wait_timeout_ms)};
     const auto format = from_name<output_format>(absl::GetFlag(FLAGS_output));
     if (!format)
-        return bad_flag("output", "is neither text nor json", "write one of them");
-    chosen.output = *format;
-    chosen.load = load_from_flags();
-    BOOST_OUTCOME_TRY(check(chosen));
-    return chosen;
+        return flag_error("output", "is neither text nor json", "write one of them");
+    options.output = *format;
+    options.load = load_from_flags();
+    BOOST_OUTCOME_TRY(check(options));
+    return options;
 }
 
 } // namespace jaynotch
--- a/cli/options.h
+++ b/cli/options.h
@@ -30,9 +30,9 @@
 };
 
 struct cli_options {
-    std::vector<std::string> words; ///< the command and its arguments
-    std::vector<std::string> admin; ///< "IP:port" of daemons, tried in this order
-    std::string certificate;        ///< PEM; empty for plain HTTP
+    std::vector<std::string> arguments; ///< the command and its arguments
+    std::vector<std::string> admin;     ///< "IP:port" of daemons, tried in this order
+    std::string certificate;            ///< PEM; empty for plain HTTP
     std::string key;
     std::string authority;
     std::string directory; ///< of routes.toml, pools.toml and revision.lock
--- a/cli/status_commands.cc
+++ b/cli/status_commands.cc
@@ -15,14 +15,14 @@
     BOOST_OUTCOME_TRY(const boost::json::value answer, client.get(target));
     if (context.options.output == output_format::json) {
         print_json(context.out, answer);
-        return exit_code::fine;
+        return exit_code::succeeded;
     }
     const boost::json::value* list = find_field(answer, name);
     if (list == nullptr)
         return error{error_kind::protocol, "the answer has no " + std::string{name},
                      "check that the daemon has this tool's version"};
     print_objects(context.out, *list, fields);
-    return exit_code::fine;
+    return exit_code::succeeded;
 }
 
 /// The members of a group in words: "vm-1 ready, vm-2 loading", or only "vm-1" for one not probed
@@ -67,7 +67,7 @@
     BOOST_OUTCOME_TRY(const boost::json::value answer, client.get("/admin/v1/groups"));
     if (context.options.output == output_format::json) {
         print_json(context.out, answer);
-        return exit_code::fine;
+        return exit_code::succeeded;
     }
     text_rows rows{{"group", "pool", "fabric domain", "complete", "fencing", "version", "members"}};
     const boost::json::value* list = find_field(answer, "groups");
@@ -79,7 +79,7 @@
                             members_text(group)});
     }
     print_columns(context.out, rows);
-    return exit_code::fine;
+    return exit_code::succeeded;
 }
 
 result<exit_code> run_status(const command_context& context)
@@ -88,7 +88,7 @@
     BOOST_OUTCOME_TRY(const boost::json::value answer, client.get("/admin/v1/status"));
     if (context.options.output == output_format::json) {
         print_json(context.out, answer);
-        return exit_code::fine;
+        return exit_code::succeeded;
     }
     text_rows rows;
     if (const boost::json::object* fields = answer.if_object()) {
@@ -96,7 +96,7 @@
             rows.push_back({std::string{member.key()}, field_text(answer, member.key())});
     }
     print_columns(context.out, rows);
-    return exit_code::fine;
+    return exit_code::succeeded;
 }
 
 result<exit_code> run_version(const command_context& context)
@@ -105,7 +105,7 @@
         print_json(context.out, boost::json::object{{"version", JAYNOTCH_VERSION}});
     else
         context.out << "jaynotch " JAYNOTCH_VERSION "\n";
-    return exit_code::fine;
+    return exit_code::succeeded;
 }
 
 } // namespace jaynotch
--- a/cli/table_commands.cc
+++ b/cli/table_commands.cc
@@ -11,7 +11,7 @@
 namespace {
 
 /// The tables of a revision (0 for the current one) as a working copy.
-result<working_copy> tables_in_force(const command_context& context)
+result<working_copy> fetch_tables(const command_context& context)
 {
     std::string target = "/admin/v1/config";
     if (context.options.revision > 0)
@@ -89,51 +89,52 @@
         for (const table_problem& problem : report.problems)
             context.out << to_string(problem) << "\n";
     }
-    return report.problems.empty() ? exit_code::fine : exit_code::invalid_table;
+    return report.problems.empty() ? exit_code::succeeded : exit_code::invalid_table;
 }
 
 result<exit_code> run_diff(const command_context& context)
 {
     BOOST_OUTCOME_TRY(const working_copy copy, read_working_copy(context.options.directory));
-    BOOST_OUTCOME_TRY(const configuration wanted, parse_tables(copy.routes, copy.pools));
-    BOOST_OUTCOME_TRY(const working_copy remote, tables_in_force(context));
+    BOOST_OUTCOME_TRY(const configuration edited, parse_tables(copy.routes, copy.pools));
+    BOOST_OUTCOME_TRY(const working_copy remote, fetch_tables(context));
     configuration current;
-    current.deployment = wanted.deployment;
+    current.deployment = edited.deployment;
     if (remote.base_revision > 0) {
         BOOST_OUTCOME_TRY(current, parse_tables(remote.routes, remote.pools));
     }
-    const std::vector<row_change> changes = diff(current, wanted);
+    const std::vector<row_change> changes = diff(current, edited);
     if (context.options.output == output_format::json)
         print_json(context.out, boost::json::object{{"since", remote.base_revision},
                                                     {"changes", to_json(changes)}});
     else
         print_changes(context.out, changes);
-    return changes.empty() ? exit_code::fine : exit_code::differs;
+    return changes.empty() ? exit_code::succeeded : exit_code::differs;
 }
 
 result<exit_code> run_fetch(const command_context& context)
 {
-    BOOST_OUTCOME_TRY(const working_copy copy, tables_in_force(context));
+    BOOST_OUTCOME_TRY(const working_copy copy, fetch_tables(context));
     BOOST_OUTCOME_TRY(write_working_copy(context.options.directory, copy));
     context.out << "wrote revision " << copy.base_revision << " to " << context.options.directory
                 << "\n";
-    return exit_code::fine;
+    return exit_code::succeeded;
 }
 
 result<exit_code> run_show(const command_context& context)
 {
-    const std::string what = context.options.words.size() > 1 ? context.options.words[1] : "";
+    const std::string what =
+        context.options.arguments.size() > 1 ? context.options.arguments[1] : "";
     if (what != "routes" && what != "pools")
         return error{error_kind::invalid_argument, "show what?",
                      "write `jaynotch show routes` or `jaynotch show pools`"};
-    BOOST_OUTCOME_TRY(const working_copy copy, tables_in_force(context));
+    BOOST_OUTCOME_TRY(const working_copy copy, fetch_tables(context));
     const std::string& text = what == "routes" ? copy.routes : copy.pools;
     if (context.options.output == output_format::json)
         print_json(context.out,
                    boost::json::object{{"revision", copy.base_revision}, {what, text}});
     else
         context.out << "# revision " << copy.base_revision << "\n" << text;
-    return exit_code::fine;
+    return exit_code::succeeded;
 }
 
 } // namespace jaynotch
--- a/cli/working_copy.cc
+++ b/cli/working_copy.cc
@@ -31,14 +31,14 @@
 /// Writes beside the file and renames, so that an interrupted write leaves the old table whole.
 result<void> write_file(const std::string& path, const std::string& text)
 {
-    const std::string fresh = path + ".new";
-    std::ofstream out{fresh, std::ios::binary | std::ios::trunc};
+    const std::string temporary = path + ".new";
+    std::ofstream out{temporary, std::ios::binary | std::ios::trunc};
     out << text;
     out.close();
-    std::error_code failed;
+    std::error_code rename_error;
     if (out)
-        std::filesystem::rename(fresh, path, failed);
-    if (!out || failed)
+        std::filesystem::rename(temporary, path, rename_error);
+    if (!out || rename_error)
         return error{error_kind::unavailable, path + " can't be written",
                      "check the folder's permissions and space"};
     return success();
--- a/load/answer_text.cc
+++ b/load/answer_text.cc
@@ -8,8 +8,8 @@
 
 constexpr std::array<std::string_view, 16> syllables{
     "ba", "de", "fi", "go", "hu", "ka", "le", "mi", "no", "pu", "ra", "se", "ti", "vo", "wu", "za"};
-constexpr std::size_t shortest_answer = 16;
-constexpr std::size_t answer_spread = 48;
+constexpr std::size_t min_answer_tokens = 16;
+constexpr std::size_t answer_length_range = 48;
 
 } // namespace
 
@@ -39,7 +39,7 @@
 
 std::size_t answer_text::natural_length() const
 {
-    return shortest_answer + m_seed % answer_spread;
+    return min_answer_tokens + m_seed % answer_length_range;
 }
 
 std::optional<std::size_t> answer_text::tokens_in(std::string_view given) const
--- a/load/calls.cc
+++ b/load/calls.cc
@@ -11,8 +11,8 @@
 
 namespace {
 
-constexpr std::string_view event_mark = "data: ";
-constexpr std::size_t most_answer_bytes = 64 * 1024 * 1024;
+constexpr std::string_view data_prefix = "data: ";
+constexpr std::size_t max_answer_bytes = 64 * 1024 * 1024;
 
 /// What has been read of a model's answer.
 struct model_answer {
@@ -22,16 +22,16 @@
     std::string reason; ///< finish reason
     std::string error;  ///< of an error event
     bool done = false;  ///< the terminal mark came
-    bool broken = false;
+    bool malformed = false;
 };
 
-std::string prompt_of(const model_call& call)
+std::string render_messages(const model_call& call)
 {
     const json::array messages{json::object{{"role", "user"}, {"content", call.prompt}}};
     return json::serialize(messages);
 }
 
-http_request model_request_of(const model_call& call)
+http_request make_model_request(const model_call& call)
 {
     json::object body{{"model", call.model}, {"stream", call.stream}};
     body["messages"] = json::array{json::object{{"role", "user"}, {"content", call.prompt}}};
@@ -49,7 +49,7 @@
     return request;
 }
 
-void take_object(const json::object& object, bool stream, model_answer& answer)
+void parse_answer_object(const json::object& object, bool stream, model_answer& answer)
 {
     json_fields fields{object, "answer"};
     if (const json::value* failed = object.if_contains("error")) {
@@ -59,9 +59,9 @@
     answer.model = fields.text("model");
     answer.version = fields.text("system_fingerprint");
     const json::array* choices = fields.list("choices");
-    const bool fits = choices != nullptr && !choices->empty() && choices->front().is_object();
-    if (!fits) {
-        answer.broken = true;
+    const bool has_choice = choices != nullptr && !choices->empty() && choices->front().is_object();
+    if (!has_choice) {
+        answer.malformed = true;
         return;
     }
     const json::object& choice = choices->front().get_object();
@@ -73,11 +73,11 @@
     const std::string reason = inner.text("finish_reason");
     if (!reason.empty())
         answer.reason = reason;
-    answer.broken = answer.broken || inner.failure().has_value();
+    answer.malformed = answer.malformed || inner.failure().has_value();
 }
 
 /// Takes whole events off the front of `pending`; returns how many carried text.
-std::size_t take_events(std::string& pending, model_answer& answer)
+std::size_t parse_events(std::string& pending, model_answer& answer)
 {
     std::size_t texts = 0;
     std::size_t start = 0;
@@ -87,21 +87,21 @@
             break;
         std::string_view event = std::string_view{pending}.substr(start, end - start);
         start = end + 2;
-        const std::size_t data = event.find(event_mark);
+        const std::size_t data = event.find(data_prefix);
         if (data == std::string_view::npos)
             continue;
-        event.remove_prefix(data + event_mark.size());
+        event.remove_prefix(data + data_prefix.size());
         if (event == "[DONE]") {
             answer.done = true;
             continue;
         }
         const result<json::object> object = parse_json_object(event, "event");
         if (!object) {
-            answer.broken = true;
+            answer.malformed = true;
             continue;
         }
         const std::size_t before = answer.text.size();
-        take_object(object.value(), true, answer);
+        parse_answer_object(object.value(), true, answer);
         texts += answer.text.size() > before ? 1 : 0;
     }
     pending.erase(0, start);
@@ -109,13 +109,13 @@
 }
 
 /// Empty if `answer` is the whole and right one.
-std::string what_is_wrong(const model_call& call, const model_answer& answer)
+std::string find_answer_error(const model_call& call, const model_answer& answer)
 {
-    if (answer.broken)
+    if (answer.malformed)
         return "an event is malformed";
     if (answer.reason != "stop" && answer.reason != "length")
         return "no finish reason";
-    const answer_text text{answer.model, answer.version, prompt_of(call)};
+    const answer_text text{answer.model, answer.version, render_messages(call)};
     const std::size_t length = call.tokens > 0 ? call.tokens : text.natural_length();
     if (answer.text != text.joined(0, length))
         return "the text is not the answer of " + answer.model + " " + answer.version +
@@ -136,7 +136,7 @@
     }
 }
 
-std::string refusal_kind(const std::string& body)
+std::string describe_refusal(const std::string& body)
 {
     const result<json::object> object = parse_json_object(body, "refusal");
     if (!object)
@@ -149,11 +149,11 @@
     return kind.text("kind") + ": " + kind.text("message");
 }
 
-void take_refusal(std::string_view ran, std::string_view retry_after, const std::string& body,
-                  call_result& result)
+void record_refusal(std::string_view ran, std::string_view retry_after, const std::string& body,
+                    call_result& result)
 {
     result.outcome = ran == "no" ? call_outcome::refused_not_run : call_outcome::refused_unknown;
-    result.detail = refusal_kind(body);
+    result.detail = describe_refusal(body);
     for (const char digit : retry_after) {
         if (digit < '0' || digit > '9')
             break;
@@ -171,12 +171,13 @@
         if (piece.value().empty())
             co_return body;
         body += piece.value();
-        if (body.size() > most_answer_bytes)
+        if (body.size() > max_answer_bytes)
             co_return error{error_kind::too_large, "the answer has no end", ""};
     }
 }
 
-void judge(const model_call& call, const model_answer& answer, bool ended, call_result& result)
+void check_answer(const model_call& call, const model_answer& answer, bool ended,
+                  call_result& result)
 {
     result.version = answer.version;
     if (!answer.error.empty()) {
@@ -189,16 +190,16 @@
         result.detail = "ended without its terminal mark";
         return;
     }
-    result.detail = what_is_wrong(call, answer);
+    result.detail = find_answer_error(call, answer);
     result.outcome = result.detail.empty() ? call_outcome::whole : call_outcome::wrong;
 }
 
 awaitable<void> read_events(http_stream& stream, const model_call& call, duration timeout,
-                            time_point began, call_result& result)
+                            time_point start_time, call_result& result)
 {
     model_answer answer;
     std::string pending;
-    time_point last = began;
+    time_point last = start_time;
     bool ended = false;
     for (;;) {
         const auto piece = co_await stream.read(timeout);
@@ -207,19 +208,19 @@
             break;
         }
         pending += piece.value();
-        const std::size_t texts = take_events(pending, answer);
+        const std::size_t texts = parse_events(pending, answer);
         const time_point now = runtime_clock::now();
         for (std::size_t i = 0; i < texts; ++i) {
             if (result.tokens++ == 0)
-                result.first_token = now - began;
+                result.first_token = now - start_time;
             else
                 result.between_tokens.push_back(now - last);
             last = now;
         }
-        if (pending.size() > most_answer_bytes)
+        if (pending.size() > max_answer_bytes)
             break;
     }
-    judge(call, answer, ended && pending.empty(), result);
+    check_answer(call, answer, ended && pending.empty(), result);
 }
 
 } // namespace
@@ -227,41 +228,41 @@
 awaitable<call_result> send_model_call(http_client& client, model_call call, duration timeout)
 {
     call_result result;
-    const time_point began = runtime_clock::now();
-    auto opened = co_await client.open(model_request_of(call), timeout);
+    const time_point start_time = runtime_clock::now();
+    auto opened = co_await client.open(make_model_request(call), timeout);
     if (!opened) {
         result.outcome = outcome_of(opened.error());
         result.detail = to_string(opened.error());
-        result.total = runtime_clock::now() - began;
+        result.total = runtime_clock::now() - start_time;
         co_return result;
     }
     http_stream& stream = opened.value();
     result.status = static_cast<unsigned>(stream.status());
     result.trace = std::string{stream.header("traceparent")};
     if (stream.status() == http::status::ok && call.stream) {
-        co_await read_events(stream, call, timeout, began, result);
-        result.total = runtime_clock::now() - began;
+        co_await read_events(stream, call, timeout, start_time, result);
+        result.total = runtime_clock::now() - start_time;
         co_return result;
     }
     const std::string ran{stream.header("jaynotch-ran")};
     const std::string retry_after{stream.header("Retry-After")};
     const auto body = co_await read_rest(stream, timeout);
-    result.total = runtime_clock::now() - began;
+    result.total = runtime_clock::now() - start_time;
     if (!body) {
         result.outcome = call_outcome::cut;
         result.detail = to_string(body.error());
     }
     else if (result.status != static_cast<unsigned>(http::status::ok)) {
-        take_refusal(ran, retry_after, body.value(), result);
+        record_refusal(ran, retry_after, body.value(), result);
     }
     else {
         model_answer answer;
         const auto object = parse_json_object(body.value(), "answer");
         if (object)
-            take_object(object.value(), false, answer);
+            parse_answer_object(object.value(), false, answer);
         else
-            answer.broken = true;
-        judge(call, answer, true, result);
+            answer.malformed = true;
+        check_answer(call, answer, true, result);
     }
     co_return result;
 }
@@ -277,9 +278,9 @@
         request.headers.push_back({"jaynotch-workspace", call.workspace});
     if (!call.key.empty())
         request.headers.push_back({"Idempotency-Key", call.key});
-    const time_point began = runtime_clock::now();
+    const time_point start_time = runtime_clock::now();
     const auto answer = co_await client.call(std::move(request), timeout);
-    result.total = runtime_clock::now() - began;
+    result.total = runtime_clock::now() - start_time;
     if (!answer) {
         result.outcome = outcome_of(answer.error());
         result.detail = to_string(answer.error());
@@ -289,17 +290,17 @@
     result.record = answer.value().body;
     result.trace = std::string{answer.value().header("traceparent")};
     if (answer.value().status != http::status::ok) {
-        take_refusal(answer.value().header("jaynotch-ran"), answer.value().header("Retry-After"),
-                     answer.value().body, result);
+        record_refusal(answer.value().header("jaynotch-ran"), answer.value().header("Retry-After"),
+                       answer.value().body, result);
         co_return result;
     }
     const auto object = parse_json_object(answer.value().body, "answer");
     if (object) {
         json_fields fields{object.value(), "answer"};
-        const bool own =
+        const bool matches_request =
             fields.text("digest") == content_digest(call.body) && fields.text("key") == call.key;
-        result.outcome = own ? call_outcome::whole : call_outcome::wrong;
-        result.detail = own ? "" : "the answer is to another request";
+        result.outcome = matches_request ? call_outcome::whole : call_outcome::wrong;
+        result.detail = matches_request ? "" : "the answer is to another request";
     }
     else {
         result.outcome = call_outcome::wrong;
--- a/load/latency_histogram.cc
+++ b/load/latency_histogram.cc
@@ -12,8 +12,8 @@
 
 namespace {
 
-constexpr double least_seconds = 1e-5;
-constexpr double most_seconds = 1e3;
+constexpr double min_seconds = 1e-5;
+constexpr double max_seconds = 1e3;
 constexpr unsigned bucket_count = 920; // 2% each over eight decades
 
 using log_axis = bh::axis::regular<double, bh::axis::transform::log>;
@@ -22,9 +22,9 @@
 
 struct latency_histogram::buckets {
     decltype(bh::make_histogram(log_axis{})) counts =
-        bh::make_histogram(log_axis{bucket_count, least_seconds, most_seconds});
+        bh::make_histogram(log_axis{bucket_count, min_seconds, max_seconds});
     std::uint64_t count = 0;
-    duration most{0};
+    duration maximum{0};
 };
 
 latency_histogram::latency_histogram() : m_buckets{std::make_unique<buckets>()} {}
@@ -36,9 +36,9 @@
 void latency_histogram::add(duration value)
 {
     const double seconds = std::chrono::duration<double>{value}.count();
-    m_buckets->counts(std::max(seconds, least_seconds));
+    m_buckets->counts(std::max(seconds, min_seconds));
     ++m_buckets->count;
-    m_buckets->most = std::max(m_buckets->most, value);
+    m_buckets->maximum = std::max(m_buckets->maximum, value);
 }
 
 std::uint64_t latency_histogram::count() const
@@ -46,9 +46,9 @@
     return m_buckets->count;
 }
 
-duration latency_histogram::most() const
+duration latency_histogram::maximum() const
 {
-    return m_buckets->most;
+    return m_buckets->maximum;
 }
 
 duration latency_histogram::percentile(double rank) const
@@ -64,9 +64,9 @@
             continue;
         const auto upper = std::chrono::duration_cast<duration>(
             std::chrono::duration<double>{axis.value(bucket + 1)});
-        return std::min(upper, m_buckets->most);
+        return std::min(upper, m_buckets->maximum);
     }
-    return m_buckets->most;
+    return m_buckets->maximum;
 }
 
 } // namespace jaynotch
--- a/load/latency_histogram.h
+++ b/load/latency_histogram.h
@@ -25,7 +25,7 @@
     [[nodiscard]] std::uint64_t count() const;
     /// The value that a share of `rank` (0 to 1) does not exceed; 0 if there is none.
     [[nodiscard]] duration percentile(double rank) const;
-    [[nodiscard]] duration most() const;
+    [[nodiscard]] duration maximum() const;
 
 private:
     struct buckets;
--- a/load/load.cc
+++ b/load/load.cc
@@ -15,8 +15,8 @@
 
 namespace {
 
-constexpr std::size_t most_faults_kept = 20;
-constexpr std::size_t connections_kept = 256;
+constexpr std::size_t max_listed_errors = 20;
+constexpr std::size_t max_idle_connections = 256;
 
 enum class call_kind { model, plain };
 
@@ -29,8 +29,8 @@
 
 /// Everything that the coroutines of one load share.
 struct load_run {
-    load_run(const asio::any_io_executor& on, load_settings wanted)
-        : executor{on}, settings{std::move(wanted)}, random{settings.seed}, all_done{on}
+    load_run(const asio::any_io_executor& on, load_settings parameters)
+        : executor{on}, settings{std::move(parameters)}, random{settings.seed}, all_done{on}
     {}
 
     asio::any_io_executor executor;
@@ -56,38 +56,39 @@
 
 planned_call plan_call(load_run& run, std::size_t index, duration at)
 {
-    const load_settings& wanted = run.settings;
+    const load_settings& parameters = run.settings;
     planned_call call;
     call.at = at;
-    const std::string& target = wanted.targets[index % wanted.targets.size()];
-    const std::string& workspace = wanted.workspaces[run.random.index(wanted.workspaces.size())];
-    const std::string unique = std::to_string(wanted.seed) + "-" + std::to_string(index);
-    if (run.random.chance(wanted.plain_share)) {
+    const std::string& target = parameters.targets[index % parameters.targets.size()];
+    const std::string& workspace =
+        parameters.workspaces[run.random.index(parameters.workspaces.size())];
+    const std::string unique = std::to_string(parameters.seed) + "-" + std::to_string(index);
+    if (run.random.chance(parameters.plain_share)) {
         call.kind = call_kind::plain;
         call.plain = {.target = target,
-                      .method = wanted.plain_method,
-                      .path = wanted.plain_path,
+                      .method = parameters.plain_method,
+                      .path = parameters.plain_path,
                       .workspace = workspace,
-                      .key = wanted.keyed ? "load-" + unique : "",
+                      .key = parameters.keyed ? "load-" + unique : "",
                       .body = "{\"order\":\"" + unique + "\"}"};
         return call;
     }
     std::string prompt;
-    if (wanted.shared_prefixes > 0) {
-        random_source prefix{wanted.seed + run.random.index(wanted.shared_prefixes)};
-        prompt = random_text(prefix, wanted.prefix_bytes);
+    if (parameters.shared_prefixes > 0) {
+        random_source prefix{parameters.seed + run.random.index(parameters.shared_prefixes)};
+        prompt = random_text(prefix, parameters.prefix_bytes);
     }
-    prompt += "call " + unique + " " + random_text(run.random, wanted.prompt_bytes);
+    prompt += "call " + unique + " " + random_text(run.random, parameters.prompt_bytes);
     call.model = {.target = target,
-                  .model = wanted.model,
+                  .model = parameters.model,
                   .workspace = workspace,
                   .prompt = std::move(prompt),
-                  .tokens = wanted.tokens,
-                  .stream = run.random.chance(wanted.stream_share)};
+                  .tokens = parameters.tokens,
+                  .stream = run.random.chance(parameters.stream_share)};
     return call;
 }
 
-std::vector<duration> starts(load_run& run)
+std::vector<duration> start_times(load_run& run)
 {
     if (!run.settings.schedule.empty())
         return run.settings.schedule;
@@ -111,11 +112,11 @@
             return;
         }
     }
-    if (report.refusals.size() < most_faults_kept)
+    if (report.refusals.size() < max_listed_errors)
         report.refusals.push_back({words, 1});
 }
 
-void account(load_run& run, const call_result& result, std::string_view what)
+void record_result(load_run& run, const call_result& result, std::string_view call_description)
 {
     const bool refused = result.outcome == call_outcome::refused_not_run ||
                          result.outcome == call_outcome::refused_unknown;
@@ -129,48 +130,49 @@
         run.first_token.add(result.first_token);
     for (const duration gap : result.between_tokens)
         run.between_tokens.add(gap);
-    const bool notable =
+    const bool is_error =
         result.outcome == call_outcome::wrong || result.outcome == call_outcome::cut;
-    if (notable && run.report.faults.size() < most_faults_kept)
-        run.report.faults.push_back(std::string{what} + ": " + result.detail);
+    if (is_error && run.report.faults.size() < max_listed_errors)
+        run.report.faults.push_back(std::string{call_description} + ": " + result.detail);
 }
 
-awaitable<void> carry_out(std::shared_ptr<load_run> run, planned_call call, std::size_t client)
+awaitable<void> execute_call(std::shared_ptr<load_run> run, planned_call call, std::size_t client)
 {
     if (call.kind == call_kind::plain) {
         call_result result =
             co_await send_plain_call(run->clients[client], call.plain, run->settings.timeout);
-        account(*run, result, "plain call " + call.plain.key);
+        record_result(*run, result, "plain call " + call.plain.key);
         run->report.plain.push_back({std::move(call.plain), std::move(result)});
     }
     else {
         const call_result result =
             co_await send_model_call(run->clients[client], call.model, run->settings.timeout);
-        account(*run, result, "model call to " + call.model.target);
+        record_result(*run, result, "model call to " + call.model.target);
     }
     if (--run->outstanding == 0)
         run->all_done.cancel();
 }
 
-load_percentiles percentiles(const latency_histogram& seen)
+load_percentiles percentiles(const latency_histogram& latencies)
 {
     const auto ms = [](duration value) {
         return std::chrono::duration<double, std::milli>{value}.count();
     };
-    return {.count = seen.count(),
-            .p50 = ms(seen.percentile(0.50)),
-            .p90 = ms(seen.percentile(0.90)),
-            .p95 = ms(seen.percentile(0.95)),
-            .p99 = ms(seen.percentile(0.99)),
-            .p999 = ms(seen.percentile(0.999)),
-            .most = ms(seen.most())};
+    return {.count = latencies.count(),
+            .p50 = ms(latencies.percentile(0.50)),
+            .p90 = ms(latencies.percentile(0.90)),
+            .p95 = ms(latencies.percentile(0.95)),
+            .p99 = ms(latencies.percentile(0.99)),
+            .p999 = ms(latencies.percentile(0.999)),
+            .maximum = ms(latencies.maximum())};
 }
 
-json::object render_percentiles(const load_percentiles& seen)
+json::object render_percentiles(const load_percentiles& latencies)
 {
-    return json::object{{"count", seen.count}, {"p50_ms", seen.p50}, {"p90_ms", seen.p90},
-                        {"p95_ms", seen.p95},  {"p99_ms", seen.p99}, {"p99.9_ms", seen.p999},
-                        {"max_ms", seen.most}};
+    return json::object{{"count", latencies.count},   {"p50_ms", latencies.p50},
+                        {"p90_ms", latencies.p90},    {"p95_ms", latencies.p95},
+                        {"p99_ms", latencies.p99},    {"p99.9_ms", latencies.p999},
+                        {"max_ms", latencies.maximum}};
 }
 
 awaitable<void> wait_until(timer& wait, time_point when)
@@ -189,29 +191,29 @@
                          "name at least one of each"}};
     const auto run = std::make_shared<load_run>(executor, std::move(settings));
     http_limits limits;
-    limits.idle_connections = connections_kept;
+    limits.idle_connections = max_idle_connections;
     for (const auto& target : run->settings.targets)
         run->clients.emplace_back(executor, target, limits);
     std::vector<planned_call> plan;
-    for (const duration at : starts(*run))
+    for (const duration at : start_times(*run))
         plan.push_back(plan_call(*run, plan.size(), at));
-    const time_point began = runtime_clock::now();
+    const time_point start_time = runtime_clock::now();
     timer next{executor};
     for (std::size_t index = 0; index < plan.size(); ++index) {
-        co_await wait_until(next, began + plan[index].at);
-        if (run->outstanding >= run->settings.most_outstanding) {
+        co_await wait_until(next, start_time + plan[index].at);
+        if (run->outstanding >= run->settings.max_outstanding) {
             ++run->report.not_started;
             continue;
         }
         ++run->report.started;
         ++run->outstanding;
         asio::co_spawn(executor,
-                       carry_out(run, std::move(plan[index]), index % run->clients.size()),
+                       execute_call(run, std::move(plan[index]), index % run->clients.size()),
                        asio::detached);
     }
     while (run->outstanding > 0)
         co_await wait_until(run->all_done, runtime_clock::now() + std::chrono::hours{1});
-    run->report.seconds = std::chrono::duration<double>{runtime_clock::now() - began}.count();
+    run->report.seconds = std::chrono::duration<double>{runtime_clock::now() - start_time}.count();
     run->report.first_token = percentiles(run->first_token);
     run->report.between_tokens = percentiles(run->between_tokens);
     run->report.total = percentiles(run->total);
@@ -222,7 +224,7 @@
 {
     json::object outcomes;
     for (const auto& entry : enum_names<call_outcome>::entries)
-        outcomes[entry.name] = report.of(entry.value);
+        outcomes[entry.name] = report.count_of(entry.value);
     json::array faults;
     for (const auto& fault : report.faults)
         faults.emplace_back(fault);
--- a/load/load.h
+++ b/load/load.h
@@ -83,7 +83,7 @@
 };
 
 /// A plain call of a load, kept so that it can be compared with the backend servers' accounts.
-struct plain_record {
+struct plain_call_record {
     plain_call call;
     call_result result;
 };
@@ -105,7 +105,7 @@
     std::string plain_method = "POST";
     bool keyed = true;                           ///< plain calls carry an Idempotency-Key
     duration timeout = std::chrono::seconds{30}; ///< to the answer's header, and between pieces
-    std::size_t most_outstanding = 20'000;       ///< beyond it a call counts as not started
+    std::size_t max_outstanding = 20'000;        ///< beyond it a call counts as not started
     std::uint64_t seed = 1;
 };
 
@@ -117,7 +117,7 @@
     double p95 = 0.0;
     double p99 = 0.0;
     double p999 = 0.0;
-    double most = 0.0;
+    double maximum = 0.0;
 };
 
 /// How often a refusal was given in these words.
@@ -135,11 +135,11 @@
     load_percentiles first_token;
     load_percentiles between_tokens;
     load_percentiles total;
-    std::vector<plain_record> plain;
+    std::vector<plain_call_record> plain;
     std::vector<refusal_count> refusals; ///< the first few different ones
     std::vector<std::string> faults;     ///< the first few answers that were wrong, in words
 
-    [[nodiscard]] std::uint64_t of(call_outcome outcome) const
+    [[nodiscard]] std::uint64_t count_of(call_outcome outcome) const
     {
         return outcomes.at(static_cast<std::size_t>(outcome));
     }
--- a/scenarios/invariants.cc
+++ b/scenarios/invariants.cc
@@ -24,7 +24,7 @@
 
 } // namespace
 
-scenario_accounts accounts_of(standin_fleet& fleet, std::vector<plain_record> calls,
+scenario_accounts accounts_of(standin_fleet& fleet, std::vector<plain_call_record> calls,
                               std::uint64_t wrong_answers)
 {
     scenario_accounts accounts;
--- a/scenarios/invariants.h
+++ b/scenarios/invariants.h
@@ -18,13 +18,13 @@
 
 /// The accounts of both sides.
 struct scenario_accounts {
-    std::vector<plain_record> calls; ///< by callers
-    std::vector<plain_run> runs;     ///< by plain services, of requests other than GET and HEAD
+    std::vector<plain_call_record> calls; ///< by callers
+    std::vector<plain_run> runs; ///< by plain services, of requests other than GET and HEAD
     std::uint64_t partial_answers = 0;
     std::uint64_t wrong_answers = 0;
 };
 
-scenario_accounts accounts_of(standin_fleet& fleet, std::vector<plain_record> calls,
+scenario_accounts accounts_of(standin_fleet& fleet, std::vector<plain_call_record> calls,
                               std::uint64_t wrong_answers);
 
 /// What is violated, in words; empty if all holds:
--- a/scenarios/scenarios_test.cc
+++ b/scenarios/scenarios_test.cc
@@ -12,9 +12,9 @@
 
 namespace {
 
-plain_record made(const std::string& key, call_outcome outcome)
+plain_call_record made(const std::string& key, call_outcome outcome)
 {
-    plain_record record;
+    plain_call_record record;
     record.call.key = key;
     record.call.body = "body " + key;
     record.result.outcome = outcome;
--- a/scenarios/world.h
+++ b/scenarios/world.h
@@ -50,7 +50,10 @@
     [[nodiscard]] std::uint64_t checks() const { return m_checks; }
     [[nodiscard]] const std::vector<std::string>& problems() const { return m_problems; }
     void add_problem(std::string problem) { m_problems.push_back(std::move(problem)); }
-    [[nodiscard]] const std::vector<plain_record>& plain_calls() const { return m_plain_calls; }
+    [[nodiscard]] const std::vector<plain_call_record>& plain_calls() const
+    {
+        return m_plain_calls;
+    }
     [[nodiscard]] std::uint64_t wrong_answers() const { return m_wrong_answers; }
     [[nodiscard]] const std::vector<std::string>& wrong_details() const { return m_wrong_details; }
     [[nodiscard]] const standin_fleet* fleet() const { return m_fleet.get(); }
@@ -111,7 +114,7 @@
     std::string m_vms_address; ///< through the network
     std::map<std::string, scenario_daemon> m_daemons;
     std::vector<std::shared_ptr<running_load>> m_loads;
-    std::vector<plain_record> m_plain_calls;
+    std::vector<plain_call_record> m_plain_calls;
     std::uint64_t m_wrong_answers = 0;
     std::vector<std::string> m_wrong_details;
     std::uint64_t m_checks = 0;
--- a/scenarios/world_load.cc
+++ b/scenarios/world_load.cc
@@ -129,7 +129,7 @@
     call.body = fields.text("body");
     if (fields.failure())
         throw exception{*fields.failure()};
-    plain_record record{call, m_runtime.run(order_once(m_runtime.executor(), call))};
+    plain_call_record record{call, m_runtime.run(order_once(m_runtime.executor(), call))};
     keep(record.result, "a plain call");
     m_plain_calls.push_back(record);
     return render_call(record.result);
@@ -160,7 +160,7 @@
     if (!m_runtime.run_until([&] { return load->report.has_value(); }, longest))
         throw exception{{error_kind::deadline_exceeded, "the load did not end", ""}};
     const load_report& report = *load->report;
-    m_wrong_answers += report.of(call_outcome::wrong);
+    m_wrong_answers += report.count_of(call_outcome::wrong);
     m_wrong_details.insert(m_wrong_details.end(), report.faults.begin(), report.faults.end());
     m_plain_calls.insert(m_plain_calls.end(), report.plain.begin(), report.plain.end());
     return json::parse(render_load_report(report));
--- a/standins/load_test.cc
+++ b/standins/load_test.cc
@@ -104,7 +104,7 @@
         sum += count;
     cr_assert(report.started > 100);
     cr_assert_eq(sum, report.started);
-    cr_assert_eq(report.of(call_outcome::whole), report.started);
+    cr_assert_eq(report.count_of(call_outcome::whole), report.started);
     cr_assert(report.first_token.count > 0 && report.total.p50 <= report.total.p99);
 }
 
