--- a/cli/admin_client.cc
+++ b/cli/admin_client.cc
@@ -39,17 +39,18 @@
 };
 
 template <class Stream>
-asio::awaitable<void> exchange(Stream& stream, const admin_request& ask, admin_answer& answer)
+asio::awaitable<void> exchange(Stream& stream, const admin_request& request, admin_answer& answer)
 {
-    http::request<http::string_body> request{http::string_to_verb(ask.method), ask.target, 11};
-    request.set(http::field::host, ask.address);
-    request.set(http::field::connection, "close");
-    if (!ask.body.empty())
-        request.set(http::field::content_type, "application/json");
-    request.body() = ask.body;
-    request.prepare_payload();
+    http::request<http::string_body> message{http::string_to_verb(request.method), request.target,
+                                             11};
+    message.set(http::field::host, request.address);
+    message.set(http::field::connection, "close");
+    if (!request.body.empty())
+        message.set(http::field::content_type, "application/json");
+    message.body() = request.body;
+    message.prepare_payload();
     answer.sent = true;
-    co_await http::async_write(stream, request, asio::use_awaitable);
+    co_await http::async_write(stream, message, asio::use_awaitable);
     beast::flat_buffer buffer;
     http::response_parser<http::string_body> parser;
     parser.body_limit(max_answer_bytes);
@@ -58,16 +59,16 @@
     answer.body = std::move(parser.get().body());
 }
 
-asio::awaitable<void> plain_call(const admin_request& ask, asio::ip::tcp::endpoint to,
+asio::awaitable<void> plain_call(const admin_request& request, asio::ip::tcp::endpoint to,
                                  std::chrono::milliseconds timeout, admin_answer& answer)
 {
     beast::tcp_stream stream{co_await asio::this_coro::executor};
     stream.expires_after(timeout);
     co_await stream.async_connect(to, asio::use_awaitable);
-    co_await exchange(stream, ask, answer);
+    co_await exchange(stream, request, answer);
 }
 
-asio::awaitable<void> tls_call(const admin_request& ask, asio::ip::tcp::endpoint to,
+asio::awaitable<void> tls_call(const admin_request& request, asio::ip::tcp::endpoint to,
                                const cli_options& options, admin_answer& answer)
 {
     asio::ssl::context tls{asio::ssl::context::tls_client};
@@ -83,7 +84,7 @@
     co_await beast::get_lowest_layer(stream).async_connect(to, asio::use_awaitable);
     answer.failure = error_kind::unauthorized; // what a failed handshake means
     co_await stream.async_handshake(asio::ssl::stream_base::client, asio::use_awaitable);
-    co_await exchange(stream, ask, answer);
+    co_await exchange(stream, request, answer);
 }
 
 /// With TLS 1.3 a daemon that refuses our certificate says so only after the handshake, as an alert
@@ -93,14 +94,14 @@
     return code.category() == asio::error::get_ssl_category();
 }
 
-asio::awaitable<void> call_once(const admin_request& ask, asio::ip::tcp::endpoint to,
+asio::awaitable<void> call_once(const admin_request& request, asio::ip::tcp::endpoint to,
                                 const cli_options& options, admin_answer& answer)
 {
     try {
         if (options.certificate.empty())
-            co_await plain_call(ask, to, options.timeout, answer);
+            co_await plain_call(request, to, options.timeout, answer);
         else
-            co_await tls_call(ask, to, options, answer);
+            co_await tls_call(request, to, options, answer);
     }
     catch (const boost::system::system_error& failure) {
         answer.detail = failure.code().message();
@@ -109,13 +110,13 @@
     }
 }
 
-admin_answer call_and_wait(const admin_request& ask, asio::ip::tcp::endpoint to,
+admin_answer call_and_wait(const admin_request& request, asio::ip::tcp::endpoint to,
                            const cli_options& options)
 {
     admin_answer answer;
     answer.failure = error_kind::unavailable;
     asio::io_context io;
-    asio::co_spawn(io, call_once(ask, to, options, answer), asio::detached);
+    asio::co_spawn(io, call_once(request, to, options, answer), asio::detached);
     io.run();
     return answer;
 }
@@ -172,8 +173,8 @@
     error last_error{error_kind::unavailable, "no daemon to ask", "give --admin"};
     for (const std::string& address : m_options.admin) {
         BOOST_OUTCOME_TRY(const auto endpoint, parse_endpoint(address));
-        const admin_request ask{address, method, target, body};
-        const admin_answer answer = call_and_wait(ask, endpoint, m_options);
+        const admin_request request{address, method, target, body};
+        const admin_answer answer = call_and_wait(request, endpoint, m_options);
         if (answer.status != 0)
             return value_of(answer);
         if (answer.failure == error_kind::unauthorized)
--- a/cli/change_commands.cc
+++ b/cli/change_commands.cc
@@ -174,14 +174,14 @@
         return error{error_kind::invalid_argument, "rollback needs a revision",
                      "write --revision=N; `jaynotch history` lists them"};
     admin_client client{context.options};
-    BOOST_OUTCOME_TRY(const boost::json::value now, client.get("/admin/v1/config"));
+    BOOST_OUTCOME_TRY(const boost::json::value current, client.get("/admin/v1/config"));
     BOOST_OUTCOME_TRY(
-        const boost::json::value then,
+        const boost::json::value earlier,
         client.get("/admin/v1/config?revision=" + std::to_string(context.options.revision)));
     working_copy copy;
-    copy.routes = field_text(then, "routes");
-    copy.pools = field_text(then, "pools");
-    copy.base_revision = std::atoll(field_text(now, "revision").c_str());
+    copy.routes = field_text(earlier, "routes");
+    copy.pools = field_text(earlier, "pools");
+    copy.base_revision = std::atoll(field_text(current, "revision").c_str());
     BOOST_OUTCOME_TRY(const acceptance accepted, send_change(context, copy));
     return report_change(context, accepted);
 }
--- a/cli/cli_test.cc
+++ b/cli/cli_test.cc
@@ -98,7 +98,7 @@
     return "127.0.0.1:" + std::to_string(acceptor.local_endpoint().port());
 }
 
-std::int64_t lock_of(const scratch_folder& folder)
+std::int64_t locked_revision(const scratch_folder& folder)
 {
     return read_working_copy(folder.path()).value().base_revision;
 }
@@ -124,7 +124,7 @@
     std::ostringstream progress;
     const auto code = run_apply({options, out, progress});
     cr_assert(code.value() == exit_code::succeeded);
-    cr_assert_eq(lock_of(folder), 4);
+    cr_assert_eq(locked_revision(folder), 4);
     cr_assert(progress.str().find("waiting for b (alive, revision 3)") != std::string::npos);
 }
 
@@ -141,7 +141,7 @@
     std::ostringstream out;
     std::ostringstream progress;
     cr_assert(run_apply({options, out, progress}).value() == exit_code::succeeded);
-    cr_assert_eq(lock_of(folder), 3);
+    cr_assert_eq(locked_revision(folder), 3);
     cr_assert(out.str().find("jaynotch fetch") != std::string::npos);
 }
 
@@ -161,7 +161,7 @@
     const auto code = run_apply({options, out, progress});
     cr_assert(!code && code.error().kind == error_kind::unknown_outcome);
     cr_assert(code.error().remedy.find("--change_id=once") != std::string::npos);
-    cr_assert_eq(lock_of(folder), 3);
+    cr_assert_eq(locked_revision(folder), 3);
     cr_assert(to_exit_code(code.error().kind) == exit_code::outcome_unknown);
 }
 
@@ -258,7 +258,8 @@
                R"(,"level":"info","program":"p","instance":"a","kind":")" + kind + "\"" + more +
                "}\n";
     };
-    const auto story = [&](const std::string& name, int waited, int first, const std::string& end) {
+    const auto request_log_lines = [&](const std::string& name, int waited, int first,
+                                       const std::string& end) {
         const std::string request = R"(,"request":")" + name + "\"";
         return line(0, "request_admitted", request) +
                line(waited, "request_sent",
@@ -267,12 +268,16 @@
                line(first, "request_finished",
                     request + R"(,"first_ms":)" + std::to_string(first) + end);
     };
-    const std::string longer = R"(,"request":"r6","route":"chat","kind_of_error":"overloaded")";
+    const std::string refusal_fields =
+        R"(,"request":"r6","route":"chat","kind_of_error":"overloaded")";
     std::ofstream{folder.path() + "/a.log"}
-        << story("r1", 0, 100, R"(,"pause_ms":50)") << story("r2", 0, 400, R"(,"pause_ms":50)")
-        << story("r3", 250, 400, R"(,"pause_ms":50)") << story("r4", 0, 100, R"(,"pause_ms":350)")
-        << story("r5", 0, 100, "") << line(2500, "request_admitted", R"(,"request":"r6")")
-        << line(2500, "request_refused", longer)
+        << request_log_lines("r1", 0, 100, R"(,"pause_ms":50)")
+        << request_log_lines("r2", 0, 400, R"(,"pause_ms":50)")
+        << request_log_lines("r3", 250, 400, R"(,"pause_ms":50)")
+        << request_log_lines("r4", 0, 100, R"(,"pause_ms":350)")
+        << request_log_lines("r5", 0, 100, "")
+        << line(2500, "request_admitted", R"(,"request":"r6")")
+        << line(2500, "request_refused", refusal_fields)
         << line(2600, "runners_used", R"(,"subject":"d","detail":"d0 open m 1, d0 warm m 2")")
         << line(2700, "log_dropped", R"(,"lines":{"request_sent":7})") << R"({"ts_ms":10000)";
     cli_options options;
@@ -290,9 +295,9 @@
     };
     cr_assert_eq(row("chat"), "chat 6 2 1 1 0 1 1 0 0 0", "%s", text.c_str());
     cr_assert_eq(row("2"), "2 1 0 0 0 0 0 1 0 0 0 1 2 warm m 2", "%s", text.c_str());
-    for (const char* gap : {"refused as overloaded: 1", "1 lines could not be read",
-                            "7 lines were dropped", "1 requests were finished by daemons"})
-        cr_assert(text.find(gap) != std::string::npos, "%s in %s", gap, text.c_str());
+    for (const char* note : {"refused as overloaded: 1", "1 lines could not be read",
+                             "7 lines were dropped", "1 requests were finished by daemons"})
+        cr_assert(text.find(note) != std::string::npos, "%s in %s", note, text.c_str());
     options.arguments = {"losses", folder.path() + "/none.log"};
     cr_assert(run_losses({options, out, out}).error().kind == error_kind::not_found);
     std::ofstream{folder.path() + "/other.log"} << "no line of ours\n";
--- a/cli/load_command.cc
+++ b/cli/load_command.cc
@@ -12,18 +12,18 @@
 
 namespace {
 
-load_settings settings_of(const load_options& asked)
+load_settings settings_of(const load_options& options)
 {
     load_settings settings;
-    settings.targets = {asked.target};
-    settings.model = asked.model;
-    settings.workspaces = {asked.workspace};
-    settings.rate = asked.rate;
+    settings.targets = {options.target};
+    settings.model = options.model;
+    settings.workspaces = {options.workspace};
+    settings.rate = options.rate;
     settings.length =
-        std::chrono::duration_cast<duration>(std::chrono::duration<double>{asked.seconds});
-    settings.tokens = asked.max_tokens;
-    settings.prompt_bytes = asked.prompt_bytes;
-    settings.seed = asked.seed;
+        std::chrono::duration_cast<duration>(std::chrono::duration<double>{options.seconds});
+    settings.tokens = options.max_tokens;
+    settings.prompt_bytes = options.prompt_bytes;
+    settings.seed = options.seed;
     return settings;
 }
 
--- a/cli/losses_command.cc
+++ b/cli/losses_command.cc
@@ -72,60 +72,61 @@
     bool abandoned = false;
 };
 
-request_outcome outcome_of_finished(const request_summary& told)
+request_outcome outcome_of_finished(const request_summary& summary)
 {
-    if (told.first_target_ms > 0 && told.first_ms > told.first_target_ms) {
-        if (told.failed_once)
+    if (summary.first_target_ms > 0 && summary.first_ms > summary.first_target_ms) {
+        if (summary.failed_once)
             return request_outcome::sent_again;
-        return told.first_ms - told.waited_ms <= told.first_target_ms ? request_outcome::waited
-                                                                      : request_outcome::late;
+        return summary.first_ms - summary.waited_ms <= summary.first_target_ms
+                   ? request_outcome::waited
+                   : request_outcome::late;
     }
-    const bool paused = told.pause_target_ms > 0 && told.pause_ms > told.pause_target_ms;
+    const bool paused = summary.pause_target_ms > 0 && summary.pause_ms > summary.pause_target_ms;
     return paused ? request_outcome::paused : request_outcome::in_time;
 }
 
-request_outcome outcome_of(const request_summary& told)
+request_outcome outcome_of(const request_summary& summary)
 {
-    if (told.refused)
+    if (summary.refused)
         return request_outcome::refused;
-    if (told.cut)
+    if (summary.cut)
         return request_outcome::cut;
-    if (told.abandoned)
+    if (summary.abandoned)
         return request_outcome::abandoned;
-    return told.finished ? outcome_of_finished(told) : request_outcome::no_end;
+    return summary.finished ? outcome_of_finished(summary) : request_outcome::no_end;
 }
 
-void add_attempt(const log_line& line, request_summary& told)
+void add_attempt(const log_line& line, request_summary& summary)
 {
-    told.route = text_field(line, "route");
-    told.first_target_ms = number_field(line, "first_target_ms", 0);
-    told.pause_target_ms = number_field(line, "pause_target_ms", 0);
+    summary.route = text_field(line, "route");
+    summary.first_target_ms = number_field(line, "first_target_ms", 0);
+    summary.pause_target_ms = number_field(line, "pause_target_ms", 0);
     if (number_field(line, "sending", 1) <= 1)
-        told.waited_ms = number_field(line, "waited_ms", 0);
+        summary.waited_ms = number_field(line, "waited_ms", 0);
 }
 
-void add_line(const log_line& line, request_summary& told)
+void add_line(const log_line& line, request_summary& summary)
 {
     if (line.kind == "request_admitted")
-        told.arrived_ms = line.at_ms;
+        summary.arrived_ms = line.at_ms;
     else if (line.kind == "request_sent" || line.kind == "request_resumed")
-        add_attempt(line, told);
+        add_attempt(line, summary);
     else if (line.kind == "attempt_failed")
-        told.failed_once = true;
+        summary.failed_once = true;
     else if (line.kind == "request_cut")
-        told.cut = true;
+        summary.cut = true;
     else if (line.kind == "request_abandoned")
-        told.abandoned = true;
+        summary.abandoned = true;
     else if (line.kind == "request_refused") {
-        told.refused = true;
-        told.refusal = text_field(line, "kind_of_error");
+        summary.refused = true;
+        summary.refusal = text_field(line, "kind_of_error");
         const std::string route = text_field(line, "route");
-        told.route = route.empty() ? told.route : route;
+        summary.route = route.empty() ? summary.route : route;
     }
     else if (line.kind == "request_finished") {
-        told.finished = true;
-        told.first_ms = number_field(line, "first_ms", -1);
-        told.pause_ms = number_field(line, "pause_ms", 0);
+        summary.finished = true;
+        summary.first_ms = number_field(line, "first_ms", -1);
+        summary.pause_ms = number_field(line, "pause_ms", 0);
     }
 }
 
@@ -210,32 +211,33 @@
             report.dropped += dropped_lines(line);
     }
     const auto window_of = [&](std::int64_t at_ms) { return (at_ms - first_ms) / window_ms; };
-    for (const auto& [request, told] : summaries) {
-        if (told.arrived_ms < 0)
+    for (const auto& [request, summary] : summaries) {
+        if (summary.arrived_ms < 0)
             continue; // its first lines are not in these logs
-        const request_outcome outcome = outcome_of(told);
-        report.without_route += told.route.empty() ? 1 : 0;
-        report.routes[told.route.empty() ? "-" : told.route].add(outcome);
-        report.windows[window_of(told.arrived_ms)].add(outcome);
+        const request_outcome outcome = outcome_of(summary);
+        report.without_route += summary.route.empty() ? 1 : 0;
+        report.routes[summary.route.empty() ? "-" : summary.route].add(outcome);
+        report.windows[window_of(summary.arrived_ms)].add(outcome);
         if (outcome == request_outcome::refused)
-            ++report.refusals[told.refusal];
+            ++report.refusals[summary.refusal];
     }
     for (const log_line& line : lines) {
         if (line.kind != "runners_used" || line.at_ms < first_ms)
             continue;
-        runner_uses now;
-        add_runner_uses(text_field(line, "detail"), now);
-        report.runners[window_of(line.at_ms)][text_field(line, "subject")] = std::move(now);
+        runner_uses current_uses;
+        add_runner_uses(text_field(line, "detail"), current_uses);
+        report.runners[window_of(line.at_ms)][text_field(line, "subject")] =
+            std::move(current_uses);
     }
     return report;
 }
 
-void add_cells(const outcome_counts& counted, std::vector<std::string>& row)
+void add_cells(const outcome_counts& counts, std::vector<std::string>& row)
 {
-    row.push_back(std::to_string(counted.requests));
+    row.push_back(std::to_string(counts.requests));
     for (const auto& entry : enum_names<request_outcome>::entries) {
-        const auto found = counted.by_outcome.find(entry.value);
-        row.push_back(std::to_string(found == counted.by_outcome.end() ? 0 : found->second));
+        const auto found = counts.by_outcome.find(entry.value);
+        row.push_back(std::to_string(found == counts.by_outcome.end() ? 0 : found->second));
     }
 }
 
@@ -250,9 +252,9 @@
 void print_routes(const loss_report& report, std::ostream& out)
 {
     text_rows rows = heading("route");
-    for (const auto& [route, counted] : report.routes) {
+    for (const auto& [route, counts] : report.routes) {
         rows.push_back({route});
-        add_cells(counted, rows.back());
+        add_cells(counts, rows.back());
     }
     print_columns(out, rows);
 }
@@ -264,8 +266,8 @@
     std::size_t serving = 0;
     std::size_t idle = 0;
     runner_uses idle_by_use;
-    for (const auto& [domain, used] : by_domain) {
-        for (const auto& [use, count] : used) {
+    for (const auto& [domain, uses] : by_domain) {
+        for (const auto& [use, count] : uses) {
             if (is_serving(use)) {
                 serving += count;
                 continue;
@@ -274,12 +276,12 @@
             idle_by_use[use] += count;
         }
     }
-    std::string told;
+    std::string idle_text;
     for (const auto& [use, count] : idle_by_use)
-        told += (told.empty() ? "" : ", ") + use + " " + std::to_string(count);
+        idle_text += (idle_text.empty() ? "" : ", ") + use + " " + std::to_string(count);
     row.push_back(std::to_string(serving));
     row.push_back(std::to_string(idle));
-    row.push_back(told);
+    row.push_back(idle_text);
 }
 
 void print_windows(const loss_report& report, std::ostream& out)
@@ -287,12 +289,12 @@
     text_rows rows = heading("second");
     for (const char* name : {"serving", "idle", "of which"})
         rows.front().emplace_back(name);
-    for (const auto& [window, counted] : report.windows) {
+    for (const auto& [window, counts] : report.windows) {
         rows.push_back({std::to_string(window * window_ms / 1000)});
-        add_cells(counted, rows.back());
-        const auto seen = report.runners.find(window);
-        add_runner_cells(seen == report.runners.end() ? std::map<std::string, runner_uses>{}
-                                                      : seen->second,
+        add_cells(counts, rows.back());
+        const auto found = report.runners.find(window);
+        add_runner_cells(found == report.runners.end() ? std::map<std::string, runner_uses>{}
+                                                       : found->second,
                          rows.back());
     }
     print_columns(out, rows);
--- a/load/calls.cc
+++ b/load/calls.cc
@@ -149,10 +149,11 @@
     return kind.text("kind") + ": " + kind.text("message");
 }
 
-void record_refusal(std::string_view ran, std::string_view retry_after, const std::string& body,
-                    call_result& result)
+void record_refusal(std::string_view ran_header, std::string_view retry_after,
+                    const std::string& body, call_result& result)
 {
-    result.outcome = ran == "no" ? call_outcome::refused_not_run : call_outcome::refused_unknown;
+    result.outcome =
+        ran_header == "no" ? call_outcome::refused_not_run : call_outcome::refused_unknown;
     result.detail = describe_refusal(body);
     for (const char digit : retry_after) {
         if (digit < '0' || digit > '9')
@@ -244,7 +245,7 @@
         result.total = runtime_clock::now() - start_time;
         co_return result;
     }
-    const std::string ran{stream.header("jaynotch-ran")};
+    const std::string ran_header{stream.header("jaynotch-ran")};
     const std::string retry_after{stream.header("Retry-After")};
     const auto body = co_await read_rest(stream, timeout);
     result.total = runtime_clock::now() - start_time;
@@ -253,7 +254,7 @@
         result.detail = to_string(body.error());
     }
     else if (result.status != static_cast<unsigned>(http::status::ok)) {
-        record_refusal(ran, retry_after, body.value(), result);
+        record_refusal(ran_header, retry_after, body.value(), result);
     }
     else {
         model_answer answer;
--- a/load/load.cc
+++ b/load/load.cc
@@ -29,8 +29,9 @@
 
 /// Everything that the coroutines of one load share.
 struct load_run {
-    load_run(const asio::any_io_executor& on, load_settings parameters)
-        : executor{on}, settings{std::move(parameters)}, random{settings.seed}, all_done{on}
+    load_run(const asio::any_io_executor& io_executor, load_settings parameters)
+        : executor{io_executor}, settings{std::move(parameters)}, random{settings.seed},
+          all_done{io_executor}
     {}
 
     asio::any_io_executor executor;
