--- a/cli/admin_client.cc
+++ b/cli/admin_client.cc
@@ -1,6 +1,7 @@
-// Each call is one connection on an io_context of its own, driven until done. Whether a failed call
-// may be sent to the next daemon hangs on `sent`: once the first byte of a change may have left,
-// only the same change id makes asking again safe, and that is the operator's to decide.
+// Each call opens one connection on its own io_context and runs it to completion. `sent` decides
+// whether a failed call may go to the next daemon: once part of a change may have been sent, the
+// change may have been accepted, and only a retry with the same change id is safe. That retry is
+// left to the operator.
 #include "cli/admin_client.h"
 
 #include "http/http_client.h"
@@ -29,10 +30,10 @@
     std::string body;
 };
 
-/// The answer of one daemon, or why there is none.
+/// The answer of one daemon, or the reason why there is none.
 struct admin_answer {
-    bool sent = false;                         ///< some of the request may have reached it
-    error_kind failure = error_kind::internal; ///< if there is no status
+    bool sent = false;                         ///< part of the request may have reached the daemon
+    error_kind failure = error_kind::internal; ///< valid if `status` is 0
     std::string detail;
     unsigned status = 0;
     std::string body;
@@ -82,13 +83,14 @@
     beast::ssl_stream<beast::tcp_stream> stream{co_await asio::this_coro::executor, tls};
     beast::get_lowest_layer(stream).expires_after(options.timeout);
     co_await beast::get_lowest_layer(stream).async_connect(to, asio::use_awaitable);
-    answer.failure = error_kind::unauthorized; // what a failed handshake means
+    answer.failure = error_kind::unauthorized; // reported if the handshake fails
     co_await stream.async_handshake(asio::ssl::stream_base::client, asio::use_awaitable);
     co_await exchange(stream, request, answer);
 }
 
-/// With TLS 1.3 a daemon that refuses our certificate says so only after the handshake, as an alert
-/// that the first read meets: such a request was not looked at.
+/// True if a TLS alert ended the connection. With TLS 1.3 a server that rejects the client's
+/// certificate sends the alert after the client's handshake has completed, so the first read fails
+/// with it. Such a request was not processed.
 bool is_tls_alert(const boost::system::error_code& code)
 {
     return code.category() == asio::error::get_ssl_category();
@@ -121,7 +123,7 @@
     return answer;
 }
 
-/// The error object that a daemon refuses with.
+/// Converts the JSON error object of a daemon's answer to an `error`.
 error error_of(const admin_answer& answer)
 {
     boost::system::error_code parse_error;
@@ -130,7 +132,8 @@
     const boost::json::value* error_value = body == nullptr ? nullptr : body->if_contains("error");
     const boost::json::object* fields = error_value == nullptr ? nullptr : error_value->if_object();
     if (fields == nullptr)
-        return {error_kind::protocol, "status " + std::to_string(answer.status) + " without reason",
+        return {error_kind::protocol,
+                "HTTP status " + std::to_string(answer.status) + " without an error object",
                 "check that --admin is the admin port of a daemon"};
     const auto text = [&](std::string_view name) {
         const boost::json::value* field = fields->if_contains(name);
@@ -149,7 +152,7 @@
     boost::system::error_code parse_error;
     boost::json::value parsed = boost::json::parse(answer.body, parse_error);
     if (parse_error)
-        return error{error_kind::protocol, "the daemon's answer is no JSON",
+        return error{error_kind::protocol, "the daemon's answer is not JSON",
                      "check that --admin is the admin port of a daemon"};
     return parsed;
 }
@@ -170,7 +173,7 @@
 result<boost::json::value> admin_client::call(const std::string& method, const std::string& target,
                                               const std::string& body)
 {
-    error last_error{error_kind::unavailable, "no daemon to ask", "give --admin"};
+    error last_error{error_kind::unavailable, "no daemon is configured", "set --admin"};
     for (const std::string& address : m_options.admin) {
         BOOST_OUTCOME_TRY(const auto endpoint, parse_endpoint(address));
         const admin_request request{address, method, target, body};
@@ -179,13 +182,13 @@
             return value_of(answer);
         if (answer.failure == error_kind::unauthorized)
             return error{error_kind::unauthorized, address + ": " + answer.detail,
-                         "give a certificate that the daemon's --admin_authority signed"};
+                         "use a certificate signed by the daemon's --admin_authority"};
         if (answer.sent && method != "GET")
             return error{error_kind::unknown_outcome,
                          address + " did not answer (" + answer.detail + ")",
-                         "ask again with the same --change_id"};
+                         "retry with the same --change_id"};
         last_error = error{error_kind::unavailable, address + ": " + answer.detail,
-                           "start the daemon, or name another with --admin"};
+                           "start the daemon, or set --admin to another one"};
     }
     return last_error;
 }
--- a/cli/admin_client.h
+++ b/cli/admin_client.h
@@ -1,10 +1,11 @@
-// One call to a daemon's admin port, over HTTP or mutual TLS; blocks until it is answered.
+// Blocking client for the admin port of a daemon, over plain HTTP or mutual TLS.
 //
 //   admin_client client{options};
 //   result<boost::json::value> status = client.get("/admin/v1/status");
 //
-// Several daemons may be named: one that can't be reached is passed over. A change is sent on to
-// the next daemon only if it certainly did not reach the one before.
+// If several daemons are configured, they are tried in order. A GET goes to the next daemon if the
+// previous one did not answer; a POST only if sending it had not begun. A daemon that rejects the
+// client's certificate ends the call.
 #pragma once
 
 #include "base/base.h"
--- a/cli/calls_command.cc
+++ b/cli/calls_command.cc
@@ -1,6 +1,7 @@
-// What the nodes asked of the platform's store, from their lines of kind store_calls: by the time
-// in which the lines were written, and by node, those that called most first. A line counts what
-// was called since the one before, so the sum is right whatever lines a node wrote when.
+// `jaynotch calls`: sums the nodes' calls to the platform's key-value store, from log lines of kind
+// store_calls. One table is by the time at which the lines were written, the other by node, with
+// the most frequent callers first. Each line counts the calls since the node's previous line, so
+// sums do not depend on when the nodes write their lines.
 #include "cli/commands.h"
 #include "cli/log_lines.h"
 #include "cli/printer.h"
@@ -13,10 +14,10 @@
 
 namespace {
 
-constexpr std::int64_t window_ms = 10'000;   ///< as often as daemons write the line
-constexpr std::size_t max_listed_nodes = 20; ///< told one by one
+constexpr std::int64_t window_ms = 10'000;   ///< interval at which daemons write the line
+constexpr std::size_t max_listed_nodes = 20; ///< nodes with a row of their own
 
-/// Kinds of call as the line names them.
+/// Fields of a store_calls line; the last one counts failures among the calls of the others.
 constexpr std::array call_fields{"reads",    "pages",  "watches", "transactions",
                                  "renewals", "leases", "failed"};
 
@@ -25,8 +26,8 @@
 std::int64_t total_of(const call_sums& counts)
 {
     std::int64_t total = 0;
-    for (std::size_t field = 0; field + 1 < counts.size();
-         ++field) // failed ones count under theirs
+    // The last field is left out: failed calls are also counted under their kind.
+    for (std::size_t field = 0; field + 1 < counts.size(); ++field)
         total += counts[field];
     return total;
 }
@@ -73,9 +74,8 @@
         add(all, line);
     }
     if (nodes.empty())
-        return error{error_kind::not_found, "these logs tell of no calls on the store",
-                     "take logs of daemons on a platform's registry, with the lines of kind "
-                     "store_calls"};
+        return error{error_kind::not_found, "the logs contain no lines of kind store_calls",
+                     "give logs of daemons that use a platform's registry"};
     text_rows by_time = heading("second");
     for (const auto& [window, counts] : windows)
         by_time.push_back(
--- a/cli/change_commands.cc
+++ b/cli/change_commands.cc
@@ -1,6 +1,7 @@
-// apply and rollback. A change id is drawn before the first call and printed when the outcome is
-// unknown, so that asking again can't make a second change. --wait polls the daemon's view of the
-// nodes until each has the revision or a later one in force.
+// `jaynotch apply` and `jaynotch rollback`. A change id is generated before the first call and
+// printed if the outcome is unknown, so that a retry with it cannot make a second change. With
+// --wait, the daemon's list of nodes is polled until each node has installed the revision or a
+// later one.
 #include "cli/admin_client.h"
 #include "cli/commands.h"
 #include "cli/printer.h"
@@ -32,12 +33,12 @@
     std::string change_id;
 };
 
-/// The error of a change, which always says how to ask again for the same change.
+/// Adds the change id to the remedy of an error whose outcome is unknown, for a safe retry.
 error with_change_id(error failure, const std::string& change_id)
 {
     if (failure.kind == error_kind::unknown_outcome)
         failure.remedy =
-            "ask again with --change_id=" + change_id + "; a change is made only once for an id";
+            "retry with --change_id=" + change_id + "; a change id is applied at most once";
     return failure;
 }
 
@@ -59,14 +60,14 @@
         return with_change_id(answer.error(), accepted.change_id);
     const boost::json::value* revision = find_field(answer.value(), "revision");
     if (revision == nullptr || !revision->is_int64())
-        return error{error_kind::protocol, "the answer names no revision",
+        return error{error_kind::protocol, "the answer has no revision",
                      "check that the daemon has this tool's version"};
     accepted.revision = revision->as_int64();
     accepted.merged = field_text(answer.value(), "merged") == "true";
     return accepted;
 }
 
-/// What a poll of the nodes says about one revision.
+/// How many nodes have installed a revision, from one poll.
 struct confirmation_count {
     std::size_t confirmed = 0;
     std::size_t nodes = 0;
@@ -78,7 +79,7 @@
     BOOST_OUTCOME_TRY(const boost::json::value answer, client.get("/admin/v1/nodes"));
     const boost::json::value* list = find_field(answer, "nodes");
     if (list == nullptr || !list->is_array())
-        return error{error_kind::protocol, "the answer lists no nodes",
+        return error{error_kind::protocol, "the answer has no list of nodes",
                      "check that the daemon has this tool's version"};
     confirmation_count count;
     for (const boost::json::value& node : list->as_array()) {
@@ -111,7 +112,7 @@
     return line;
 }
 
-/// Polls until every node that has not left confirms; false if time ran out.
+/// Polls until every node that has not left has installed the revision. Returns false on timeout.
 bool wait_for_nodes(const command_context& context, std::int64_t revision)
 {
     admin_client client{context.options};
@@ -160,8 +161,8 @@
         copy.base_revision = context.options.base_revision;
     BOOST_OUTCOME_TRY(parse_tables(copy.routes, copy.pools));
     BOOST_OUTCOME_TRY(const acceptance accepted, send_change(context, copy));
-    // After a merge the files lack the others' rows: the old base stays, so that a further apply
-    // does not read their absence as a removal.
+    // After a merge the local files lack the rows of other operators' edits. The lock keeps the old
+    // base revision, since the next apply would otherwise treat those rows as deleted.
     if (!accepted.merged) {
         BOOST_OUTCOME_TRY(write_lock(context.options.directory, accepted.revision));
     }
--- a/cli/cli.cc
+++ b/cli/cli.cc
@@ -52,7 +52,7 @@
         return done ? done.value() : report(done.error());
     }
     return report({error_kind::invalid_argument, "unknown command '" + options.arguments[0] + "'",
-                   "`jaynotch help` lists them"});
+                   "run `jaynotch help` for the list of commands"});
 }
 
 } // namespace
--- a/cli/cli.h
+++ b/cli/cli.h
@@ -2,33 +2,33 @@
 //
 //   int main(int argc, char** argv) { return jaynotch::run_command_line(argc, argv); }
 //
-// Everything an operator does goes through a daemon's admin port; the tables themselves stay in
-// version control, beside the file revision.lock that says which revision they were made from.
+// Commands talk to a daemon's admin port or read local files. Operators keep the tables in version
+// control, together with the file revision.lock, which names the revision they were edited from.
 #pragma once
 
 #include "base/base.h"
 
 namespace jaynotch {
 
-/// What the shell gets to see; listed in docs/OPERATIONS.md.
+/// Exit codes of the program; documented in docs/OPERATIONS.md.
 enum class exit_code : int {
     succeeded = 0,
-    failed = 1,          ///< anything not listed here
+    failed = 1,          ///< any other failure
     usage = 2,           ///< unknown command, flag or value
-    invalid_table = 3,   ///< the tables do not check; nothing was accepted
-    conflict = 4,        ///< someone else edited the same row first; nothing was accepted
-    unreachable = 5,     ///< no daemon, or the platform behind it, answered; nothing was accepted
+    invalid_table = 3,   ///< the tables are invalid; nothing was accepted
+    conflict = 4,        ///< a row was edited concurrently; nothing was accepted
+    unreachable = 5,     ///< no answer from a daemon or the platform; nothing was accepted
     not_confirmed = 6,   ///< accepted, but not every node confirmed in time
-    unauthorized = 7,    ///< no or a foreign certificate
-    outcome_unknown = 8, ///< it may have been accepted; ask again with the printed change id
+    unauthorized = 7,    ///< client certificate missing or not trusted
+    outcome_unknown = 8, ///< may have been accepted; retry with the printed change id
     differs = 9,         ///< `diff` found differences
 };
 
-/// The exit code that an error leads to.
+/// Maps an error to the exit code of the program.
 exit_code to_exit_code(error_kind kind);
 
-/// Parses flags and environment, runs one command and prints to standard output; errors go to
-/// standard error. Returns the exit code.
+/// Parses flags and environment variables and runs one command. Output goes to standard output,
+/// errors go to standard error. Returns the exit code.
 int run_command_line(int argc, char** argv);
 
 } // namespace jaynotch
--- a/cli/commands.h
+++ b/cli/commands.h
@@ -1,4 +1,5 @@
-// The commands. Each returns an exit code for what it saw, or an error.
+// The commands of the command line. Each returns an exit code or an error; cli.cc prints the error
+// and maps it to an exit code.
 #pragma once
 
 #include "cli/cli.h"
@@ -8,11 +9,11 @@
 
 namespace jaynotch {
 
-/// What was asked, and where output goes.
+/// Options and output streams of one command.
 struct command_context {
     const cli_options& options;
     std::ostream& out;
-    std::ostream& progress; ///< for long waits; not part of the output
+    std::ostream& progress; ///< progress messages during long waits
 };
 
 result<exit_code> run_validate(const command_context& context);
--- a/cli/explain_command.cc
+++ b/cli/explain_command.cc
@@ -1,8 +1,9 @@
-// Tells the story of one request from daemons' logs.
+// `jaynotch explain`: prints the timeline of one request from daemons' logs.
 //
-// Lines of the request itself are found by its id. Between them stand the lines that say what a
-// daemon came to believe at that time: groups that fell silent, configurations, the store lost.
-// Only those of daemons that had the request are shown, from a little before it to its end.
+// The request's own lines are found by its id. Lines about the state of a node, such as groups that
+// stopped responding, installed configurations or loss of the store, are shown between them. Only
+// nodes that handled the request are included, from `context_before_ms` before its first line to
+// `context_after_ms` after its last one.
 #include "cli/commands.h"
 #include "cli/log_lines.h"
 #include "cli/printer.h"
@@ -14,18 +15,17 @@
 
 namespace {
 
-constexpr std::int64_t context_before_ms =
-    2'000; ///< beliefs this much older than the request are shown
-constexpr std::int64_t context_after_ms = 500;
-/// Kinds of lines that are a daemon's beliefs and not a request's.
+constexpr std::int64_t context_before_ms = 2'000; ///< node events are shown from this long before
+constexpr std::int64_t context_after_ms = 500;    ///< until this long after the request's lines
+/// Kinds of log lines about the state of a node rather than about a request.
 constexpr std::array node_event_kinds{
     "config_installed", "group_silent",   "group_ended",     "group_opened",   "group_closed",
     "runner_silent",    "member_taken",   "store_lost",      "store_regained", "manager_elected",
     "manager_ended",    "daemon_started", "daemon_stopping", "log_dropped"};
-/// Fields that every line has and that stand in columns of their own.
+/// Fields that are common to all lines; they are left out of the last column.
 constexpr std::array column_fields{"ts_ms", "level", "program", "instance", "kind", "request"};
 
-/// The fields that have no column of their own, "name=value".
+/// Formats all other fields as "name=value".
 std::string other_fields(const log_line& line)
 {
     std::string fields_text;
@@ -50,7 +50,8 @@
 std::vector<log_line> build_timeline(std::vector<log_line> request_lines,
                                      const std::vector<log_line>& node_events)
 {
-    // Warnings may overtake routine lines of the same millisecond on their way out.
+    // Warnings are written before routine lines, so a warning can precede request_admitted in the
+    // log although both have the same millisecond.
     const auto by_time = [](const log_line& a, const log_line& b) {
         const auto order = [](const log_line& line) {
             return std::pair{line.at_ms, line.kind != "request_admitted"};
@@ -79,7 +80,7 @@
     const std::vector<std::string>& arguments = context.options.arguments;
     if (arguments.size() < 2)
         return error{
-            error_kind::invalid_argument, "no request is named",
+            error_kind::invalid_argument, "no request id is given",
             "write `jaynotch explain REQUEST [LOG ...]`; without files, logs are read from "
             "standard input"};
     const std::string& request = arguments[1];
@@ -93,8 +94,8 @@
             node_events.push_back(std::move(line));
     }
     if (request_lines.empty())
-        return error{error_kind::not_found, "no line of these logs is about request " + request,
-                     "take the logs of every entry VM around that time; lines may also have been "
+        return error{error_kind::not_found, "the logs contain no line about request " + request,
+                     "give the logs of every entry VM for that time; lines may also have been "
                      "dropped (kind log_dropped)"};
     const std::vector<log_line> timeline = build_timeline(std::move(request_lines), node_events);
     const auto first = std::find_if(timeline.begin(), timeline.end(),
--- a/cli/load_command.cc
+++ b/cli/load_command.cc
@@ -1,4 +1,5 @@
-// `jaynotch load`: the load library's open-loop run against one entry VM.
+// `jaynotch load`: runs open-loop load against one entry VM and prints a report. Fails if any
+// answer is wrong or incomplete.
 #include "cli/commands.h"
 #include "load/load.h"
 
--- a/cli/log_lines.cc
+++ b/cli/log_lines.cc
@@ -3,9 +3,10 @@
 #include <fstream>
 #include <iostream>
 
-// Collectors put a time or a name before a line, so it begins at the first brace. What holds no
-// brace is somebody else's; what has one and can't be read is counted, since a story told from half
-// of the lines has to say so.
+// Log collectors may put a prefix, such as a time or a host name, before a line, so the JSON object
+// is taken to start at the first brace. Lines without a brace come from other programs and are
+// ignored. Lines with a brace that do not parse are counted, so that commands can report that their
+// output is incomplete.
 
 namespace jaynotch {
 
@@ -68,7 +69,7 @@
         std::ifstream file{path};
         if (!file)
             return error{error_kind::not_found, path + " can't be read",
-                         "give paths of daemons' logs"};
+                         "give the paths of log files written by daemons"};
         log_lines read = read_log_lines(file);
         std::move(read.lines.begin(), read.lines.end(), std::back_inserter(all.lines));
         all.unreadable += read.unreadable;
--- a/cli/losses_command.cc
+++ b/cli/losses_command.cc
@@ -1,15 +1,17 @@
-// What was late or not served in the time that some logs cover, by route, by two seconds, by cause.
+// `jaynotch losses`: counts late and unserved requests in daemons' logs by cause, once for each
+// route and once for each window of two seconds.
 //
-// Each request has one cause, the first of these that fits its lines:
-//   refused       by a node, with the kind of error
-//   cut           its answer ended before it was whole
-//   left          its caller was gone before the end
-//   sent again    in time had its first sending not failed
-//   waited        its first event was late by no more than it had waited in its node
-//   late          its first event was late at its group, though it was sent in time
-//   paused        a pause between two events was longer than the route allows
-// What has none of them was in time. Lines tell only what this system knows: a caller who came back
-// counts as another request, and one whose daemon died has no last line and counts as `no end`.
+// Each request is counted under one cause, the first in this list that its log lines match:
+//   refused       refused by a node; the kind of error is counted as well
+//   cut           the answer ended incomplete
+//   left          the caller disconnected before the end of the answer
+//   no end        the logs hold no line that ends the request, as when its daemon died
+//   sent again    the first event was late, and an attempt had failed
+//   waited        the first event was late, but not if the time queued in the node is subtracted
+//   late          the first event was late for any other reason
+//   paused        the time between two events exceeded the route's limit
+// Requests that match none of these were in time. A repeated request from the same caller has a new
+// id and counts as another request.
 #include "cli/commands.h"
 #include "cli/log_lines.h"
 #include "cli/printer.h"
@@ -55,17 +57,17 @@
 
 namespace {
 
-/// One request, as far as its lines tell.
+/// State of one request, collected from its log lines.
 struct request_summary {
     std::int64_t arrived_ms = -1;
     std::string route;
     std::int64_t first_target_ms = 0;
     std::int64_t pause_target_ms = 0;
-    std::int64_t waited_ms = 0; ///< before the first sending
+    std::int64_t waited_ms = 0; ///< time queued before the first attempt
     bool failed_once = false;
     std::int64_t first_ms = -1;
     std::int64_t pause_ms = 0;
-    std::string refusal; ///< kind of error
+    std::string refusal; ///< kind of error if refused
     bool finished = false;
     bool refused = false;
     bool cut = false;
@@ -141,10 +143,10 @@
     }
 };
 
-/// Of all that the runners of the managed domains do, at one time.
+/// Number of runners by use, such as "open MODEL" or "bare", in the fabric domains of one manager.
 using runner_uses = std::map<std::string, std::size_t>;
 
-/// "fabric-domain use model 3, ..." without the domains, added up.
+/// Parses "FABRIC_DOMAIN USE [MODEL] COUNT, ..." and adds the counts to `sum` under "USE [MODEL]".
 void add_runner_uses(const std::string& detail, runner_uses& sum)
 {
     std::istringstream entries{detail};
@@ -166,13 +168,14 @@
     }
 }
 
-/// In a group that is open, or may be: its members other than the head stay "ready".
+/// True for members of a group that is open or may be open. In an open group only the head reports
+/// "open"; the other members report "ready".
 bool is_serving(const std::string& use)
 {
     return use.starts_with("open") || use.starts_with("ready") || use.starts_with("closing");
 }
 
-/// Lines that a daemon says it dropped, of all kinds.
+/// Total number of lines, over all kinds, that a log_dropped line reports as dropped.
 std::int64_t dropped_lines(const log_line& line)
 {
     const boost::json::value* counts = line.fields.if_contains("lines");
@@ -188,9 +191,9 @@
     std::map<std::string, outcome_counts> routes;
     std::map<std::int64_t, outcome_counts> windows;
     std::map<std::int64_t, std::map<std::string, runner_uses>>
-        runners; ///< by window and manager's domain
+        runners; ///< by window and the manager's failure domain
     std::map<std::string, std::size_t> refusals;
-    std::size_t without_pauses = 0; ///< finished, told by daemons that don't log pauses
+    std::size_t without_pauses = 0; ///< finished requests without a pause_ms field
     std::size_t without_route = 0;
     std::int64_t dropped = 0;
 };
@@ -213,7 +216,7 @@
     const auto window_of = [&](std::int64_t at_ms) { return (at_ms - first_ms) / window_ms; };
     for (const auto& [request, summary] : summaries) {
         if (summary.arrived_ms < 0)
-            continue; // its first lines are not in these logs
+            continue; // the logs start after this request arrived
         const request_outcome outcome = outcome_of(summary);
         report.without_route += summary.route.empty() ? 1 : 0;
         report.routes[summary.route.empty() ? "-" : summary.route].add(outcome);
@@ -259,7 +262,7 @@
     print_columns(out, rows);
 }
 
-/// How many runners served, how many were idle, and what those did.
+/// Adds the number of serving runners, the number of idle ones, and the uses of the idle ones.
 void add_runner_cells(const std::map<std::string, runner_uses>& by_domain,
                       std::vector<std::string>& row)
 {
@@ -300,7 +303,7 @@
     print_columns(out, rows);
 }
 
-/// What the tables can't tell, so that nobody takes a gap for a fact.
+/// Lists data missing from the logs, so that readers can judge how complete the tables are.
 void print_missing_data(const loss_report& report, std::size_t unreadable, std::ostream& out)
 {
     if (unreadable > 0)
@@ -324,8 +327,8 @@
                       read_log_files({arguments.begin() + 1, arguments.end()}));
     const loss_report report = build_report(read.lines);
     if (report.routes.empty())
-        return error{error_kind::not_found, "these logs tell of no request",
-                     "take the logs of every entry VM, with the lines of kind request_admitted"};
+        return error{error_kind::not_found, "the logs contain no requests",
+                     "give the logs of every entry VM, including lines of kind request_admitted"};
     print_routes(report, context.out);
     context.out << "\n";
     print_windows(report, context.out);
--- a/cli/options.h
+++ b/cli/options.h
@@ -1,4 +1,4 @@
-// What the command line was told, from flags and JAYNOTCH_… variables.
+// Options of the command line, from flags and JAYNOTCH_… environment variables.
 #pragma once
 
 #include "base/base.h"
@@ -17,30 +17,30 @@
                                         named{output_format::json, "json"}};
 };
 
-/// What `jaynotch load` drives.
+/// Options of `jaynotch load`.
 struct load_options {
-    std::string target; ///< caller "IP:port" of a daemon
+    std::string target; ///< "IP:port" at which a daemon serves callers
     std::string model;
     std::string workspace;
-    double rate = 5.0; ///< requests a second, open loop
+    double rate = 5.0; ///< requests per second, open loop
     double seconds = 5.0;
     std::uint64_t seed = 1;
     std::uint32_t prompt_bytes = 200;
-    std::uint32_t max_tokens = 32; ///< 0 leaves it to the engine
+    std::uint32_t max_tokens = 32; ///< 0: the engine decides
 };
 
 struct cli_options {
     std::vector<std::string> arguments; ///< the command and its arguments
-    std::vector<std::string> admin;     ///< "IP:port" of daemons, tried in this order
-    std::string certificate;            ///< PEM; empty for plain HTTP
-    std::string key;
-    std::string authority;
-    std::string directory; ///< of routes.toml, pools.toml and revision.lock
+    std::vector<std::string> admin;     ///< admin "IP:port" of daemons, tried in order
+    std::string certificate;            ///< PEM file; empty: plain HTTP
+    std::string key;                    ///< PEM file of the certificate's private key
+    std::string authority;              ///< PEM file of the CA; empty: the system's CAs
+    std::string directory;              ///< folder of routes.toml, pools.toml and revision.lock
     std::string author;
     std::string message;
-    std::string change_id;           ///< empty: a fresh one
+    std::string change_id;           ///< empty: generate one
     std::int64_t base_revision = -1; ///< -1: from revision.lock
-    std::int64_t revision = 0;       ///< 0: the current one
+    std::int64_t revision = 0;       ///< 0: the current revision
     bool wait = false;
     std::chrono::milliseconds timeout{5'000};
     std::chrono::milliseconds wait_timeout{20'000};
@@ -48,10 +48,10 @@
     load_options load;
 };
 
-/// Reads and checks them; an error names the flag and what to write.
+/// Parses and checks the options. The error of an invalid value names the flag and the remedy.
 result<cli_options> options_from_flags(int argc, char** argv);
 
-/// What `jaynotch help` prints.
+/// The text that `jaynotch help` prints.
 std::string usage_text();
 
 } // namespace jaynotch
--- a/cli/status_commands.cc
+++ b/cli/status_commands.cc
@@ -1,4 +1,5 @@
-// Commands that show what daemons know.
+// Commands that print the state of the deployment as one daemon reports it: status, nodes, groups,
+// history and drain-status. Also the command version.
 #include "cli/admin_client.h"
 #include "cli/commands.h"
 #include "cli/printer.h"
@@ -7,7 +8,7 @@
 
 namespace {
 
-/// Prints the list that the answer holds under `name`, by columns or as it came.
+/// Requests `target` and prints the answer's list `name` as columns, or the whole answer as JSON.
 result<exit_code> show_list(const command_context& context, const std::string& target,
                             std::string_view name, const std::vector<std::string>& fields)
 {
@@ -25,8 +26,8 @@
     return exit_code::succeeded;
 }
 
-/// The members of a group in words: "vm-1 ready, vm-2 loading", or only "vm-1" for one not probed
-/// here.
+/// Formats the members of a group, for example "vm-1 ready, vm-2 loading". A member that the
+/// answering node does not probe is listed without a state.
 std::string members_text(const boost::json::value& group)
 {
     const boost::json::value* members = find_field(group, "members");
@@ -34,7 +35,7 @@
     if (members == nullptr || !members->is_array())
         return "-";
     for (const boost::json::value& member : members->as_array()) {
-        // Empty if this node is not one of those that probe it.
+        // Empty if the answering node does not probe this member.
         const std::string state = field_text(member, "state");
         text += (text.empty() ? "" : ", ") + field_text(member, "vm");
         text += state.empty() ? "" : " " + state;
--- a/cli/table_commands.cc
+++ b/cli/table_commands.cc
@@ -1,4 +1,5 @@
-// validate, diff, fetch and show: commands that read tables and change nothing but the folder.
+// Commands that read tables: validate, diff, fetch and show. Only fetch writes, to the local
+// folder.
 #include "cli/admin_client.h"
 #include "cli/commands.h"
 #include "cli/printer.h"
@@ -10,7 +11,7 @@
 
 namespace {
 
-/// The tables of a revision (0 for the current one) as a working copy.
+/// Fetches the tables of the revision chosen with --revision, or the current ones, from a daemon.
 result<working_copy> fetch_tables(const command_context& context)
 {
     std::string target = "/admin/v1/config";
@@ -125,7 +126,7 @@
     const std::string what =
         context.options.arguments.size() > 1 ? context.options.arguments[1] : "";
     if (what != "routes" && what != "pools")
-        return error{error_kind::invalid_argument, "show what?",
+        return error{error_kind::invalid_argument, "show needs a table",
                      "write `jaynotch show routes` or `jaynotch show pools`"};
     BOOST_OUTCOME_TRY(const working_copy copy, fetch_tables(context));
     const std::string& text = what == "routes" ? copy.routes : copy.pools;
--- a/cli/working_copy.cc
+++ b/cli/working_copy.cc
@@ -24,11 +24,11 @@
     std::ostringstream text;
     if (!in || !(text << in.rdbuf()))
         return error{error_kind::not_found, path + " can't be read",
-                     "give the folder of both tables with --dir, or run `jaynotch fetch`"};
+                     "set --dir to the folder of both tables, or run `jaynotch fetch`"};
     return text.str();
 }
 
-/// Writes beside the file and renames, so that an interrupted write leaves the old table whole.
+/// Writes a temporary file and renames it, so that an interrupted write leaves the old file intact.
 result<void> write_file(const std::string& path, const std::string& text)
 {
     const std::string temporary = path + ".new";
@@ -40,7 +40,7 @@
         std::filesystem::rename(temporary, path, rename_error);
     if (!out || rename_error)
         return error{error_kind::unavailable, path + " can't be written",
-                     "check the folder's permissions and space"};
+                     "check the folder's permissions and free disk space"};
     return success();
 }
 
@@ -55,7 +55,7 @@
     const auto [end, status] = std::from_chars(text.data(), end_of_text, revision);
     const bool trailing = end != end_of_text && *end != '\n';
     if (status != std::errc{} || revision < 0 || trailing)
-        return error{error_kind::invalid_argument, path + " holds no revision",
+        return error{error_kind::invalid_argument, path + " does not contain a revision number",
                      "restore it from version control, or run `jaynotch fetch`"};
     return revision;
 }
--- a/load/calls.cc
+++ b/load/calls.cc
@@ -1,8 +1,9 @@
 #include "base/json_fields.h"
 #include "load/load.h"
 
-// An answer counts as whole only if it shows its own end (a finish reason and, for streams, the
-// terminal mark) and every byte is what the stand-in must say to this very prompt or body.
+// A model answer counts as `whole` only if it is explicitly terminated (a finish reason and, for
+// streams, the event "[DONE]") and its text equals the text that the stand-in engine generates for
+// this prompt. A plain answer must carry the digest of the request body and the idempotency key.
 
 namespace jaynotch {
 
@@ -14,14 +15,14 @@
 constexpr std::string_view data_prefix = "data: ";
 constexpr std::size_t max_answer_bytes = 64 * 1024 * 1024;
 
-/// What has been read of a model's answer.
+/// The part of a model's answer that has been received so far.
 struct model_answer {
     std::string text;
     std::string model;
     std::string version;
     std::string reason; ///< finish reason
-    std::string error;  ///< of an error event
-    bool done = false;  ///< the terminal mark came
+    std::string error;  ///< content of an error event, as JSON
+    bool done = false;  ///< the event "[DONE]" was received
     bool malformed = false;
 };
 
@@ -76,7 +77,8 @@
     answer.malformed = answer.malformed || inner.failure().has_value();
 }
 
-/// Takes whole events off the front of `pending`; returns how many carried text.
+/// Removes complete events from the front of `pending` and adds them to `answer`. Returns the
+/// number of events that carried text.
 std::size_t parse_events(std::string& pending, model_answer& answer)
 {
     std::size_t texts = 0;
@@ -108,11 +110,11 @@
     return texts;
 }
 
-/// Empty if `answer` is the whole and right one.
+/// Describes the first error found in `answer`; empty if it is complete and correct.
 std::string find_answer_error(const model_call& call, const model_answer& answer)
 {
     if (answer.malformed)
-        return "an event is malformed";
+        return "malformed event or body";
     if (answer.reason != "stop" && answer.reason != "length")
         return "no finish reason";
     const answer_text text{answer.model, answer.version, render_messages(call)};
@@ -140,11 +142,11 @@
 {
     const result<json::object> object = parse_json_object(body, "refusal");
     if (!object)
-        return "no JSON";
+        return "the body is not JSON";
     json_fields fields{object.value(), "refusal"};
     const json::object* inner = fields.object("error");
     if (inner == nullptr)
-        return "no error object";
+        return "the body has no error object";
     json_fields kind{*inner, "refusal"};
     return kind.text("kind") + ": " + kind.text("message");
 }
@@ -173,7 +175,7 @@
             co_return body;
         body += piece.value();
         if (body.size() > max_answer_bytes)
-            co_return error{error_kind::too_large, "the answer has no end", ""};
+            co_return error{error_kind::too_large, "the answer exceeds 64 MiB", ""};
     }
 }
 
@@ -188,7 +190,7 @@
     }
     if (!ended || (call.stream && !answer.done)) {
         result.outcome = call_outcome::cut;
-        result.detail = "ended without its terminal mark";
+        result.detail = "the stream failed or ended without [DONE]";
         return;
     }
     result.detail = find_answer_error(call, answer);
@@ -301,11 +303,11 @@
         const bool matches_request =
             fields.text("digest") == content_digest(call.body) && fields.text("key") == call.key;
         result.outcome = matches_request ? call_outcome::whole : call_outcome::wrong;
-        result.detail = matches_request ? "" : "the answer is to another request";
+        result.detail = matches_request ? "" : "the answer belongs to another request";
     }
     else {
         result.outcome = call_outcome::wrong;
-        result.detail = "the answer is not the service's";
+        result.detail = "the answer is not a JSON object";
     }
     co_return result;
 }
--- a/load/latency_histogram.cc
+++ b/load/latency_histogram.cc
@@ -14,7 +14,7 @@
 
 constexpr double min_seconds = 1e-5;
 constexpr double max_seconds = 1e3;
-constexpr unsigned bucket_count = 920; // 2% each over eight decades
+constexpr unsigned bucket_count = 920; // 2% wide each, over eight decades
 
 using log_axis = bh::axis::regular<double, bh::axis::transform::log>;
 
--- a/load/latency_histogram.h
+++ b/load/latency_histogram.h
@@ -1,5 +1,5 @@
-// Latencies in buckets of equal relative width (as HDR histograms have), so that a percentile is
-// right to about 2% from 10 microseconds to 1000 seconds in constant memory.
+// Latency histogram with logarithmic buckets, similar to an HDR histogram. Percentiles are accurate
+// to about 2% between 10 microseconds and 1000 seconds; memory use is constant.
 //
 //   latency_histogram seen;
 //   seen.add(elapsed);
@@ -23,7 +23,8 @@
 
     void add(duration value);
     [[nodiscard]] std::uint64_t count() const;
-    /// The value that a share of `rank` (0 to 1) does not exceed; 0 if there is none.
+    /// Upper bound of the bucket that holds the value at `rank` (0 to 1), at most maximum(); 0 if
+    /// the histogram is empty.
     [[nodiscard]] duration percentile(double rank) const;
     [[nodiscard]] duration maximum() const;
 
--- a/load/load.cc
+++ b/load/load.cc
@@ -5,8 +5,9 @@
 #include <boost/asio/redirect_error.hpp>
 #include <boost/asio/use_awaitable.hpp>
 
-// The schedule is drawn before the first call, so it does not depend on how the calls fare. One
-// timer starts each call; a second one, cancelled by the last call's end, wakes the report.
+// All calls are generated before the first one starts, so the load does not depend on the answers.
+// One timer waits for each call's start time. A second timer, `all_done`, is cancelled when the
+// last outstanding call ends and wakes the coroutine that fills in the report.
 
 namespace jaynotch {
 
@@ -27,7 +28,7 @@
     plain_call plain;
 };
 
-/// Everything that the coroutines of one load share.
+/// State shared by the coroutines of one load run.
 struct load_run {
     load_run(const asio::any_io_executor& io_executor, load_settings parameters)
         : executor{io_executor}, settings{std::move(parameters)}, random{settings.seed},
@@ -188,7 +189,7 @@
 awaitable<load_report> run_load(asio::any_io_executor executor, load_settings settings)
 {
     if (settings.targets.empty() || settings.workspaces.empty())
-        throw exception{{error_kind::invalid_argument, "a load needs targets and workspaces",
+        throw exception{{error_kind::invalid_argument, "the load has no targets or no workspaces",
                          "name at least one of each"}};
     const auto run = std::make_shared<load_run>(executor, std::move(settings));
     http_limits limits;
