--- a/bench/nodes.py
+++ b/bench/nodes.py
@@ -1,12 +1,12 @@
 #!/usr/bin/env python3
-"""Measures real daemons on loopback: what control costs a node, and how fast a change is in force.
+"""Measures real daemons on loopback: the control traffic of a node and the time to install a change.
 
 usage: bench/nodes.py BUILD_FOLDER [--sizes 4,32,128] [--changes 20] [--idle 10] [--fault none|watcher|domain]
 
 For each size it starts one stand-in platform and that many `jaynotchd`, applies changes one after
-another, and prints one markdown row: time from acceptance until the last node has it in force
-(from the nodes' own log lines), calls on the key-value service, and for each node the bytes sent to
-peers, processor time and resident memory. All processes are its own children; they are ended by id.
+another, and prints one Markdown row: the time from acceptance until the last node has installed the
+change (from the nodes' logs), calls to the key-value service, and for each node the bytes sent to
+peers, CPU time and resident memory. All processes are child processes and are terminated by pid.
 """
 import argparse
 import json
@@ -46,7 +46,7 @@
 
 
 class Fleet:
-    """One stand-in platform and some daemons, in a scratch folder."""
+    """One stand-in platform and its daemons, with logs in a temporary folder."""
 
     def __init__(self, build, nodes, port):
         self.build, self.folder = build, tempfile.mkdtemp(prefix="jaynotch-bench-")
@@ -58,22 +58,23 @@
             raise
 
     def start(self, nodes, port):
-        where = os.path.join(self.folder, "fleet.json")
+        fleet_file = os.path.join(self.folder, "fleet.json")
         domains = ",".join(f"d{i}" for i in range(FAILURE_DOMAINS))
         self.spawn("standin", ["jaynotch-standin", "fleet", "--engines=40", f"--fabric_domains={FAILURE_DOMAINS}",
-                               f"--failure_domains={domains}", f"--out={where}"])
-        until(20, lambda: os.path.exists(where) and os.path.getsize(where) > 0)
-        self.platform = json.load(open(where))
+                               f"--failure_domains={domains}", f"--out={fleet_file}"])
+        until(20, lambda: os.path.exists(fleet_file) and os.path.getsize(fleet_file) > 0)
+        self.platform = json.load(open(fleet_file))
         seeds = ",".join(f"127.0.0.1:{port + 3 * i + 1}" for i in range(min(5, nodes)))
         for i in range(nodes):
-            at = port + 3 * i
+            caller_port = port + 3 * i
             child = self.spawn(f"node-{i}", [
                 "jaynotchd", f"--node=node-{i}", f"--failure_domain=d{i % FAILURE_DOMAINS}",
-                "--deployment=bench", f"--listen=127.0.0.1:{at}", f"--peer_listen=127.0.0.1:{at + 1}",
-                f"--admin_listen=127.0.0.1:{at + 2}", f"--seed_peers={seeds}",
+                "--deployment=bench", f"--listen=127.0.0.1:{caller_port}",
+                f"--peer_listen=127.0.0.1:{caller_port + 1}",
+                f"--admin_listen=127.0.0.1:{caller_port + 2}", f"--seed_peers={seeds}",
                 f"--key_value={self.platform['kv']}", f"--vm_list={self.platform['vms']}",
                 f"--weight_store={self.platform['weights']}", "--balancer_wait_ms=0"])
-            self.nodes.append({"child": child, "admin": f"127.0.0.1:{at + 2}", "name": f"node-{i}"})
+            self.nodes.append({"child": child, "admin": f"127.0.0.1:{caller_port + 2}", "name": f"node-{i}"})
 
     def spawn(self, name, command):
         log = open(os.path.join(self.folder, name + ".log"), "w")
@@ -91,22 +92,22 @@
         shutil.rmtree(self.folder, ignore_errors=True)
 
     def installed(self):
-        """For each node, when each revision came into force there, in ms since 1970."""
+        """Returns for each node the time at which it installed each revision, in ms since 1970."""
         times = {}
         for node in self.nodes:
-            seen = times.setdefault(node["name"], {})
+            installed_at = times.setdefault(node["name"], {})
             for line in open(os.path.join(self.folder, node["name"] + ".log")):
                 if '"config_installed"' not in line:
                     continue
                 entry = json.loads(line)
-                seen[int(entry["revision"])] = int(entry["ts_ms"])
+                installed_at[int(entry["revision"])] = int(entry["ts_ms"])
         return times
 
     def metric(self, node, name):
         try:
             text = urllib.request.urlopen(f"http://{node['admin']}/metrics", timeout=5).read().decode()
         except urllib.error.URLError:
-            return 0.0  # not listening yet
+            return 0.0  # the daemon is not listening yet
         found = re.search(rf"^{name}(?:{{[^}}]*}})? ([0-9.e+]+)", text, re.M)
         return float(found.group(1)) if found else 0.0
 
@@ -162,26 +163,26 @@
 
 def in_force(fleet, revision):
     times = fleet.installed()
-    return all(any(seen >= revision for seen in times[node["name"]]) for node in alive(fleet))
+    return all(any(installed >= revision for installed in times[node["name"]]) for node in alive(fleet))
 
 
 def lateness(fleet, accepted):
-    """Milliseconds from acceptance until the last node had each revision or a later one."""
-    times, worst = fleet.installed(), []
-    for revision, at in accepted:
-        last = max(min(when for seen, when in times[node["name"]].items() if seen >= revision)
+    """Returns, sorted, the ms from acceptance of each revision until every node had it or a later one."""
+    times, delays = fleet.installed(), []
+    for revision, accepted_at in accepted:
+        last = max(min(when for installed, when in times[node["name"]].items() if installed >= revision)
                    for node in alive(fleet))
-        worst.append(max(0.0, last - at))
-    return sorted(worst)
+        delays.append(max(0.0, last - accepted_at))
+    return sorted(delays)
 
 
 def groups_seen(fleet, seconds):
-    """Complete groups as each node sees them, sampled: (fewest, average, most) over nodes and time."""
-    seen, end = [], time.monotonic() + seconds
+    """Samples the number of complete groups that each node knows: (fewest, average, most) of all samples."""
+    samples, end = [], time.monotonic() + seconds
     while time.monotonic() < end:
-        seen += [fleet.metric(node, "jaynotch_complete_groups") for node in alive(fleet)]
+        samples += [fleet.metric(node, "jaynotch_complete_groups") for node in alive(fleet)]
         time.sleep(0.5)
-    return min(seen), sum(seen) / len(seen), max(seen)
+    return min(samples), sum(samples) / len(samples), max(samples)
 
 
 def percentile(values, share):
@@ -190,7 +191,7 @@
 
 def bring_about(fleet, fault):
     if fault == "watcher":
-        # Whoever calls the key-value service most holds a watch.
+        # A node that watches the store makes the most calls to the key-value service.
         busiest = max(fleet.nodes[1:], key=lambda node: fleet.metric(node, "jaynotch_kv_calls"))
         busiest["lost"] = True
         busiest["child"].kill()
@@ -208,7 +209,7 @@
               fleet.metric(fleet.nodes[0], "jaynotch_live_members") >= size)
         first, _ = apply(fleet, 1000)
         until(60, lambda: in_force(fleet, first))
-        # Large fleets may never see them all; the last column tells.
+        # In large fleets a node may never know all groups; the last column shows how many it knows.
         holds_within(60, lambda: max(fleet.metric(n, "jaynotch_complete_groups")
                                      for n in fleet.nodes[:FAILURE_DOMAINS]) >= GROUPS)
         time.sleep(5)
--- a/cli/cli_test.cc
+++ b/cli/cli_test.cc
@@ -1,5 +1,5 @@
-// The command line against a fake daemon: what it prints, its exit codes, and above all that a
-// change is never made twice or lost in silence.
+// Tests of the command line against a fake daemon: output, exit codes, and that a change is never
+// applied twice or silently lost.
 #include "cli/admin_client.h"
 #include "cli/cli.h"
 #include "cli/commands.h"
@@ -22,13 +22,13 @@
 
 namespace {
 
-/// One scripted answer; an empty body closes the connection without answering.
+/// One scripted answer; with an empty body the connection is closed without an answer.
 struct scripted_answer {
     http::status status = http::status::ok;
     std::string body;
 };
 
-/// Answers one connection after another from a script, on a thread of its own.
+/// Serves one connection after the other with scripted answers, on its own thread.
 class fake_daemon {
 public:
     explicit fake_daemon(std::vector<scripted_answer> script)
@@ -68,7 +68,7 @@
     std::thread m_thread;
 };
 
-/// A folder that is gone after the test.
+/// Temporary folder, removed by the destructor.
 class scratch_folder {
 public:
     scratch_folder()
@@ -128,8 +128,9 @@
     cr_assert(progress.str().find("waiting for b (alive, revision 3)") != std::string::npos);
 }
 
-// Others' rows were merged in. If the lock moved on, the next apply from the same files would read
-// the others' rows as removed by this operator, and undo their change.
+// After a merge the local files lack the rows that others added. If the lock file advanced to the
+// merged revision, the next apply from these files would treat those rows as deleted and revert the
+// others' change.
 Test(apply, a_merge_keeps_the_base_revision)
 {
     const scratch_folder folder;
@@ -145,8 +146,9 @@
     cr_assert(out.str().find("jaynotch fetch") != std::string::npos);
 }
 
-// The daemon dies after it got the change: nobody knows whether it was accepted. Sending it to the
-// next daemon with a fresh id could make it twice; calling it failed could be a lie.
+// The daemon closes the connection after it received the change, which may have been accepted.
+// Sending the change to the next daemon could apply it twice, and reporting a failure could be
+// wrong.
 Test(apply, an_unanswered_change_is_unknown_and_not_resent)
 {
     const scratch_folder folder;
@@ -212,9 +214,9 @@
     cr_assert(!copy && copy.error().kind == error_kind::invalid_argument);
 }
 
-// A caller complains of one request. Its lines lie in the logs of two nodes, between those of
-// others; the story tells them in order, with what the node believed at the time and nothing of
-// other nodes.
+// The lines of one request are spread over the logs of two nodes, among lines of other requests.
+// The timeline shows them in order, with state changes of the nodes that handled the request and
+// none of other nodes.
 Test(explain, shows_one_requests_timeline_from_the_logs_of_several_nodes)
 {
     const scratch_folder folder;
@@ -247,9 +249,9 @@
     cr_assert(run_explain({options, out, out}).error().kind == error_kind::not_found);
 }
 
-// An operator asks what a bad quarter of an hour cost its callers. Logs of several nodes, one of an
-// older version, one cut in its middle: each request counts once, under its cause, and what the
-// tables can't tell is said.
+// Each request is counted once, under its cause. Data missing from the log is reported: a request
+// without a pause_ms field, as older daemons write it, lines dropped by the daemon, and a truncated
+// line.
 Test(losses, counts_late_and_unserved_requests_by_cause)
 {
     const scratch_folder folder;
@@ -331,7 +333,7 @@
     const std::vector<std::string> later{"10", "122", "0", "4", "110", "2", "6", "0", "1"};
     cr_assert(cells("all") == all, "%s", text.c_str());
     cr_assert(cells("10") == later, "%s", text.c_str());
-    cr_assert_lt(text.find("\nb "), text.find("\na "), "who calls most comes first");
+    cr_assert_lt(text.find("\nb "), text.find("\na "), "the most frequent caller comes first");
     options.arguments = {"calls", folder.path() + "/none.log"};
     cr_assert(run_calls({options, out, out}).error().kind == error_kind::not_found);
     std::ofstream{folder.path() + "/other.log"} << "no line of ours\n";
--- a/models/claim_fence.pml
+++ b/models/claim_fence.pml
@@ -1,24 +1,29 @@
-/* Claim and fence: two managers, one VM, two groups, two nodes that issue tickets, in two parts
- * that together cover the protocol and are each small enough to be searched whole.
+/* Assignment of a VM to groups by leases, fencing numbers and tickets. The model has two managers,
+ * one VM, two groups and two nodes that issue tickets. It is split into two parts that together
+ * cover the protocol and are each small enough for an exhaustive search.
  *
- * Part 1, managers: one that passes its guard still holds the lease in the store, the record is never
- * overwritten unread, and no two orders for different groups carry one fencing number.
- * Part 2, tickets: when orders of the past reach an engine that ignores fencing, no two tickets in force
- * name the VM for different groups.
+ * Part 1, managers: a manager that passes its guard still holds the lease in the store, the record
+ * is never overwritten without having been read, and no two orders for different groups carry the
+ * same fencing number.
+ * Part 2, tickets: even if delayed orders reach an engine that ignores fencing, no two valid tickets
+ * assign the VM to different groups.
  *
- * Time is a counter that moves on at any moment, so a process that isn't scheduled is a paused one:
- * a manager may sleep between any two of its lines. A reply of the store may be lost. An order
- * arrives at most ORDER ticks after it was sent; a lost one is a manager that stops before it. -DCHECKS=0 is an engine that ignores fencing.
+ * Time is a counter that may advance at any moment. A process that is not scheduled models a paused
+ * one, so a manager may pause between any two statements. A reply of the store may be lost. An order
+ * arrives at most ORDER ticks after it was sent; a lost order is modelled by a manager that stops
+ * before sending it. -DCHECKS=0 models an engine that ignores fencing.
  *
- * Mutants that the checker must catch:
- *   -DNO_PAUSE_GUARD     a VM counts towards its new group at once (ticket_board.cc, `settled`)
- *   -DNO_SELF_STOP       a manager doesn't look at its own clock (leadership.cc, `leading`)
- *   -DLEASE_FROM_REPLY   the lease is counted from the reply instead of the sending
- *   -DNO_GAP_GUARD       that time runs on over a gap in which the VM may have been elsewhere
- *   -DSETTLED_FROM_SENDING  that time is counted from the probe's sending, not from its answer
+ * Mutations that the checker must detect:
+ *   -DNO_PAUSE_GUARD     a VM counts towards its new group immediately (ticket_board.cc, `settled`)
+ *   -DNO_SELF_STOP       a manager does not check its own clock (leadership.cc, `leading`)
+ *   -DLEASE_FROM_REPLY   the lease is counted from the reply instead of the request
+ *   -DNO_GAP_GUARD       the SETTLED time continues over a gap between answers, in which the VM
+ *                        may have been in another group
+ *   -DSETTLED_FROM_SENDING  the SETTLED time is counted from sending the probe, not from its answer
  *   -DNO_COMPARE         the record is written without comparing its revision
  *
- * The release and the wait for quiet (vm_table.cc) are left out: the promises hold without them.
+ * The release of a VM and the wait for it to become quiet (vm_table.cc) are not modelled: the
+ * properties hold without them.
  */
 #ifndef CHECKS
 #define CHECKS 0
@@ -29,14 +34,14 @@
 #ifndef END
 #define END 6      /* ticks of one run */
 #endif
-#define LEASE 2    /* of the manager's key */
-#define MARGIN 1   /* the manager stops this much earlier */
-#define ORDER 1    /* the order horizon */
-#define TICKET 1   /* a ticket ends this long after the report it rests on */
+#define LEASE 2    /* lease of the manager's key */
+#define MARGIN 1   /* the manager stops this long before its lease ends */
+#define ORDER 1    /* longest delivery time of an order */
+#define TICKET 1   /* a ticket ends this long after the probe it is based on was sent */
 #ifdef NO_PAUSE_GUARD
 #define SETTLED 0
 #else
-#define SETTLED 2  /* seen in its group for this long before it counts */
+#define SETTLED 2  /* a VM counts once it has been observed in its group for this long */
 #endif
 
 byte now = 1;
@@ -45,20 +50,22 @@
 byte record_group = 1, revision = 1;
 byte holder = 0, lease_end = 0;
 
-/* The engine. */
+/* The engine: its group and the highest fencing number that it has accepted. */
 byte engine_group = 1, engine_fencing = 1;
 
-byte ordered[4]; /* the group that was ordered with each fencing number */
+byte ordered[4]; /* group that was ordered with each fencing number */
 
-/* One order under way for each manager; group 0 releases. */
+/* At most one order in transit per manager. An order for group 0 releases
+ * the VM. */
 bool order_out[3];
 byte order_group[3], order_fencing[3], order_until[3];
 
-/* The nodes: since when and when last each saw the VM in its group, and its ticket's end. A conflict needs one node with a ticket for each
- * group, so node 0 stands for any that issues one for group 1 and node 1 for group 2. */
+/* The nodes: since when and when last each observed the VM in its group, and the end of its ticket.
+ * A conflict needs one node with a ticket for each group, so node 0 represents every node that issues
+ * tickets for group 1, and node 1 those for group 2. */
 byte seen_since[2], seen_at[2], ticket_until[2];
 
-/* Between two answers this far apart the VM may have served elsewhere unseen. */
+/* True if the VM may have been in another group, unobserved, since the last answer. */
 #ifdef NO_GAP_GUARD
 #define GAP(n) false
 #else
@@ -67,7 +74,7 @@
 
 #define in_force(n) (now < ticket_until[n])
 
-/* Tickets that have run out are cleared: fewer states, nothing else. */
+/* Clears an expired ticket, only to reduce the number of states. */
 inline forget(n) {
     if
     :: now >= ticket_until[n] -> ticket_until[n] = 0
@@ -117,7 +124,7 @@
     :: else -> goto stop
     fi;
 #endif
-    /* What the guard is for: at this moment nobody else can be manager. */
+    /* The guard must imply that no other process is manager now. */
     assert(holder == i && now < lease_end)
 }
 
@@ -125,7 +132,7 @@
     atomic {
         if
         :: !order_out[i] ->
-           /* One revision, one assignment. */
+           /* Each revision is used for at most one assignment. */
            assert(ordered[known] == 0 || ordered[known] == g);
            ordered[known] = g;
            order_out[i] = true; order_group[i] = g;
@@ -137,7 +144,7 @@
 
 proctype manager(byte i) {
     byte sent, until, known, target;
-    /* Campaign: once the key is free. */
+    /* Campaign for the key once it is free. */
     sent = now;
     atomic {
         if
@@ -154,17 +161,18 @@
 #else
     until = sent + LEASE - MARGIN;
 #endif
-    /* Read the record, decide, and look at the clock. */
+    /* Read the record, choose the other group, check the clock. */
     atomic {
         sent = 0;
         known = revision;
         target = 3 - record_group;
         guard(i)
     }
-    /* Paused here, the write below comes late. With or without a reply the record is read back. */
+    /* If the manager pauses here, the write below is late. The record is read back whether or not
+     * the write was answered. */
     atomic {
 #ifdef NO_COMPARE
-        assert(revision == known); /* somebody's change is overwritten unread */
+        assert(revision == known); /* otherwise another manager's change is overwritten unread */
 #endif
         if
         :: revision == known && holder == i && now < lease_end ->
@@ -173,7 +181,7 @@
         fi
     }
     atomic { guard(i) }
-    /* Paused here, the order below is one from the past. */
+    /* If the manager pauses here, the order below is sent late. */
     send(i, target);
 stop:
     atomic { sent = 0; until = 0; known = 0; target = 0 }
@@ -184,7 +192,7 @@
     bool here;
     do
     :: now < END ->
-       sent = now;                             /* the probe leaves */
+       sent = now;                             /* the probe is sent */
        here = (engine_group == n + 1);         /* the engine answers */
        atomic {
            if
@@ -201,7 +209,7 @@
            if
            :: here && sent >= seen_since[n] + SETTLED && sent + TICKET > now ->
               ticket_until[n] = sent + TICKET
-           :: else -> ticket_until[n] = 0 /* contradicted, or already over */
+           :: else -> ticket_until[n] = 0 /* not in the group, not settled, or already expired */
            fi;
            assert(!(in_force(0) && in_force(1)));
            here = false; sent = 0
@@ -210,11 +218,11 @@
     od
 }
 
-/* Part 2 puts one order each in the place of the two managers: to any group, at any time, however
- * late, taken by an engine that ignores fencing. The record isn't asked: whatever it says, the
- * reports alone keep the two tickets apart. More orders than that
- * within one probe's gap, back and forth, could show each node the group that it looks for. It
- * takes as many managers woken from the past, and engines that load a group in no time. */
+/* Part 2 replaces each of the two managers by one order to an arbitrary group at an arbitrary time,
+ * accepted by an engine that ignores fencing. The record is not modelled: whatever its content, the
+ * nodes' observations alone must keep the two tickets apart. With more than two such orders between
+ * two probes, moving the VM back and forth, each node could observe the group that it expects. That
+ * would require as many managers resuming late, and engines that load a group instantly. */
 proctype order_from_the_past() {
     if
     :: engine_group = 0
