--- a/cli/losses_command.cc
+++ b/cli/losses_command.cc
@@ -1,5 +1,5 @@
-// `jaynotch losses`: counts late and unserved requests in daemons' logs by cause, once for each
-// route and once for each window of two seconds.
+// `jaynotch losses`: counts late and unserved requests in daemons' logs by cause, in one table by
+// route and in one by time in windows of two seconds.
 //
 // Each request is counted under one cause, the first in this list that its log lines match:
 //   refused       refused by a node; the kind of error is counted as well
--- a/load/load.h
+++ b/load/load.h
@@ -1,8 +1,8 @@
 // Public header of the load library: generates open-loop load on entry VMs, checks every answer and
 // reports the outcome of every call.
 //
-//   load_settings wanted{.targets = {"127.0.0.1:8080"}, .model = "router", .rate = 50.0};
-//   load_report report = co_await run_load(executor, wanted);
+//   load_settings settings{.targets = {"127.0.0.1:8080"}, .model = "router", .rate = 50.0};
+//   load_report report = co_await run_load(executor, settings);
 //   std::cout << render_load_report(report);
 //
 // Open loop: calls start on a fixed schedule that does not depend on the answers, so a stall shows
@@ -93,7 +93,7 @@
     std::vector<std::string> targets; ///< entry VMs, used round-robin
     std::string model;
     std::vector<std::string> workspaces{"default"};
-    double rate = 10.0; ///< calls a second on average
+    double rate = 10.0; ///< average calls per second
     duration length = std::chrono::seconds{5};
     std::vector<duration> schedule; ///< start of each call; empty: Poisson process at `rate`
     std::uint32_t tokens = 0;       ///< length of each answer; 0: the engine decides
@@ -106,7 +106,7 @@
     std::string plain_method = "POST";
     bool keyed = true;                           ///< plain calls carry an Idempotency-Key
     duration timeout = std::chrono::seconds{30}; ///< for the answer's header and for each read
-    std::size_t max_outstanding = 20'000;        ///< calls beyond this are counted as not started
+    std::size_t max_outstanding = 20'000;        ///< further calls are counted as not started
     std::uint64_t seed = 1;
 };
 
--- a/models/claim_fence.pml
+++ b/models/claim_fence.pml
@@ -55,8 +55,8 @@
 
 byte ordered[4]; /* group that was ordered with each fencing number */
 
-/* At most one order in transit per manager. An order for group 0 releases
- * the VM. */
+/* At most one order in transit per manager. An order for group 0 releases the
+ * VM. */
 bool order_out[3];
 byte order_group[3], order_fencing[3], order_until[3];
 
