--- a/cli/options.cc
+++ b/cli/options.cc
@@ -44,7 +44,7 @@
 constexpr std::string_view command_texts = R"(jaynotch: command line for operators
 
   jaynotch validate                 check routes.toml and pools.toml of --dir; sends nothing
-  jaynotch diff                     changes from the current tables (or --revision N) to those of --dir
+  jaynotch diff                     changes from the current tables (or --revision N) to --dir
   jaynotch fetch                    write the current tables and revision.lock to --dir
   jaynotch apply [--wait]           install the tables of --dir; --wait: until every node confirms
   jaynotch rollback --revision N    install the tables of revision N as a new revision
