--- a/cli/admin_client.cc
+++ b/cli/admin_client.cc
@@ -1,6 +1,7 @@
-// Each call is one connection on an io_context of its own, driven until done. Whether a failed call
-// may be sent to the next daemon hangs on `sent`: once the first byte of a change may have left,
-// only the same change id makes asking again safe, and that is the operator's to decide.
+// Each call opens one connection on its own io_context and runs it to completion. `sent` decides
+// whether a failed call may go to the next daemon: once part of a change may have been sent, the
+// change may have been accepted, and only a retry with the same change id is safe. That retry is
+// left to the operator.
 #include "cli/admin_client.h"
 
 #include "http/http_client.h"
@@ -20,7 +21,7 @@
 namespace beast = boost::beast;
 namespace http = boost::beast::http;
 
-constexpr std::size_t largest_answer = 64U << 20U;
+constexpr std::size_t max_answer_bytes = 64U << 20U;
 
 struct admin_request {
     std::string address;
@@ -29,45 +30,46 @@
     std::string body;
 };
 
-/// The answer of one daemon, or why there is none.
+/// The answer of one daemon, or the reason why there is none.
 struct admin_answer {
-    bool sent = false;                         ///< some of the request may have reached it
-    error_kind failure = error_kind::internal; ///< if there is no status
+    bool sent = false;                         ///< part of the request may have reached the daemon
+    error_kind failure = error_kind::internal; ///< valid if `status` is 0
     std::string detail;
     unsigned status = 0;
     std::string body;
 };
 
 template <class Stream>
-asio::awaitable<void> exchange(Stream& stream, const admin_request& ask, admin_answer& answer)
+asio::awaitable<void> exchange(Stream& stream, const admin_request& request, admin_answer& answer)
 {
-    http::request<http::string_body> request{http::string_to_verb(ask.method), ask.target, 11};
-    request.set(http::field::host, ask.address);
-    request.set(http::field::connection, "close");
-    if (!ask.body.empty())
-        request.set(http::field::content_type, "application/json");
-    request.body() = ask.body;
-    request.prepare_payload();
+    http::request<http::string_body> message{http::string_to_verb(request.method), request.target,
+                                             11};
+    message.set(http::field::host, request.address);
+    message.set(http::field::connection, "close");
+    if (!request.body.empty())
+        message.set(http::field::content_type, "application/json");
+    message.body() = request.body;
+    message.prepare_payload();
     answer.sent = true;
-    co_await http::async_write(stream, request, asio::use_awaitable);
+    co_await http::async_write(stream, message, asio::use_awaitable);
     beast::flat_buffer buffer;
     http::response_parser<http::string_body> parser;
-    parser.body_limit(largest_answer);
+    parser.body_limit(max_answer_bytes);
     co_await http::async_read(stream, buffer, parser, asio::use_awaitable);
     answer.status = parser.get().result_int();
     answer.body = std::move(parser.get().body());
 }
 
-asio::awaitable<void> plain_call(const admin_request& ask, asio::ip::tcp::endpoint to,
+asio::awaitable<void> plain_call(const admin_request& request, asio::ip::tcp::endpoint to,
                                  std::chrono::milliseconds timeout, admin_answer& answer)
 {
     beast::tcp_stream stream{co_await asio::this_coro::executor};
     stream.expires_after(timeout);
     co_await stream.async_connect(to, asio::use_awaitable);
-    co_await exchange(stream, ask, answer);
+    co_await exchange(stream, request, answer);
 }
 
-asio::awaitable<void> tls_call(const admin_request& ask, asio::ip::tcp::endpoint to,
+asio::awaitable<void> tls_call(const admin_request& request, asio::ip::tcp::endpoint to,
                                const cli_options& options, admin_answer& answer)
 {
     asio::ssl::context tls{asio::ssl::context::tls_client};
@@ -81,55 +83,57 @@
     beast::ssl_stream<beast::tcp_stream> stream{co_await asio::this_coro::executor, tls};
     beast::get_lowest_layer(stream).expires_after(options.timeout);
     co_await beast::get_lowest_layer(stream).async_connect(to, asio::use_awaitable);
-    answer.failure = error_kind::unauthorized; // what a failed handshake means
+    answer.failure = error_kind::unauthorized; // reported if the handshake fails
     co_await stream.async_handshake(asio::ssl::stream_base::client, asio::use_awaitable);
-    co_await exchange(stream, ask, answer);
+    co_await exchange(stream, request, answer);
 }
 
-/// With TLS 1.3 a daemon that refuses our certificate says so only after the handshake, as an alert
-/// that the first read meets: such a request was not looked at.
-bool refused_by_alert(const boost::system::error_code& code)
+/// True if a TLS alert ended the connection. With TLS 1.3 a server that rejects the client's
+/// certificate sends the alert after the client's handshake has completed, so the first read fails
+/// with it. Such a request was not processed.
+bool is_tls_alert(const boost::system::error_code& code)
 {
     return code.category() == asio::error::get_ssl_category();
 }
 
-asio::awaitable<void> call_once(const admin_request& ask, asio::ip::tcp::endpoint to,
+asio::awaitable<void> call_once(const admin_request& request, asio::ip::tcp::endpoint to,
                                 const cli_options& options, admin_answer& answer)
 {
     try {
         if (options.certificate.empty())
-            co_await plain_call(ask, to, options.timeout, answer);
+            co_await plain_call(request, to, options.timeout, answer);
         else
-            co_await tls_call(ask, to, options, answer);
+            co_await tls_call(request, to, options, answer);
     }
     catch (const boost::system::system_error& failure) {
         answer.detail = failure.code().message();
-        if (answer.sent && !refused_by_alert(failure.code()))
+        if (answer.sent && !is_tls_alert(failure.code()))
             answer.failure = error_kind::unavailable;
     }
 }
 
-admin_answer call_and_wait(const admin_request& ask, asio::ip::tcp::endpoint to,
+admin_answer call_and_wait(const admin_request& request, asio::ip::tcp::endpoint to,
                            const cli_options& options)
 {
     admin_answer answer;
     answer.failure = error_kind::unavailable;
     asio::io_context io;
-    asio::co_spawn(io, call_once(ask, to, options, answer), asio::detached);
+    asio::co_spawn(io, call_once(request, to, options, answer), asio::detached);
     io.run();
     return answer;
 }
 
-/// The error object that a daemon refuses with.
+/// Converts the JSON error object of a daemon's answer to an `error`.
 error error_of(const admin_answer& answer)
 {
-    boost::system::error_code bad;
-    const boost::json::value parsed = boost::json::parse(answer.body, bad);
-    const boost::json::object* body = bad ? nullptr : parsed.if_object();
-    const boost::json::value* inner = body == nullptr ? nullptr : body->if_contains("error");
-    const boost::json::object* fields = inner == nullptr ? nullptr : inner->if_object();
+    boost::system::error_code parse_error;
+    const boost::json::value parsed = boost::json::parse(answer.body, parse_error);
+    const boost::json::object* body = parse_error ? nullptr : parsed.if_object();
+    const boost::json::value* error_value = body == nullptr ? nullptr : body->if_contains("error");
+    const boost::json::object* fields = error_value == nullptr ? nullptr : error_value->if_object();
     if (fields == nullptr)
-        return {error_kind::protocol, "status " + std::to_string(answer.status) + " without reason",
+        return {error_kind::protocol,
+                "HTTP status " + std::to_string(answer.status) + " without an error object",
                 "check that --admin is the admin port of a daemon"};
     const auto text = [&](std::string_view name) {
         const boost::json::value* field = fields->if_contains(name);
@@ -145,10 +149,10 @@
 {
     if (answer.status < 200 || answer.status > 299)
         return error_of(answer);
-    boost::system::error_code bad;
-    boost::json::value parsed = boost::json::parse(answer.body, bad);
-    if (bad)
-        return error{error_kind::protocol, "the daemon's answer is no JSON",
+    boost::system::error_code parse_error;
+    boost::json::value parsed = boost::json::parse(answer.body, parse_error);
+    if (parse_error)
+        return error{error_kind::protocol, "the daemon's answer is not JSON",
                      "check that --admin is the admin port of a daemon"};
     return parsed;
 }
@@ -169,24 +173,24 @@
 result<boost::json::value> admin_client::call(const std::string& method, const std::string& target,
                                               const std::string& body)
 {
-    error last{error_kind::unavailable, "no daemon to ask", "give --admin"};
+    error last_error{error_kind::unavailable, "no daemon is configured", "set --admin"};
     for (const std::string& address : m_options.admin) {
         BOOST_OUTCOME_TRY(const auto endpoint, parse_endpoint(address));
-        const admin_request ask{address, method, target, body};
-        const admin_answer answer = call_and_wait(ask, endpoint, m_options);
+        const admin_request request{address, method, target, body};
+        const admin_answer answer = call_and_wait(request, endpoint, m_options);
         if (answer.status != 0)
             return value_of(answer);
         if (answer.failure == error_kind::unauthorized)
             return error{error_kind::unauthorized, address + ": " + answer.detail,
-                         "give a certificate that the daemon's --admin_authority signed"};
+                         "use a certificate signed by the daemon's --admin_authority"};
         if (answer.sent && method != "GET")
             return error{error_kind::unknown_outcome,
                          address + " did not answer (" + answer.detail + ")",
-                         "ask again with the same --change_id"};
-        last = error{error_kind::unavailable, address + ": " + answer.detail,
-                     "start the daemon, or name another with --admin"};
+                         "retry with the same --change_id"};
+        last_error = error{error_kind::unavailable, address + ": " + answer.detail,
+                           "start the daemon, or set --admin to another one"};
     }
-    return last;
+    return last_error;
 }
 
 } // namespace jaynotch
--- a/cli/cli_test.cc
+++ b/cli/cli_test.cc
@@ -1,5 +1,5 @@
-// The command line against a fake daemon: what it prints, its exit codes, and above all that a
-// change is never made twice or lost in silence.
+// Tests of the command line against a fake daemon: output, exit codes, and that a change is never
+// applied twice or silently lost.
 #include "cli/admin_client.h"
 #include "cli/cli.h"
 #include "cli/commands.h"
@@ -22,13 +22,13 @@
 
 namespace {
 
-/// One scripted answer; an empty body closes the connection without answering.
+/// One scripted answer; with an empty body the connection is closed without an answer.
 struct scripted_answer {
     http::status status = http::status::ok;
     std::string body;
 };
 
-/// Answers one connection after another from a script, on a thread of its own.
+/// Serves one connection after the other with scripted answers, on its own thread.
 class fake_daemon {
 public:
     explicit fake_daemon(std::vector<scripted_answer> script)
@@ -68,7 +68,7 @@
     std::thread m_thread;
 };
 
-/// A folder that is gone after the test.
+/// Temporary folder, removed by the destructor.
 class scratch_folder {
 public:
     scratch_folder()
@@ -98,7 +98,7 @@
     return "127.0.0.1:" + std::to_string(acceptor.local_endpoint().port());
 }
 
-std::int64_t lock_of(const scratch_folder& folder)
+std::int64_t locked_revision(const scratch_folder& folder)
 {
     return read_working_copy(folder.path()).value().base_revision;
 }
@@ -123,14 +123,15 @@
     std::ostringstream out;
     std::ostringstream progress;
     const auto code = run_apply({options, out, progress});
-    cr_assert(code.value() == exit_code::fine);
-    cr_assert_eq(lock_of(folder), 4);
+    cr_assert(code.value() == exit_code::succeeded);
+    cr_assert_eq(locked_revision(folder), 4);
     cr_assert(progress.str().find("waiting for b (alive, revision 3)") != std::string::npos);
 }
 
-// Others' rows were merged in. If the lock moved on, the next apply from the same files would read
-// the others' rows as removed by this operator, and undo their change.
-Test(apply, a_merge_leaves_the_base_where_it_was)
+// After a merge the local files lack the rows that others added. If the lock file advanced to the
+// merged revision, the next apply from these files would treat those rows as deleted and revert the
+// others' change.
+Test(apply, a_merge_keeps_the_base_revision)
 {
     const scratch_folder folder;
     write_working_copy(folder.path(), small_tables()).value();
@@ -140,14 +141,15 @@
     options.admin = {daemon.address()};
     std::ostringstream out;
     std::ostringstream progress;
-    cr_assert(run_apply({options, out, progress}).value() == exit_code::fine);
-    cr_assert_eq(lock_of(folder), 3);
+    cr_assert(run_apply({options, out, progress}).value() == exit_code::succeeded);
+    cr_assert_eq(locked_revision(folder), 3);
     cr_assert(out.str().find("jaynotch fetch") != std::string::npos);
 }
 
-// The daemon dies after it got the change: nobody knows whether it was accepted. Sending it to the
-// next daemon with a fresh id could make it twice; calling it failed could be a lie.
-Test(apply, an_unanswered_change_is_unknown_and_not_sent_elsewhere)
+// The daemon closes the connection after it received the change, which may have been accepted.
+// Sending the change to the next daemon could apply it twice, and reporting a failure could be
+// wrong.
+Test(apply, an_unanswered_change_is_unknown_and_not_resent)
 {
     const scratch_folder folder;
     write_working_copy(folder.path(), small_tables()).value();
@@ -161,11 +163,11 @@
     const auto code = run_apply({options, out, progress});
     cr_assert(!code && code.error().kind == error_kind::unknown_outcome);
     cr_assert(code.error().remedy.find("--change_id=once") != std::string::npos);
-    cr_assert_eq(lock_of(folder), 3);
-    cr_assert(to_exit_code(code.error().kind) == exit_code::unknown);
+    cr_assert_eq(locked_revision(folder), 3);
+    cr_assert(to_exit_code(code.error().kind) == exit_code::outcome_unknown);
 }
 
-Test(apply, bad_tables_are_not_sent)
+Test(apply, invalid_tables_are_not_sent)
 {
     const scratch_folder folder;
     working_copy copy = small_tables();
@@ -180,7 +182,7 @@
     cr_assert(!code && code.error().kind == error_kind::invalid_table);
 }
 
-Test(admin_client, passes_over_a_daemon_that_is_down)
+Test(admin_client, skips_an_unreachable_daemon)
 {
     fake_daemon daemon{{{http::status::ok, R"({"ready":true})"}}};
     cli_options options;
@@ -188,7 +190,7 @@
     cr_assert(admin_client{options}.get("/admin/v1/status").has_value());
 }
 
-Test(admin_client, a_refusal_keeps_kind_message_and_remedy)
+Test(admin_client, an_error_answer_keeps_kind_message_and_remedy)
 {
     fake_daemon daemon{
         {{http::status::conflict, R"({"error":{"kind":"conflict","message":"m","remedy":"r"}})"},
@@ -203,7 +205,7 @@
     cr_assert(client.get("/").error().kind == error_kind::protocol);
 }
 
-Test(working_copy, a_spoilt_lock_is_told)
+Test(working_copy, an_invalid_lock_is_reported)
 {
     const scratch_folder folder;
     write_working_copy(folder.path(), small_tables()).value();
@@ -212,10 +214,10 @@
     cr_assert(!copy && copy.error().kind == error_kind::invalid_argument);
 }
 
-// A caller complains of one request. Its lines lie in the logs of two nodes, between those of
-// others; the story tells them in order, with what the node believed at the time and nothing of
-// other nodes.
-Test(explain, tells_one_requests_story_from_the_logs_of_several_nodes)
+// The lines of one request are spread over the logs of two nodes, among lines of other requests.
+// The timeline shows them in order, with state changes of the nodes that handled the request and
+// none of other nodes.
+Test(explain, shows_one_requests_timeline_from_the_logs_of_several_nodes)
 {
     const scratch_folder folder;
     const auto line = [](int at, const std::string& node, const std::string& kind,
@@ -233,9 +235,9 @@
         << line(15, "b", "group_silent", R"(,"group":"g2")")
         << "2026 b: " << line(90, "c", "request_finished", R"(,"request":"r1","status":200)");
     cli_options options;
-    options.words = {"explain", "r1", folder.path() + "/a.log", folder.path() + "/b.log"};
+    options.arguments = {"explain", "r1", folder.path() + "/a.log", folder.path() + "/b.log"};
     std::ostringstream out;
-    cr_assert(run_explain({options, out, out}).value() == exit_code::fine);
+    cr_assert(run_explain({options, out, out}).value() == exit_code::succeeded);
     const std::string text = out.str();
     const std::size_t admitted = text.find("request_admitted");
     const std::size_t silent = text.find("(group_silent)");
@@ -243,14 +245,14 @@
     const std::size_t finished = text.find("request_finished");
     cr_assert(admitted < silent && silent < refused && refused < finished, "%s", text.c_str());
     cr_assert(text.find("r2") == std::string::npos && text.find("g2") == std::string::npos);
-    options.words = {"explain", "unknown", folder.path() + "/a.log"};
+    options.arguments = {"explain", "unknown", folder.path() + "/a.log"};
     cr_assert(run_explain({options, out, out}).error().kind == error_kind::not_found);
 }
 
-// An operator asks what a bad quarter of an hour cost its callers. Logs of several nodes, one of an
-// older version, one cut in its middle: each request counts once, under its cause, and what the
-// tables can't tell is said.
-Test(losses, tells_what_was_late_or_not_served_by_cause)
+// Each request is counted once, under its cause. Data missing from the log is reported: a request
+// without a pause_ms field, as older daemons write it, lines dropped by the daemon, and a truncated
+// line.
+Test(losses, counts_late_and_unserved_requests_by_cause)
 {
     const scratch_folder folder;
     const auto line = [](int at, const std::string& kind, const std::string& more) {
@@ -258,7 +260,8 @@
                R"(,"level":"info","program":"p","instance":"a","kind":")" + kind + "\"" + more +
                "}\n";
     };
-    const auto story = [&](const std::string& name, int waited, int first, const std::string& end) {
+    const auto request_log_lines = [&](const std::string& name, int waited, int first,
+                                       const std::string& end) {
         const std::string request = R"(,"request":")" + name + "\"";
         return line(0, "request_admitted", request) +
                line(waited, "request_sent",
@@ -267,18 +270,22 @@
                line(first, "request_finished",
                     request + R"(,"first_ms":)" + std::to_string(first) + end);
     };
-    const std::string longer = R"(,"request":"r6","route":"chat","kind_of_error":"overloaded")";
+    const std::string refusal_fields =
+        R"(,"request":"r6","route":"chat","kind_of_error":"overloaded")";
     std::ofstream{folder.path() + "/a.log"}
-        << story("r1", 0, 100, R"(,"pause_ms":50)") << story("r2", 0, 400, R"(,"pause_ms":50)")
-        << story("r3", 250, 400, R"(,"pause_ms":50)") << story("r4", 0, 100, R"(,"pause_ms":350)")
-        << story("r5", 0, 100, "") << line(2500, "request_admitted", R"(,"request":"r6")")
-        << line(2500, "request_refused", longer)
+        << request_log_lines("r1", 0, 100, R"(,"pause_ms":50)")
+        << request_log_lines("r2", 0, 400, R"(,"pause_ms":50)")
+        << request_log_lines("r3", 250, 400, R"(,"pause_ms":50)")
+        << request_log_lines("r4", 0, 100, R"(,"pause_ms":350)")
+        << request_log_lines("r5", 0, 100, "")
+        << line(2500, "request_admitted", R"(,"request":"r6")")
+        << line(2500, "request_refused", refusal_fields)
         << line(2600, "runners_used", R"(,"subject":"d","detail":"d0 open m 1, d0 warm m 2")")
         << line(2700, "log_dropped", R"(,"lines":{"request_sent":7})") << R"({"ts_ms":10000)";
     cli_options options;
-    options.words = {"losses", folder.path() + "/a.log"};
+    options.arguments = {"losses", folder.path() + "/a.log"};
     std::ostringstream out;
-    cr_assert(run_losses({options, out, out}).value() == exit_code::fine);
+    cr_assert(run_losses({options, out, out}).value() == exit_code::succeeded);
     const std::string text = out.str();
     const auto row = [&](const std::string& name) {
         const std::size_t from = text.find("\n" + name + " ") + 1;
@@ -290,17 +297,17 @@
     };
     cr_assert_eq(row("chat"), "chat 6 2 1 1 0 1 1 0 0 0", "%s", text.c_str());
     cr_assert_eq(row("2"), "2 1 0 0 0 0 0 1 0 0 0 1 2 warm m 2", "%s", text.c_str());
-    for (const char* gap : {"refused as overloaded: 1", "1 lines could not be read",
-                            "7 lines were dropped", "1 requests were finished by daemons"})
-        cr_assert(text.find(gap) != std::string::npos, "%s in %s", gap, text.c_str());
-    options.words = {"losses", folder.path() + "/none.log"};
+    for (const char* note : {"refused as overloaded: 1", "1 lines could not be read",
+                             "7 lines were dropped", "1 requests were finished by daemons"})
+        cr_assert(text.find(note) != std::string::npos, "%s in %s", note, text.c_str());
+    options.arguments = {"losses", folder.path() + "/none.log"};
     cr_assert(run_losses({options, out, out}).error().kind == error_kind::not_found);
     std::ofstream{folder.path() + "/other.log"} << "no line of ours\n";
-    options.words = {"losses", folder.path() + "/other.log"};
+    options.arguments = {"losses", folder.path() + "/other.log"};
     cr_assert(run_losses({options, out, out}).error().kind == error_kind::not_found);
 }
 
-Test(calls, are_summed_by_time_and_by_node)
+Test(calls, store_calls_are_summed_by_time_and_by_node)
 {
     const scratch_folder folder;
     const auto line = [](int at, const std::string& node, int watches, int failed) {
@@ -313,9 +320,9 @@
     std::ofstream{folder.path() + "/a.log"} << line(0, "a", 10, 0) << line(10'000, "a", 20, 1)
                                             << line(10'500, "b", 90, 0) << "cut short";
     cli_options options;
-    options.words = {"calls", folder.path() + "/a.log"};
+    options.arguments = {"calls", folder.path() + "/a.log"};
     std::ostringstream out;
-    cr_assert(run_calls({options, out, out}).value() == exit_code::fine);
+    cr_assert(run_calls({options, out, out}).value() == exit_code::succeeded);
     const std::string text = out.str();
     const auto cells = [&](const std::string& name) {
         const std::size_t from = text.find("\n" + name + " ") + 1;
@@ -326,16 +333,16 @@
     const std::vector<std::string> later{"10", "122", "0", "4", "110", "2", "6", "0", "1"};
     cr_assert(cells("all") == all, "%s", text.c_str());
     cr_assert(cells("10") == later, "%s", text.c_str());
-    cr_assert_lt(text.find("\nb "), text.find("\na "), "who calls most comes first");
-    options.words = {"calls", folder.path() + "/none.log"};
+    cr_assert_lt(text.find("\nb "), text.find("\na "), "the most frequent caller comes first");
+    options.arguments = {"calls", folder.path() + "/none.log"};
     cr_assert(run_calls({options, out, out}).error().kind == error_kind::not_found);
     std::ofstream{folder.path() + "/other.log"} << "no line of ours\n";
-    options.words = {"calls", folder.path() + "/other.log"};
+    options.arguments = {"calls", folder.path() + "/other.log"};
     cr_assert(run_calls({options, out, out}).error().kind == error_kind::not_found);
 }
 
-Test(exit_codes, every_kind_has_one_that_is_not_fine)
+Test(exit_codes, every_error_kind_has_a_failure_code)
 {
     for (const auto& entry : enum_names<error_kind>::entries)
-        cr_assert(to_exit_code(entry.value) != exit_code::fine);
+        cr_assert(to_exit_code(entry.value) != exit_code::succeeded);
 }
--- a/cli/load_command.cc
+++ b/cli/load_command.cc
@@ -1,4 +1,5 @@
-// `jaynotch load`: the load library's open-loop run against one entry VM.
+// `jaynotch load`: runs open-loop load against one entry VM and prints a report. Fails if any
+// answer is wrong or incomplete.
 #include "cli/commands.h"
 #include "load/load.h"
 
@@ -12,18 +13,18 @@
 
 namespace {
 
-load_settings settings_of(const load_options& asked)
+load_settings settings_of(const load_options& options)
 {
     load_settings settings;
-    settings.targets = {asked.target};
-    settings.model = asked.model;
-    settings.workspaces = {asked.workspace};
-    settings.rate = asked.rate;
+    settings.targets = {options.target};
+    settings.model = options.model;
+    settings.workspaces = {options.workspace};
+    settings.rate = options.rate;
     settings.length =
-        std::chrono::duration_cast<duration>(std::chrono::duration<double>{asked.seconds});
-    settings.tokens = asked.max_tokens;
-    settings.prompt_bytes = asked.prompt_bytes;
-    settings.seed = asked.seed;
+        std::chrono::duration_cast<duration>(std::chrono::duration<double>{options.seconds});
+    settings.tokens = options.max_tokens;
+    settings.prompt_bytes = options.prompt_bytes;
+    settings.seed = options.seed;
     return settings;
 }
 
@@ -31,7 +32,7 @@
 {
     out << std::left << std::setw(16) << name << std::right << std::fixed << std::setprecision(1)
         << std::setw(9) << row.p50 << std::setw(9) << row.p95 << std::setw(9) << row.p99
-        << std::setw(9) << row.most << "\n";
+        << std::setw(9) << row.maximum << "\n";
 }
 
 void print_report(std::ostream& out, const load_report& report)
@@ -40,7 +41,7 @@
         << " s, " << report.tokens << " tokens\n";
     for (const auto& entry : enum_names<call_outcome>::entries)
         out << std::left << std::setw(16) << entry.name << std::right << std::setw(9)
-            << report.of(entry.value) << "\n";
+            << report.count_of(entry.value) << "\n";
     out << "milliseconds          p50      p95      p99      max\n";
     print_percentiles(out, "first token", report.first_token);
     print_percentiles(out, "between tokens", report.between_tokens);
@@ -71,8 +72,9 @@
         context.out << render_load_report(report) << "\n";
     else
         print_report(context.out, report);
-    const bool truthful = report.of(call_outcome::wrong) == 0 && report.of(call_outcome::cut) == 0;
-    return truthful ? exit_code::fine : exit_code::failed;
+    const bool no_invalid_answers =
+        report.count_of(call_outcome::wrong) == 0 && report.count_of(call_outcome::cut) == 0;
+    return no_invalid_answers ? exit_code::succeeded : exit_code::failed;
 }
 
 } // namespace jaynotch
--- a/cli/log_lines.cc
+++ b/cli/log_lines.cc
@@ -3,9 +3,10 @@
 #include <fstream>
 #include <iostream>
 
-// Collectors put a time or a name before a line, so it begins at the first brace. What holds no
-// brace is somebody else's; what has one and can't be read is counted, since a story told from half
-// of the lines has to say so.
+// Log collectors may put a prefix, such as a time or a host name, before a line, so the JSON object
+// is taken to start at the first brace. Lines without a brace come from other programs and are
+// ignored. Lines with a brace that do not parse are counted, so that commands can report that their
+// output is incomplete.
 
 namespace jaynotch {
 
@@ -13,16 +14,16 @@
 
 std::optional<log_line> parse(std::string_view text)
 {
-    boost::system::error_code failed;
-    boost::json::value parsed = boost::json::parse({text.data(), text.size()}, failed);
-    if (failed || !parsed.is_object())
+    boost::system::error_code parse_error;
+    boost::json::value parsed = boost::json::parse({text.data(), text.size()}, parse_error);
+    if (parse_error || !parsed.is_object())
         return std::nullopt;
     log_line line;
     line.fields = std::move(parsed.as_object());
-    line.at_ms = log_number(line, "ts_ms", -1);
-    line.instance = log_text(line, "instance");
-    line.kind = log_text(line, "kind");
-    line.request = log_text(line, "request");
+    line.at_ms = number_field(line, "ts_ms", -1);
+    line.instance = text_field(line, "instance");
+    line.kind = text_field(line, "kind");
+    line.request = text_field(line, "request");
     if (line.at_ms < 0 || line.kind.empty())
         return std::nullopt;
     return line;
@@ -30,24 +31,24 @@
 
 } // namespace
 
-std::string log_text(const log_line& line, std::string_view name)
+std::string text_field(const log_line& line, std::string_view name)
 {
     const boost::json::value* found = line.fields.if_contains({name.data(), name.size()});
     return found != nullptr && found->is_string() ? std::string{found->get_string()}
                                                   : std::string{};
 }
 
-std::int64_t log_number(const log_line& line, std::string_view name, std::int64_t otherwise)
+std::int64_t number_field(const log_line& line, std::string_view name, std::int64_t default_value)
 {
     const boost::json::value* found = line.fields.if_contains({name.data(), name.size()});
-    return found != nullptr && found->is_int64() ? found->get_int64() : otherwise;
+    return found != nullptr && found->is_int64() ? found->get_int64() : default_value;
 }
 
-log_lines read_log_lines(std::istream& from)
+log_lines read_log_lines(std::istream& input)
 {
     log_lines read;
     std::string text;
-    while (std::getline(from, text)) {
+    while (std::getline(input, text)) {
         const std::size_t start = text.find('{');
         if (start == std::string::npos)
             continue;
@@ -68,7 +69,7 @@
         std::ifstream file{path};
         if (!file)
             return error{error_kind::not_found, path + " can't be read",
-                         "give paths of daemons' logs"};
+                         "give the paths of log files written by daemons"};
         log_lines read = read_log_lines(file);
         std::move(read.lines.begin(), read.lines.end(), std::back_inserter(all.lines));
         all.unreadable += read.unreadable;
--- a/cli/status_commands.cc
+++ b/cli/status_commands.cc
@@ -1,4 +1,5 @@
-// Commands that show what daemons know.
+// Commands that print the state of the deployment as one daemon reports it: status, nodes, groups,
+// history and drain-status. Also the command version.
 #include "cli/admin_client.h"
 #include "cli/commands.h"
 #include "cli/printer.h"
@@ -7,7 +8,7 @@
 
 namespace {
 
-/// Prints the list that the answer holds under `name`, by columns or as it came.
+/// Requests `target` and prints the answer's list `name` as columns, or the whole answer as JSON.
 result<exit_code> show_list(const command_context& context, const std::string& target,
                             std::string_view name, const std::vector<std::string>& fields)
 {
@@ -15,18 +16,18 @@
     BOOST_OUTCOME_TRY(const boost::json::value answer, client.get(target));
     if (context.options.output == output_format::json) {
         print_json(context.out, answer);
-        return exit_code::fine;
+        return exit_code::succeeded;
     }
     const boost::json::value* list = find_field(answer, name);
     if (list == nullptr)
         return error{error_kind::protocol, "the answer has no " + std::string{name},
                      "check that the daemon has this tool's version"};
     print_objects(context.out, *list, fields);
-    return exit_code::fine;
+    return exit_code::succeeded;
 }
 
-/// The members of a group in words: "vm-1 ready, vm-2 loading", or only "vm-1" for one not probed
-/// here.
+/// Formats the members of a group, for example "vm-1 ready, vm-2 loading". A member that the
+/// answering node does not probe is listed without a state.
 std::string members_text(const boost::json::value& group)
 {
     const boost::json::value* members = find_field(group, "members");
@@ -34,7 +35,7 @@
     if (members == nullptr || !members->is_array())
         return "-";
     for (const boost::json::value& member : members->as_array()) {
-        // Empty if this node is not one of those that probe it.
+        // Empty if the answering node does not probe this member.
         const std::string state = field_text(member, "state");
         text += (text.empty() ? "" : ", ") + field_text(member, "vm");
         text += state.empty() ? "" : " " + state;
@@ -67,7 +68,7 @@
     BOOST_OUTCOME_TRY(const boost::json::value answer, client.get("/admin/v1/groups"));
     if (context.options.output == output_format::json) {
         print_json(context.out, answer);
-        return exit_code::fine;
+        return exit_code::succeeded;
     }
     text_rows rows{{"group", "pool", "fabric domain", "complete", "fencing", "version", "members"}};
     const boost::json::value* list = find_field(answer, "groups");
@@ -79,7 +80,7 @@
                             members_text(group)});
     }
     print_columns(context.out, rows);
-    return exit_code::fine;
+    return exit_code::succeeded;
 }
 
 result<exit_code> run_status(const command_context& context)
@@ -88,7 +89,7 @@
     BOOST_OUTCOME_TRY(const boost::json::value answer, client.get("/admin/v1/status"));
     if (context.options.output == output_format::json) {
         print_json(context.out, answer);
-        return exit_code::fine;
+        return exit_code::succeeded;
     }
     text_rows rows;
     if (const boost::json::object* fields = answer.if_object()) {
@@ -96,7 +97,7 @@
             rows.push_back({std::string{member.key()}, field_text(answer, member.key())});
     }
     print_columns(context.out, rows);
-    return exit_code::fine;
+    return exit_code::succeeded;
 }
 
 result<exit_code> run_version(const command_context& context)
@@ -105,7 +106,7 @@
         print_json(context.out, boost::json::object{{"version", JAYNOTCH_VERSION}});
     else
         context.out << "jaynotch " JAYNOTCH_VERSION "\n";
-    return exit_code::fine;
+    return exit_code::succeeded;
 }
 
 } // namespace jaynotch
