--- a/base/environment.cc
+++ b/base/environment.cc
@@ -30,8 +30,8 @@
         std::string parse_error;
         if (!flag->ParseFrom(value, &parse_error))
             return error{error_kind::invalid_argument,
-                         variable + " is \"" + value + "\", which is not a valid value of --" +
-                             name + (parse_error.empty() ? "" : " (" + parse_error + ")"),
+                         variable + " is \"" + value + "\", which --" + name + " does not accept" +
+                             (parse_error.empty() ? "" : " (" + parse_error + ")"),
                          "see --help for the values of --" + name};
     }
     return success();
--- a/outside/kv_store.h
+++ b/outside/kv_store.h
@@ -3,8 +3,8 @@
 // is deterministic. The in-memory adapter and the stand-in are built on it.
 //
 //   kv_store store;
-//   kv_outcome done = store.transact({.then = {kv_put{"a", "1"}}});
-//   std::vector<kv_event> seen = store.changes("a", 1).value();
+//   kv_outcome outcome = store.transact({.then = {kv_put{"a", "1"}}}).value();
+//   std::vector<kv_event> events = store.changes("a", 1).value();
 #pragma once
 
 #include "base/base.h"
--- a/outside/kv_watch.h
+++ b/outside/kv_watch.h
@@ -1,7 +1,7 @@
 // Results of reads and watches of the key-value service, common to all adapters.
 //
 //   result<kv_watch> watch = co_await kv.watch("/records/", revision + 1);
-//   result<kv_watch_batch> seen = co_await watch.value().next(10s);   // empty: nothing changed
+//   result<kv_watch_batch> batch = co_await watch.value().next(10s);   // empty: no change
 #pragma once
 
 #include "base/base.h"
--- a/outside/runner.h
+++ b/outside/runner.h
@@ -2,8 +2,8 @@
 // that members of a group receive. Wire-independent data; `platform/` translates it from and to the
 // wire.
 //
-//   const runner& seen = roster.at(id);
-//   if (seen.group && seen.group->phase == member_phase::open) ...   // the head of a serving group
+//   const runner& one = runners.at(id);
+//   if (one.group && one.group->phase == member_phase::open) ...   // the head of a serving group
 #pragma once
 
 #include "base/base.h"
--- a/tables/check.cc
+++ b/tables/check.cc
@@ -1,6 +1,6 @@
-// Rows are checked alone first, then against each other. A rule stands here if a table that breaks
-// it could not be served as its author meant: a join to nothing, two routes that match the same
-// requests, limits that contradict. What only the fleet of the moment makes impossible is left to
+// Each row is checked on its own, and the rows against each other. A rule belongs here if a table
+// that violates it cannot be served as intended: a reference to a missing pool, two routes that
+// match the same requests, contradictory limits. What depends on the current fleet is left to
 // check_fleet, since VMs come and go.
 #include "tables/check.h"
 
@@ -20,7 +20,7 @@
 constexpr std::uint32_t max_replicas = 4096;
 constexpr std::chrono::hours max_stream_limit{24};
 
-/// Adds problems of one table's rows, with their line numbers.
+/// Appends problems of one table's rows, with the line numbers of the rows.
 class reporter {
 public:
     reporter(std::vector<table_problem>& problems, std::string_view file,
@@ -38,7 +38,8 @@
     }
 
 private:
-    /// The last row of that name: of two with the same name the later is the one to change.
+    /// Line of the last row with this name: of two rows with the same name the later one is
+    /// reported.
     std::uint32_t line_of(const std::string& row) const
     {
         const auto found = std::find_if(m_lines.rbegin(), m_lines.rend(),
@@ -142,7 +143,7 @@
                    "add it to the pool's adapters");
 }
 
-/// Everything a route matches on, to find two that match the same.
+/// Everything a route matches on. Two routes with an equal key match the same requests.
 struct match_key {
     request_kind kind;
     std::string model;
--- a/tables/check.h
+++ b/tables/check.h
@@ -1,4 +1,4 @@
-// Checks of the tables as a whole: names that join, limits that agree, pools that fit the fleet.
+// Consistency checks of the tables: references between rows, limits, and pools against the fleet.
 #pragma once
 
 #include "tables/parse.h"
@@ -7,18 +7,18 @@
 
 namespace jaynotch {
 
-/// Adds to `report.problems` whatever of the rows does not agree with itself or with other rows.
+/// Appends to `report.problems` all inconsistencies within rows and between rows.
 void check_tables(table_report& report);
 
-/// How many VMs a fabric domain has.
+/// Number of VMs of a fabric domain.
 struct fabric_domain_size {
     fabric_domain_id name;
     std::uint32_t vms = 0;
 };
 
-/// Problems of pools that can never be met by this fleet: replicas larger than each fabric domain
-/// they may live in, or domains that do not exist. A smaller fleet than wanted is no problem: VMs
-/// come and go. Line numbers are those of `report`.
+/// Problems of pools that this fleet can never serve: a replica is larger than each fabric domain
+/// that the pool may use, or those domains do not exist. A fleet too small for all replicas is not
+/// a problem, since VMs come and go. Line numbers refer to the tables of `report`.
 std::vector<table_problem> check_fleet(const table_report& report,
                                        std::span<const fabric_domain_size> fleet);
 
--- a/tables/fields.h
+++ b/tables/fields.h
@@ -1,5 +1,5 @@
-// The one list of each row's fields. Reading TOML, writing TOML, JSON pages and field-wise diffs
-// are visitors over it, so a new field is added in one place.
+// The list of fields of each row type. Reading and writing TOML, JSON pages and field-wise diffs
+// are visitors over it, so a new field is added in one place only.
 //
 //   visit_fields(row, [](std::string_view name, auto& value) { ... });
 //
--- a/tables/merge.cc
+++ b/tables/merge.cc
@@ -1,6 +1,7 @@
-// Both tables are sorted by name, so a diff is one pass over two sorted lists. A merge takes, for
-// each row name, whichever side changed it since the base; if both did and differ, it is a
-// conflict. The merged tables are checked as a whole, since rows that are fine alone need not join.
+// Rows are identified by name, and tables are sorted by name. For each name a merge takes the row
+// of the side that changed it since the base; if both sides changed it in different ways, that is a
+// conflict. The merged tables are checked as a whole, since rows that are valid on each side may be
+// inconsistent together, such as a new route to a removed pool.
 #include "tables/merge.h"
 
 #include "tables/check.h"
--- a/tables/merge.h
+++ b/tables/merge.h
@@ -3,8 +3,8 @@
 //   for (const row_change& change : diff(before, after)) ...
 //   result<configuration> merged = merge(base, theirs, ours);
 //
-// Rows are the unit: edits of different rows merge, two different edits of one row are a conflict
-// that names the row, so that the second editor can look at what the first one meant.
+// Rows are the unit of merging: edits of different rows merge; two different edits of one row are a
+// conflict that names the row, so that the second editor can review the first one's edit.
 #pragma once
 
 #include "tables/tables.h"
@@ -31,7 +31,7 @@
                                         named{change_kind::changed, "changed"}};
 };
 
-/// One field of a changed row, as canonical JSON texts.
+/// One changed field of a row; `before` and `after` are canonical JSON.
 struct field_change {
     std::string field;
     std::string before;
@@ -40,7 +40,7 @@
     friend bool operator==(const field_change&, const field_change&) = default;
 };
 
-/// One row that differs.
+/// One row that differs between two configurations.
 struct row_change {
     table_kind table = table_kind::routes;
     std::string row;
@@ -50,16 +50,16 @@
     friend bool operator==(const row_change&, const row_change&) = default;
 };
 
-/// What turns `before` into `after`, routes first, by row name.
+/// The changes from `before` to `after`: routes, then pools, each sorted by row name.
 std::vector<row_change> diff(const configuration& before, const configuration& after);
 
-/// The rows that both sides changed since `base`, each in a different way.
+/// Rows that both sides changed since `base` in different ways, with the changes of `theirs`.
 std::vector<row_change> conflicts(const configuration& base, const configuration& theirs,
                                   const configuration& ours);
 
-/// `theirs` with the edits that lead from `base` to `ours`. An error of kind conflict names the
-/// rows that both edited; one of kind invalid_table says what no longer joins (for example a route
-/// of ours to a pool that they removed).
+/// `theirs` with the edits from `base` to `ours` applied. An error of kind conflict names the rows
+/// that both sides edited; one of kind invalid_table lists inconsistencies of the merged tables
+/// (for example a route of `ours` to a pool removed in `theirs`).
 result<configuration> merge(const configuration& base, const configuration& theirs,
                             const configuration& ours);
 
--- a/tables/pages.cc
+++ b/tables/pages.cc
@@ -1,7 +1,7 @@
-// A row's bucket is its name's hash modulo the number of buckets, a power of two that puts about
-// rows_per_page rows into a page. Changing one row changes the bytes, and so the name, of exactly
-// one page, unless the table has just doubled. Digests are checked when pages are read back, so a
-// page that was cut short or forged on the way never becomes part of a table.
+// A row's bucket is the hash of its name modulo the number of buckets, a power of two chosen for
+// about rows_per_page rows per page. Changing a row changes the bytes, and so the digest, of
+// exactly one page, unless the number of buckets changes. Digests are verified when pages are read,
+// so that a truncated or forged page never becomes part of a table.
 #include "tables/pages.h"
 
 #include "tables/check.h"
--- a/tables/pages.h
+++ b/tables/pages.h
@@ -1,11 +1,11 @@
-// The two tables as content-addressed pages, so that a changed row moves little.
+// The two tables as content-addressed pages, so that little data is transferred if a row changes.
 //
-//   paged_tables paged = to_pages(tables);          // a manifest and the pages it names
+//   paged_tables paged = to_pages(tables).value();  // a manifest and the pages it references
 //   result<configuration> back = from_pages(paged.manifest, pages);
 //
-// Rows are spread over a fixed number of buckets by the hash of their names; a page is the rows of
-// one bucket as canonical JSON, named by the digest of its bytes. The number of buckets grows with
-// the table by powers of two, so it seldom changes.
+// Rows are distributed over buckets by the hash of their names. A page contains the rows of one
+// bucket as canonical JSON and is identified by the digest of its bytes. The number of buckets is a
+// power of two that grows with the table, so it seldom changes.
 #pragma once
 
 #include "tables/merge.h"
@@ -16,14 +16,14 @@
 
 namespace jaynotch {
 
-/// Hexadecimal digits of a page's name: 128 bits of SHA-256.
+/// Length of a page's digest in hexadecimal digits: 128 bits of SHA-256.
 inline constexpr std::size_t page_digest_length = 32;
-/// Largest page, bytes; well under the key-value service's megabyte.
+/// Maximum size of a page in bytes; well below the key-value service's limit of one megabyte.
 inline constexpr std::size_t max_page_bytes = 512U << 10U;
-/// Rows a page aims at.
+/// Target number of rows per page.
 inline constexpr std::size_t rows_per_page = 8;
 
-/// Some rows of one table.
+/// The rows of one bucket as canonical JSON.
 struct table_page {
     std::string digest;
     std::string bytes;
@@ -31,7 +31,7 @@
     friend bool operator==(const table_page&, const table_page&) = default;
 };
 
-/// Which pages make up the tables. An empty digest stands for a bucket without rows.
+/// The pages of both tables. An empty digest stands for a bucket without rows.
 struct page_manifest {
     std::string deployment;
     std::vector<std::string> routes; ///< digest of each bucket
@@ -42,20 +42,20 @@
 
 struct paged_tables {
     page_manifest manifest;
-    std::vector<table_page> pages; ///< by digest, each once
+    std::vector<table_page> pages; ///< sorted by digest, without duplicates
 };
 
-/// Cuts the tables into pages; an error if a page would exceed max_page_bytes.
+/// Splits the tables into pages; an error if a page would exceed max_page_bytes.
 result<paged_tables> to_pages(const configuration& tables);
 
-/// Puts the tables together again. Every page is checked against its digest; an error names a page
-/// that is missing, forged or does not parse. The revision is left at 0.
+/// Restores and checks the tables. Each page is verified against its digest; the error names a page
+/// that is missing, forged or malformed. The revision is left at 0.
 result<configuration> from_pages(const page_manifest& manifest, std::span<const table_page> pages);
 
-/// The digests that `manifest` names, each once, sorted.
+/// The digests of all pages that `manifest` references, sorted and without duplicates.
 std::vector<std::string> referenced_digests(const page_manifest& manifest);
 
-/// The name that these bytes have as a page.
+/// The digest of a page with these bytes.
 std::string page_digest(std::string_view bytes);
 
 } // namespace jaynotch
--- a/tables/parse.cc
+++ b/tables/parse.cc
@@ -1,6 +1,6 @@
-// Each file is parsed by toml++ and then walked row by row: every key of a row has to be a known
-// field of the right type, which `field_reader` checks as a visitor over the row's field list.
-// Problems are collected, not thrown, so that an operator sees all of them at once.
+// Each file is parsed by toml++ and then read row by row: each key of a row must be a known field
+// of the right type, which `field_reader` checks as a visitor over the row's field list. Problems
+// are collected instead of thrown, so that an operator sees all of them at once.
 #include "tables/parse.h"
 
 #include "tables/check.h"
@@ -16,7 +16,7 @@
 
 namespace {
 
-/// Where problems of one row go, and what they are called there.
+/// Collects the problems of one row, with the file, row and line to report them for.
 struct row_context {
     std::vector<table_problem>& problems;
     std::string_view file;
@@ -41,7 +41,7 @@
 template <class Row>
 void read_row(const toml::table& source, Row& row, const row_context& context);
 
-/// Visitor that fills one field from the row's TOML table, if it is written there.
+/// Visitor that reads one field from the row's TOML table, if it is present.
 class field_reader {
 public:
     field_reader(const toml::table& source, const row_context& context)
@@ -57,7 +57,7 @@
             read(*node, name, value);
     }
 
-    /// Reports keys that no field of the row has.
+    /// Reports keys that are not fields of the row.
     void report_unknown_keys() const
     {
         for (const auto& [key, node] : m_source) {
@@ -182,7 +182,7 @@
     reader.report_unknown_keys();
 }
 
-/// Retries that are not written default to none where a repeat is not allowed.
+/// `retries` defaults to 0 for routes whose requests may not be repeated.
 void default_retries(const toml::table& source, route& row)
 {
     if (row.repeat != repeat_policy::idempotent && source.get("retries") == nullptr)
@@ -216,7 +216,7 @@
     }
 }
 
-/// Reads one file: `deployment`, then the array of rows called `rows_key`.
+/// Reads one table: `deployment`, and the array of rows under `rows_key`. Returns the deployment.
 template <class Row>
 std::string read_table(std::string_view text, std::string_view file, std::string_view rows_key,
                        std::vector<Row>& rows, std::vector<row_location>& lines,
--- a/tables/render.cc
+++ b/tables/render.cc
@@ -1,5 +1,6 @@
-// Canonical TOML: a visitor over the field list writes each field that differs from a fresh row's,
-// so that reading the text back gives the same rows (checked by a round-trip test).
+// Writes canonical TOML: a visitor over the field list writes `name`, `kind` and each field that
+// differs from its default, so that reading the text back gives the same rows (checked by a
+// round-trip test).
 #include "tables/fields.h"
 #include "tables/parse.h"
 
@@ -54,7 +55,7 @@
     return table;
 }
 
-/// One "key = value" line, by the library's own writer.
+/// Writes one "key = value" line, formatted by toml++.
 template <class Value>
 void write_field(std::ostream& out, std::string_view name, const Value& value)
 {
@@ -63,7 +64,7 @@
     out << line << "\n";
 }
 
-/// The row that fields are left out against; a route that may not be repeated retries nothing.
+/// The row whose field values are omitted. `retries` defaults to 0 if requests may not be repeated.
 pool defaults_for(const pool& /*row*/)
 {
     return {};
@@ -76,7 +77,8 @@
     return defaults;
 }
 
-/// What routes.toml has no fields for; shown so that operators see where requests go.
+/// Writes the fields that only a configuration from the platform's store sets, so that operators
+/// see where requests go.
 void write_store_fields(std::ostream& out, const route& row)
 {
     if (!row.host.empty())
--- a/tables/row_json.h
+++ b/tables/row_json.h
@@ -1,4 +1,5 @@
-// Rows as canonical JSON: every field, in the order of the field list. Internal to the library.
+// Rows as canonical JSON: every field, in the order of the field list. Internal to the tables
+// library.
 #pragma once
 
 #include "tables/fields.h"
@@ -20,10 +21,11 @@
     {
         return boost::json::string(value.value());
     }
-    // Never brace-initialize a boost::json::value here: that makes an array of one element.
+    // Never brace-initialize a boost::json::value here: that makes an array with one element.
     boost::json::value operator()(bool value) const { return boost::json::value(value); }
-    /// As the shortest text that reads back exactly: this Boost.JSON's parser rounds some numbers
-    /// in their last digit, which would make a page differ from the table that it was cut from.
+    /// Writes the shortest text that reads back exactly. As a JSON number the value could change:
+    /// the parser of this version of Boost.JSON rounds the last digit of some numbers, and a page
+    /// would differ from the table it was made from.
     boost::json::value operator()(double value) const
     {
         std::array<char, 32> text{};
@@ -63,8 +65,8 @@
 };
 
 /// Reads what json_writer wrote; throws (boost::system::system_error, std::exception) on anything
-/// else. Fields that are missing keep their defaults, unknown ones are skipped: pages written by
-/// a daemon one version older or newer are read during a rolling upgrade.
+/// else. Missing fields keep their defaults and unknown fields are skipped, so that daemons of
+/// adjacent versions can read each other's pages during a rolling upgrade.
 struct json_reader {
     void operator()(const boost::json::value& from, std::string& value) const
     {
--- a/tables/tables_fuzz.cc
+++ b/tables/tables_fuzz.cc
@@ -1,5 +1,5 @@
-// libFuzzer target: any bytes as the two tables (split at the first NUL) or as a page. Whatever is
-// accepted has to survive rendering and paging.
+// libFuzzer target: reads arbitrary bytes as the two tables (split at the first NUL) and as a page.
+// Accepted tables must be the same after rendering and parsing, and after paging.
 #include "tables/pages.h"
 #include "tables/parse.h"
 
--- a/tables/tables_test.cc
+++ b/tables/tables_test.cc
@@ -1,4 +1,4 @@
-// The tables library on good tables, on every kind of bad one, and on random ones.
+// Tests of the tables library with valid tables, with each kind of mistake, and with random tables.
 #include "tables/check.h"
 #include "tables/merge.h"
 #include "tables/pages.h"
@@ -62,7 +62,7 @@
     return changed.replace(at, old_text.size(), new_text);
 }
 
-/// One edit that makes the good tables bad, and where the problem has to be seen.
+/// An edit that makes the good tables invalid, and the line and field that must be reported.
 struct bad_edit {
     bool in_routes;
     std::string_view old_text;
@@ -71,7 +71,7 @@
     std::string_view field;
 };
 
-/// Random tables that satisfy every rule.
+/// Random valid tables.
 configuration random_tables(random_source& random)
 {
     configuration tables;
@@ -119,8 +119,8 @@
     cr_assert_eq(tables.pools[1].shares[0].max_in_flight, 40);
 }
 
-// An operator mistypes one thing. Each report has to name the file, the line and the field, since a
-// table of a thousand rows can't be searched by eye at night.
+// A single mistake must be reported with its file, line and field, since tables may have thousands
+// of rows.
 Test(parse, each_problem_names_its_line_and_field)
 {
     const std::vector<bad_edit> edits{
@@ -241,8 +241,8 @@
     }
 }
 
-// A peer hands on a page that was cut short or altered. Were it taken, this node would route by
-// tables that nobody accepted.
+// A peer may deliver a truncated or altered page. If it were accepted, this node would route by
+// tables that no operator applied.
 Test(pages, a_forged_truncated_or_missing_page_is_refused)
 {
     const paged_tables paged = to_pages(good()).value();
@@ -259,8 +259,8 @@
     }
 }
 
-// Two operators edit the tables at once. Edits of different rows both count; a second edit of the
-// same row is told so and changes nothing.
+// Two operators edit the tables concurrently. Edits of different rows are both applied; a second,
+// different edit of the same row is refused as a conflict.
 Test(merge, different_rows_merge_and_the_same_row_conflicts)
 {
     const configuration base = good();
@@ -280,8 +280,8 @@
     cr_assert(merge(base, theirs, ours).has_value(), "the same edit on both sides is no conflict");
 }
 
-// One operator removes a pool while another adds a route to it: no row is edited twice, yet the
-// merged tables would send requests nowhere.
+// One operator removes a pool while another adds a route to it. No row is edited twice, but the
+// merged tables would contain a route to a missing pool.
 Test(merge, a_route_to_a_removed_pool_is_refused)
 {
     const configuration base = good();
