--- a/base/base_test.cc
+++ b/base/base_test.cc
@@ -56,13 +56,13 @@
     const std::vector<std::string> all{"a", "b", "c", "d", "e"};
     for (int key = 0; key < 100; ++key) {
         const auto chosen = rendezvous(std::to_string(key), all, 2);
-        std::vector<std::string> fewer;
+        std::vector<std::string> remaining;
         for (std::size_t i = 0; i < all.size(); ++i) {
             if (i != chosen[1])
-                fewer.push_back(all[i]);
+                remaining.push_back(all[i]);
         }
-        const auto again = rendezvous(std::to_string(key), fewer, 1);
-        cr_assert(fewer[again[0]] == all[chosen[0]]);
+        const auto reselected = rendezvous(std::to_string(key), remaining, 1);
+        cr_assert(remaining[reselected[0]] == all[chosen[0]]);
     }
 }
 
@@ -76,13 +76,13 @@
 // start with the mechanism still on.
 Test(mechanisms, are_switched_off_by_name)
 {
-    const auto some = mechanism_set::all_except({"newest_first", "warm_spares"});
-    cr_assert(some);
-    cr_assert(!some.value().has(mechanism::newest_first));
-    cr_assert(some.value().has(mechanism::sure_places));
-    cr_assert_eq(some.value().disabled_names(), "newest_first, warm_spares");
+    const auto partial = mechanism_set::all_except({"newest_first", "warm_spares"});
+    cr_assert(partial);
+    cr_assert(!partial.value().has(mechanism::newest_first));
+    cr_assert(partial.value().has(mechanism::sure_places));
+    cr_assert_eq(partial.value().disabled_names(), "newest_first, warm_spares");
     cr_assert(mechanism_set::all_except({}).value().disabled_names().empty());
-    const auto slip = mechanism_set::all_except({"newest_frist"});
-    cr_assert(!slip);
-    cr_assert(slip.error().remedy.find("newest_first") != std::string::npos);
+    const auto misspelt = mechanism_set::all_except({"newest_frist"});
+    cr_assert(!misspelt);
+    cr_assert(misspelt.error().remedy.find("newest_first") != std::string::npos);
 }
--- a/base/log.cc
+++ b/base/log.cc
@@ -100,8 +100,8 @@
 
 log_output& output()
 {
-    static log_output made;
-    return made;
+    static log_output log;
+    return log;
 }
 
 class json_sink final : public google::LogSink {
--- a/base/log_test.cc
+++ b/base/log_test.cc
@@ -67,12 +67,12 @@
 Test(log_buffer, routine_lines_are_rate_limited)
 {
     log_buffer lines{{.routine_bytes_s = 1'000.0, .burst_s = 2.0}};
-    std::size_t taken = 0;
+    std::size_t accepted = 0;
     for (int step = 0; step < 1'000; ++step) {
-        taken += lines.add(log_level::info, "routine", line('a'), start + step * 10ms) ? 1 : 0;
+        accepted += lines.add(log_level::info, "routine", line('a'), start + step * 10ms) ? 1 : 0;
         drain(lines);
     }
-    cr_assert_leq(taken, 121U); // ten seconds at ten lines a second, and a full bucket
-    cr_assert_geq(taken, 115U);
+    cr_assert_leq(accepted, 121U); // ten seconds at ten lines a second, and a full bucket
+    cr_assert_geq(accepted, 115U);
     cr_assert(lines.add(log_level::error, "urgent", line('b'), start + 10s));
 }
--- a/outside/kv_watch.h
+++ b/outside/kv_watch.h
@@ -78,8 +78,8 @@
 
     [[nodiscard]] duration pause_after(std::size_t changes) const
     {
-        const duration longer = static_cast<duration::rep>(changes) * batch_delay_per_change;
-        return std::max(batch_delay, std::min(batch_delay + longer, max_batch_delay));
+        const duration lengthened = static_cast<duration::rep>(changes) * batch_delay_per_change;
+        return std::max(batch_delay, std::min(batch_delay + lengthened, max_batch_delay));
     }
 };
 
--- a/tables/tables_fuzz.cc
+++ b/tables/tables_fuzz.cc
@@ -9,9 +9,9 @@
 
 namespace {
 
-void require(bool holds)
+void require(bool condition)
 {
-    if (!holds)
+    if (!condition)
         std::abort();
 }
 
@@ -20,15 +20,16 @@
 extern "C" int LLVMFuzzerTestOneInput(const std::uint8_t* data, std::size_t size)
 {
     const std::string_view text{reinterpret_cast<const char*>(data), size};
-    const std::size_t cut = std::min(text.find('\0'), text.size());
-    const std::string_view routes = text.substr(0, cut);
-    const std::string_view pools = cut < size ? text.substr(cut + 1) : std::string_view{};
+    const std::size_t separator = std::min(text.find('\0'), text.size());
+    const std::string_view routes = text.substr(0, separator);
+    const std::string_view pools =
+        separator < size ? text.substr(separator + 1) : std::string_view{};
 
     const auto tables = parse_tables(routes, pools);
     if (tables) {
-        const auto again =
+        const auto reparsed =
             parse_tables(render_routes(tables.value()), render_pools(tables.value()));
-        require(again && again.value() == tables.value());
+        require(reparsed && reparsed.value() == tables.value());
         const auto paged = to_pages(tables.value());
         require(paged &&
                 from_pages(paged.value().manifest, paged.value().pages).value() == tables.value());
