--- a/base/log.cc
+++ b/base/log.cc
@@ -22,7 +22,7 @@
 constexpr std::size_t flush_threshold = 8 * 1024; // buffered bytes that justify a system call
 constexpr int exit_flush_timeout_ms = 100;        // how long a slow reader is waited for at exit
 
-/// The log of the process; thread-safe.
+/// The log of the process.
 class log_output {
 public:
     void set_identity(std::string_view program, std::string_view instance)
--- a/base/mechanisms.h
+++ b/base/mechanisms.h
@@ -20,22 +20,22 @@
 
 enum class mechanism {
     // Requests.
-    late_gives_way,      ///< requests that are late anyway leave places free for others
+    late_gives_way,      ///< late requests leave part of the places to those that can be in time
     returning_gives_way, ///< requests sent again after a refusal count as late
-    newest_first,        ///< order of the queue where the engines' speed is known
-    sure_places,         ///< guaranteed places per node, even in a group that seems full
+    newest_first,        ///< newest waiting request first, where the engines' speed is known
+    sure_places,         ///< guarantees each node places, even in a group that seems full
     prompt_limit,        ///< bounds the prompts that wait at one group
-    far_penalty,         ///< added to predicted times of groups in other failure domains
-    slowness,            ///< scales predicted times of groups slower than their pool
-    silence_detection,   ///< of groups that send no events
+    far_penalty,         ///< adds to the predicted time of groups in other failure domains
+    slowness,            ///< scales the predicted time of groups slower than their pool
+    silence_detection,   ///< detects groups that stop sending events
     outlier_ejection,    ///< excludes targets that fail many times in a row
-    refusal_pause,       ///< after a group has reported that it is incomplete
-    adaptive_limit,      ///< of concurrency, where the engines' speed is not known
-    resumption,          ///< of interrupted streams on another server
+    refusal_pause,       ///< avoids a group for a while after it has refused a request
+    adaptive_limit,      ///< adapts concurrency limits where the engines' speed is not known
+    resumption,          ///< resumes interrupted streams on another server
     // Groups.
     warm_spares,          ///< spare runners warm up staged weights in groups of their own
     guard_largest,        ///< spare runners are staged for the largest groups first
-    probes_before_ending, ///< of members whose registry entries have expired
+    probes_before_ending, ///< probes members with expired entries before a group ends
     outage_inquiry,       ///< managers continue while no node reaches the store
     // The registry.
     shared_watches, ///< two nodes per failure domain watch the store for all
--- a/outside/call_facts.h
+++ b/outside/call_facts.h
@@ -37,11 +37,11 @@
     bool wrong_instance = false; ///< another server answers at the address
     bool sealed = false;         ///< has the server's seal, so it comes from no other process
     std::optional<std::uint32_t> running; ///< requests running there; reported with `waiting`
-    std::uint32_t waiting = 0;
+    std::uint32_t waiting = 0;            ///< requests queued there
     /// Requests per second that the server accepts from all entry VMs together, in force as long
     /// as its answers state it.
     std::optional<double> rate_limit;
-    std::string unreadable_limit; ///< a rate limit that is not a number; otherwise empty
+    std::string unreadable_limit; ///< text of a rate limit that is not a number, or empty
     /// Time after which the server closes an idle connection.
     std::optional<std::chrono::milliseconds> idle_limit;
 };
--- a/outside/site.h
+++ b/outside/site.h
@@ -12,12 +12,13 @@
 
 /// Time limits and budgets set by the platform's operators.
 struct site_bounds {
-    std::chrono::milliseconds drain{2'000}; ///< after it a leaving server gets no new requests
+    std::chrono::milliseconds drain{2'000}; ///< until a leaving server gets no new requests
     std::chrono::milliseconds stop{8'000};  ///< from the stop signal until the process is killed
-    std::chrono::milliseconds config_apply{2'000}; ///< an accepted change is in force within it
-    std::chrono::milliseconds group_stall{5'000}; ///< a group with a missing member breaks after it
-    double retry_share = 0.2; ///< retries of all nodes together per request of a service
-    double retry_extra = 0.0; ///< additional retries in one window
+    std::chrono::milliseconds config_apply{2'000}; ///< until an accepted change is in force
+    std::chrono::milliseconds group_stall{5'000};  ///< until a group with a missing member breaks
+    double retry_share = 0.2; ///< retries of all nodes, as a fraction of a service's requests
+    double retry_extra = 0.0; ///< additional retries per window
+    /// Window over which retries are counted.
     std::chrono::milliseconds retry_window{10'000};
     /// Interval between a runner's updates of its registry entry.
     std::chrono::milliseconds heartbeat{1'200};
--- a/tables/tables.h
+++ b/tables/tables.h
@@ -82,8 +82,8 @@
     route_id name;
     request_kind kind = request_kind::chat;
     std::string model;                   ///< name that callers use; empty for plain routes
-    std::vector<std::string> workspaces; ///< "*" for all
-    std::vector<std::string> methods;    ///< plain routes only; empty for all
+    std::vector<std::string> workspaces; ///< "*" for all workspaces
+    std::vector<std::string> methods;    ///< HTTP methods, plain routes only; empty for all
     std::string path_prefix;             ///< plain routes only
     pool_id pool;
     std::string adapter; ///< LoRA adapter of the pool's model, or empty
@@ -92,7 +92,7 @@
     std::chrono::milliseconds timeout{30'000}; ///< until the first byte of the answer
     /// Maximum duration of a streamed answer.
     std::chrono::milliseconds longest_stream{600'000};
-    std::uint32_t retries = 1;                ///< maximum number of repeats, for idempotent routes
+    std::uint32_t retries = 1;                ///< maximum number of further attempts, if idempotent
     std::chrono::seconds key_keeping{86'400}; ///< retention period of a keyed outcome
 
     // Set only by a configuration from the platform's store, not by routes.toml.
@@ -102,7 +102,7 @@
     bool streaming = false;              ///< the answer is a stream of events
     bool resumable = false;              ///< such a stream may be resumed on another server
     bool retry_server_errors = false;    ///< a server's 500 is retried on another server
-    std::uint32_t most_servers = 0;      ///< that may run one request; 0: bounded by `retries`
+    std::uint32_t most_servers = 0;      ///< servers that may run one request; 0: see `retries`
     /// Latency target until the answer begins, after which it is worth less; 0: none.
     std::chrono::milliseconds first_target{0};
     /// The same for the pause between two events.
@@ -115,14 +115,14 @@
 struct share {
     workspace_id workspace;
     double weight = 1.0;             ///< relative weight when the pool is contended
-    std::uint32_t max_in_flight = 0; ///< over all entry VMs; 0 for no limit
+    std::uint32_t max_in_flight = 0; ///< requests over all entry VMs; 0: unlimited
 
     friend bool operator==(const share&, const share&) = default;
 };
 
 /// Performance figures of an engine, as published by its operators.
 struct engine_figures {
-    double step_ms = 0.0;              ///< one step: a token for each request that generates
+    double step_ms = 0.0;              ///< one step, which generates a token per request
     double sequence_ms = 0.0;          ///< added to a step per request that generates
     double context_ms_per_1k = 0.0;    ///< added to a step per 1,000 tokens of their contexts
     double prompt_tokens_per_ms = 0.0; ///< speed of reading prompts; 0: no figures known
@@ -162,7 +162,7 @@
     std::uint32_t replica_vms = 1; ///< VMs of one replica, all in one fabric domain
     std::uint32_t replicas = 1;    ///< desired number of replicas
     std::uint32_t standbys = 0;    ///< VMs assigned to groups in advance as substitutes, in total
-    std::vector<fabric_domain_id> fabric_domains; ///< that it may use; empty for all
+    std::vector<fabric_domain_id> fabric_domains; ///< fabric domains that it may use; empty: all
     std::uint32_t rank = 0;            ///< if VMs are short, pools of lower rank lose theirs first
     double weight_down = 1.0;          ///< cost of one second of downtime of a group
     double weight_idle = 1.0;          ///< cost of one idle second of an accelerator
@@ -177,7 +177,7 @@
 
     // Set only by a configuration from the platform's store, not by pools.toml.
     std::string service; ///< service of the pool; pools of one service differ in model
-    std::uint32_t max_connections = 0; ///< per server, of all nodes together; 0: unlimited
+    std::uint32_t max_connections = 0; ///< to one server from all nodes; 0: unlimited
     engine_figures engine;
     forming_figures forming;
 
