--- a/base/log_buffer.h
+++ b/base/log_buffer.h
@@ -7,7 +7,7 @@
 //   lines.consume(written);
 //
 // Warnings and errors are written before routine lines and have space and rate of their own, which
-// routine lines can not use up. A reader that does not read loses lines, but never blocks the
+// routine lines cannot use up. A reader that does not read loses lines, but never blocks the
 // writer.
 #pragma once
 
--- a/outside/kv_watch.h
+++ b/outside/kv_watch.h
@@ -45,7 +45,7 @@
     std::vector<kv_event> events;
 };
 
-/// Queue from an adapter, which pushes the changes of a watch, to the watch's reader.
+/// Queue of a watch: the adapter pushes the changes that it receives, the owner reads them.
 class kv_watch_queue {
 public:
     explicit kv_watch_queue(const boost::asio::any_io_executor& executor);
@@ -53,7 +53,7 @@
     void close(error reason);
     [[nodiscard]] bool closed() const { return m_close_reason.has_value(); }
     /// Waits up to `timeout` for a batch; an empty batch if none came. Once the queue is closed and
-    /// its batches are read, the reason of the closing is returned.
+    /// its batches are read, returns the reason that was passed to close().
     awaitable<result<kv_watch_batch>> next(duration timeout);
 
 private:
@@ -71,9 +71,9 @@
     std::chrono::milliseconds response_margin{800}; ///< after `wait`, for the answer to arrive
     /// Pause after a poll that returned changes, so that later changes arrive in batches.
     duration batch_delay = std::chrono::milliseconds{40};
-    /// Added to `batch_delay` for each change that the poll returned, ...
+    /// Added to `batch_delay` for each change that the poll returned.
     duration batch_delay_per_change{0};
-    /// ... up to this total; no effect if below `batch_delay`.
+    /// Upper bound of the delay with these additions; no effect if below `batch_delay`.
     duration max_batch_delay{0};
 
     [[nodiscard]] duration pause_after(std::size_t changes) const
