--- a/daemon/plain_watch.cc
+++ b/daemon/plain_watch.cc
@@ -24,7 +24,7 @@
 
 class plain_watch::impl : public std::enable_shared_from_this<impl> {
 public:
-    struct row {
+    struct server_state {
         bool leaving = false;
         time_point last_report{};
         time_point last_published{};
@@ -52,15 +52,15 @@
     {
         const std::vector<std::string> nodes = m_hooks.live_nodes();
         const time_point now = runtime_clock::now();
-        for (auto& [server, known] : m_rows) {
-            if (known.leaving && now - known.last_report > leaving_ttl)
-                set_leaving(server, known, false);
+        for (auto& [server, state] : m_states) {
+            if (state.leaving && now - state.last_report > leaving_ttl)
+                set_leaving(server, state, false);
             bool assigned = false;
             for (const std::size_t index : rendezvous(server, nodes, watchers_per_server))
                 assigned = assigned || nodes[index] == m_self.value();
-            if (!assigned || known.probing)
+            if (!assigned || state.probing)
                 continue;
-            known.probing = true;
+            state.probing = true;
             boost::asio::co_spawn(m_io, probe(server), boost::asio::detached);
         }
     }
@@ -74,8 +74,8 @@
         request.repeatable = true;
         const result<http_response> answer =
             co_await client->call(std::move(request), probe_timeout);
-        const auto found = m_rows.find(server);
-        if (m_stopped || found == m_rows.end())
+        const auto found = m_states.find(server);
+        if (m_stopped || found == m_states.end())
             co_return;
         found->second.probing = false;
         if (!answer)
@@ -91,8 +91,8 @@
 
     void announced(const std::string& server)
     {
-        const auto found = m_rows.find(server);
-        if (found == m_rows.end())
+        const auto found = m_states.find(server);
+        if (found == m_states.end())
             return;
         const time_point now = runtime_clock::now();
         if (!found->second.leaving || now - found->second.last_published > publish_interval) {
@@ -104,18 +104,18 @@
 
     void reported(const std::string& server)
     {
-        const auto found = m_rows.find(server);
-        if (found == m_rows.end())
+        const auto found = m_states.find(server);
+        if (found == m_states.end())
             return;
         found->second.last_report = runtime_clock::now();
         set_leaving(server, found->second, true);
     }
 
-    void set_leaving(const std::string& server, row& known, bool leaving)
+    void set_leaving(const std::string& server, server_state& state, bool leaving)
     {
-        if (known.leaving == leaving)
+        if (state.leaving == leaving)
             return;
-        known.leaving = leaving;
+        state.leaving = leaving;
         log_event(log_level::info, leaving ? "server_leaving" : "server_back",
                   {{"server", server}});
         m_hooks.on_leaving(server, leaving);
@@ -126,7 +126,7 @@
     node_id m_self;
     plain_watch_hooks m_hooks;
     timer m_timer;
-    std::map<std::string, row> m_rows;
+    std::map<std::string, server_state> m_states;
     bool m_stopped = false;
 };
 
@@ -153,14 +153,14 @@
 
 void plain_watch::install(const configuration& tables)
 {
-    std::map<std::string, impl::row> next;
+    std::map<std::string, impl::server_state> next;
     for (const pool& one : tables.pools) {
         for (const std::string& server : one.servers) {
-            const auto known = m_impl->m_rows.find(server);
-            next[server] = known == m_impl->m_rows.end() ? impl::row{} : known->second;
+            const auto found = m_impl->m_states.find(server);
+            next[server] = found == m_impl->m_states.end() ? impl::server_state{} : found->second;
         }
     }
-    m_impl->m_rows = std::move(next);
+    m_impl->m_states = std::move(next);
 }
 
 void plain_watch::announced(const std::string& server)
@@ -175,14 +175,14 @@
 
 bool plain_watch::leaving(const std::string& server) const
 {
-    const auto found = m_impl->m_rows.find(server);
-    return found != m_impl->m_rows.end() && found->second.leaving;
+    const auto found = m_impl->m_states.find(server);
+    return found != m_impl->m_states.end() && found->second.leaving;
 }
 
 std::vector<std::string> plain_watch::servers() const
 {
     std::vector<std::string> names;
-    for (const auto& [server, known] : m_impl->m_rows)
+    for (const auto& [server, state] : m_impl->m_states)
         names.push_back(server);
     return names;
 }
--- a/daemon/relay.cc
+++ b/daemon/relay.cc
@@ -259,8 +259,8 @@
     for (auto& [id, attempt] : m_attempts)
         cancel(*attempt);
     while (m_running_attempts > 0) {
-        boost::system::error_code woken;
-        co_await m_attempt_ended.async_wait(net::redirect_error(net::use_awaitable, woken));
+        boost::system::error_code ignored;
+        co_await m_attempt_ended.async_wait(net::redirect_error(net::use_awaitable, ignored));
     }
 }
 
--- a/daemon/request_driver.cc
+++ b/daemon/request_driver.cc
@@ -40,9 +40,9 @@
 net::awaitable<command> command_inbox::next()
 {
     while (m_queue.empty()) {
-        boost::system::error_code woken;
+        boost::system::error_code ignored;
         m_wake.expires_at(time_point::max());
-        co_await m_wake.async_wait(net::redirect_error(net::use_awaitable, woken));
+        co_await m_wake.async_wait(net::redirect_error(net::use_awaitable, ignored));
     }
     command first = std::move(m_queue.front());
     m_queue.pop_front();
--- a/daemon/request_log.h
+++ b/daemon/request_log.h
@@ -1,7 +1,7 @@
 // Log lines about one forwarded request: one line for each decision, with the caller's name for the
 // request.
 //
-//   request_log log{facts.attempt, arrived};
+//   request_log log{metadata.attempt, arrived};
 //   log.sent(attempt);            // the target, and what the choice was based on
 //   log.refused(cmd, status);     // the reason, and whether the request may have run
 #pragma once
--- a/daemon/upstreams.cc
+++ b/daemon/upstreams.cc
@@ -18,7 +18,7 @@
     const time_point now = runtime_clock::now();
     if (now - m_last_sweep > sweep_interval)
         remove_unused(now);
-    row& found = m_rows[address];
+    cached_client& found = m_clients[address];
     found.last_used = now;
     if (!found.client) {
         http_limits limits;
@@ -35,7 +35,7 @@
 void upstreams::remove_unused(time_point now)
 {
     m_last_sweep = now;
-    std::erase_if(m_rows,
+    std::erase_if(m_clients,
                   [now](const auto& entry) { return now - entry.second.last_used > retention; });
 }
 
--- a/daemon/upstreams.h
+++ b/daemon/upstreams.h
@@ -24,7 +24,7 @@
     std::shared_ptr<http_client> at(const std::string& address);
 
 private:
-    struct row {
+    struct cached_client {
         std::shared_ptr<http_client> client;
         time_point last_used;
     };
@@ -32,7 +32,7 @@
 
     boost::asio::io_context& m_io;
     const daemon_settings& m_settings;
-    std::map<std::string, row> m_rows;
+    std::map<std::string, cached_client> m_clients;
     time_point m_last_sweep{};
 };
 
