--- a/daemon/daemon.h
+++ b/daemon/daemon.h
@@ -83,7 +83,8 @@
 result<startup_settings> settings_from_flags(int argc, char** argv);
 
 /// Reads the platform's settings file again, for a daemon that was started with one. Flags are not
-/// parsed again and still take precedence over the file.
+/// parsed again and still take precedence over the file, except --key_value and --seed_peers, which
+/// the file replaces.
 result<daemon_settings> reload_settings(daemon_settings running);
 
 } // namespace jaynotch
--- a/daemon/daemon_events.cc
+++ b/daemon/daemon_events.cc
@@ -156,11 +156,11 @@
 void daemon::impl::publish_demand(const share_demand& own)
 {
     for (const demand_row& row : own.rows) {
-        demand told;
-        told.pool = wire_key(row.pool.value());
-        told.workspace = wire_key(row.workspace.value());
-        told.in_flight = row.in_flight + row.queued;
-        peers->publish(told);
+        demand published;
+        published.pool = wire_key(row.pool.value());
+        published.workspace = wire_key(row.workspace.value());
+        published.in_flight = row.in_flight + row.queued;
+        peers->publish(published);
     }
 }
 
--- a/daemon/daemon_test.cc
+++ b/daemon/daemon_test.cc
@@ -108,13 +108,13 @@
     cr_assert_eq(fleet.node(0).counts().cut, 1U);
 }
 
-// Engines answer twice, send wrong lengths, bytes that are not HTTP, or nothing. Each caller gets
-// the complete correct answer, a refusal or an answer marked as incomplete; and once the engines
-// have recovered, the next request is served.
+// Engines answer twice, send wrong lengths or bytes that are not HTTP, or are down. Each caller
+// gets the complete correct answer, a refusal or an answer marked as incomplete; and once the
+// engines have recovered, the next request is served.
 Test(daemon, faulty_engine_answers_never_reach_the_caller, .timeout = 100)
 {
     served_fleet fleet;
-    const std::string right = fleet.ask(0, chat("which ducts", 10)).text();
+    const std::string expected = fleet.ask(0, chat("which ducts", 10)).text();
     const std::vector<std::pair<fault_change, fault_change>> faults{
         {{.answer_twice = true}, {.answer_twice = false}},
         {{.wrong_length = true}, {.wrong_length = false}},
@@ -128,16 +128,17 @@
             const caller_answer answer = fleet.ask(0, chat("which ducts", 10, stream));
             const bool fine = answer.complete && answer.status == 200;
             const bool refused = answer.complete && answer.status >= 400 && !answer.ran.empty();
-            const bool told = !answer.complete && !answer.done();
-            cr_assert(fine || refused || told, "%d %s", answer.status, answer.body.c_str());
+            const bool marked_incomplete = !answer.complete && !answer.done();
+            cr_assert(fine || refused || marked_incomplete, "%d %s", answer.status,
+                      answer.body.c_str());
             if (fine && stream)
-                cr_assert_eq(answer.text(), right);
+                cr_assert_eq(answer.text(), expected);
         }
         for (std::size_t index = 0; index < 4; ++index)
             fleet.platform().engine(index).apply(off);
         cr_assert(fleet.run_until([&] { return fleet.all_complete(2); }, 20s));
         fleet.run_for(500ms);
-        cr_assert_eq(fleet.ask(1, chat("which ducts", 10)).text(), right);
+        cr_assert_eq(fleet.ask(1, chat("which ducts", 10)).text(), expected);
     }
 }
 
@@ -148,7 +149,7 @@
     fixture_settings settings = two_groups();
     settings.adjust = [](daemon_settings& one) { one.timeouts.stream_stall = 500ms; };
     served_fleet fleet{settings};
-    const std::string right = fleet.ask(0, chat("which ducts", 300)).text();
+    const std::string expected = fleet.ask(0, chat("which ducts", 300)).text();
     auto pending = fleet.begin_at(0, chat("which ducts", 300));
     fleet.run_for(300ms);
     for (std::size_t index = 0; index < 4; ++index) {
@@ -157,7 +158,7 @@
             fleet.platform().engine(index).apply({.stall = true});
     }
     cr_assert(fleet.run_until([&] { return *pending.ended; }, 15s));
-    cr_assert(!pending.answer->done() || pending.answer->text() == right);
+    cr_assert(!pending.answer->done() || pending.answer->text() == expected);
 }
 
 // A caller disconnects in the middle of its stream, as on a lost mobile connection. The engine must
@@ -225,8 +226,8 @@
             send_some();
         cr_assert(stopped);
         fleet.kill_daemon(index);
-        const std::size_t fresh = fleet.start_daemon("entry-new-" + std::to_string(index));
-        for (int round = 0; round < 500 && fleet.node(fresh).complete_groups() < 2; ++round)
+        const std::size_t replacement = fleet.start_daemon("entry-new-" + std::to_string(index));
+        for (int round = 0; round < 500 && fleet.node(replacement).complete_groups() < 2; ++round)
             send_some();
     }
     loading = false;
@@ -236,11 +237,11 @@
                                [](const auto& one) { return *one.ended; });
         },
         30s));
-    std::size_t bad = 0;
+    std::size_t incomplete = 0;
     for (const auto& one : calls)
-        bad += one.answer->complete && one.answer->done() ? 0 : 1;
+        incomplete += one.answer->complete && one.answer->done() ? 0 : 1;
     cr_assert_gt(calls.size(), 50U);
-    cr_assert_eq(bad, 0U, "%zu of %zu", bad, calls.size());
+    cr_assert_eq(incomplete, 0U, "%zu of %zu", incomplete, calls.size());
 }
 
 // A client repeats a keyed call after a lost connection, at the same and at another entry VM, and
@@ -260,16 +261,17 @@
     other.body = "tuesday";
     const caller_answer refused = fleet.ask(1, other);
     cr_assert(refused.status >= 400 && refused.ran == "no", "%d", refused.status);
-    const caller_answer told = fleet.ask(1, {.method = boost::beast::http::verb::get,
-                                             .target = "/v1/jaynotch/outcome",
-                                             .headers = {{"Idempotency-Key", "k-1"}}});
-    cr_assert(told.body.find("\"ran\"") != std::string::npos, "%s", told.body.c_str());
+    const caller_answer outcome = fleet.ask(1, {.method = boost::beast::http::verb::get,
+                                                .target = "/v1/jaynotch/outcome",
+                                                .headers = {{"Idempotency-Key", "k-1"}}});
+    cr_assert(outcome.body.find("\"ran\"") != std::string::npos, "%s", outcome.body.c_str());
     fleet.platform().kv().apply({.outage = true});
-    caller_request dark = order;
-    dark.headers = {{"Idempotency-Key", "k-2"}};
-    dark.target = "/orders/8";
-    const caller_answer held = fleet.ask(0, dark);
-    cr_assert(held.status >= 500 && held.ran == "no", "%d %s", held.status, held.ran.c_str());
+    caller_request keyed_in_outage = order;
+    keyed_in_outage.headers = {{"Idempotency-Key", "k-2"}};
+    keyed_in_outage.target = "/orders/8";
+    const caller_answer answer_in_outage = fleet.ask(0, keyed_in_outage);
+    cr_assert(answer_in_outage.status >= 500 && answer_in_outage.ran == "no", "%d %s",
+              answer_in_outage.status, answer_in_outage.ran.c_str());
     cr_assert_eq(fleet.ran("/orders/8"), 0U);
 }
 
@@ -280,7 +282,7 @@
 Test(daemon, faulty_plain_server_answers_are_reported_correctly, .timeout = 100)
 {
     const std::string head = "HTTP/1.1 200 OK\r\n";
-    const std::vector<std::string> bad{
+    const std::vector<std::string> faulty_answers{
         head + "jaynotch-attempt: 1\r\nContent-Length: 5\r\n\r\nalien",
         head + "Content-Length: 50\r\n\r\nshort",
         head + "Transfer-Encoding: chunked\r\n\r\n5\r\nalien\r\n",
@@ -289,15 +291,16 @@
         "SSH-2.0-OpenSSH\r\n",
     };
     served_fleet fleet;
-    for (const std::string& bytes : bad) {
+    for (const std::string& bytes : faulty_answers) {
         fixed_reply_server server{fleet.io(), bytes, false};
         cr_assert(fleet.apply(fixture_routes(), fixture_pools(2, 2, {server.address()})));
         fleet.run_for(300ms);
         const caller_answer answer = fleet.ask(0, {.target = "/never/1", .body = "once"});
-        const bool told = answer.status >= 500 && answer.ran == "unknown";
-        const bool cut = answer.status == 200 && !answer.complete;
-        cr_assert(told || cut, "%s: %d %s", bytes.c_str(), answer.status, answer.body.c_str());
-        cr_assert(answer.body.find("alien") == std::string::npos || cut);
+        const bool unknown = answer.status >= 500 && answer.ran == "unknown";
+        const bool truncated = answer.status == 200 && !answer.complete;
+        cr_assert(unknown || truncated, "%s: %d %s", bytes.c_str(), answer.status,
+                  answer.body.c_str());
+        cr_assert(answer.body.find("alien") == std::string::npos || truncated);
         cr_assert_eq(server.requests(), 1U);
     }
     const std::string one = head + "Content-Length: 3\r\n\r\n";
--- a/daemon/fleet_fixture.h
+++ b/daemon/fleet_fixture.h
@@ -269,14 +269,14 @@
     {
         std::string request;
         boost::system::error_code failed;
-        std::array<char, 4096> room{};
+        std::array<char, 4096> chunk{};
         for (;;) {
             const std::size_t got = co_await socket->async_read_some(
-                boost::asio::buffer(room),
+                boost::asio::buffer(chunk),
                 boost::asio::redirect_error(boost::asio::use_awaitable, failed));
             if (failed)
                 co_return;
-            request.append(room.data(), got);
+            request.append(chunk.data(), got);
             const std::size_t end = request.find("\r\n\r\n");
             if (end == std::string::npos)
                 continue;
--- a/daemon/formation_driver.cc
+++ b/daemon/formation_driver.cc
@@ -7,9 +7,9 @@
 #include <boost/asio/detached.hpp>
 #include <boost/asio/use_awaitable.hpp>
 
-// All managers of a node read the same registry. A changed entry is passed only to the manager of
-// the runner's failure domain, which processes it only while it is the leader. A node that manages
-// nothing therefore spends no more than the cost of keeping its copy of the registry.
+// All managers of a node read the same registry. A changed entry matters only to the manager of the
+// runner's failure domain, and only while that manager is the leader. A node that manages nothing
+// therefore spends no more than the cost of keeping its copy of the registry.
 
 namespace jaynotch {
 
@@ -33,8 +33,8 @@
 class formation_driver::impl : public std::enable_shared_from_this<impl> {
 public:
     impl(net::io_context& context, const daemon_settings& chosen, kv_service& service,
-         peer_service& others, groups::runner_registry& shown)
-        : io{context}, settings{chosen}, kv{service}, peers{others}, registry{shown},
+         peer_service& others, groups::runner_registry& runners)
+        : io{context}, settings{chosen}, kv{service}, peers{others}, registry{runners},
           orders{context.get_executor()}
     {}
 
@@ -65,8 +65,8 @@
     {
         if (stopped || resigned.contains(domain))
             return;
-        const groups::formation_commands wanted = manager.handle(event, runtime_clock::now());
-        for (const groups::formation_command& command : wanted)
+        const groups::formation_commands commands = manager.handle(event, runtime_clock::now());
+        for (const groups::formation_command& command : commands)
             std::visit([&](const auto& one) { execute(domain, one); }, command);
     }
 
@@ -160,7 +160,7 @@
         else
             outage->receive(from, asked);
     }
-    void receive(const node_id& from, const store_answer& told) { outage->receive(from, told); }
+    void receive(const node_id& from, const store_answer& answer) { outage->receive(from, answer); }
     void receive(const node_id& /*from*/, const runner_word& word)
     {
         // Nodes that reach the store get newer data from it.
@@ -182,33 +182,33 @@
         dispatch(groups::peers_word{answer.vm, answer.answers});
     }
 
-    void execute(const failure_domain_id& domain, const groups::kv_call& wanted)
+    void execute(const failure_domain_id& domain, const groups::kv_call& command)
     {
-        net::co_spawn(io, transact(domain, wanted), net::detached);
+        net::co_spawn(io, transact(domain, command), net::detached);
     }
-    void execute(const failure_domain_id& domain, const groups::lease_grant& wanted)
+    void execute(const failure_domain_id& domain, const groups::lease_grant& command)
     {
-        net::co_spawn(io, grant(domain, wanted), net::detached);
+        net::co_spawn(io, grant(domain, command), net::detached);
     }
-    void execute(const failure_domain_id& domain, const groups::lease_renew& wanted)
+    void execute(const failure_domain_id& domain, const groups::lease_renew& command)
     {
-        net::co_spawn(io, renew(domain, wanted), net::detached);
+        net::co_spawn(io, renew(domain, command), net::detached);
     }
-    void execute(const failure_domain_id& /*domain*/, const groups::lease_end& wanted)
+    void execute(const failure_domain_id& /*domain*/, const groups::lease_end& command)
     {
-        net::co_spawn(io, end_lease(wanted.lease), net::detached);
+        net::co_spawn(io, end_lease(command.lease), net::detached);
     }
-    void execute(const failure_domain_id& domain, const groups::send_order& wanted)
+    void execute(const failure_domain_id& domain, const groups::send_order& command)
     {
-        net::co_spawn(io, send(domain, wanted), net::detached);
+        net::co_spawn(io, send(domain, command), net::detached);
     }
-    void execute(const failure_domain_id& domain, const groups::probe_member& wanted)
+    void execute(const failure_domain_id& domain, const groups::probe_member& command)
     {
-        net::co_spawn(io, probe(domain, wanted), net::detached);
+        net::co_spawn(io, probe(domain, command), net::detached);
     }
-    void execute(const failure_domain_id& /*domain*/, const groups::ask_peers& wanted)
+    void execute(const failure_domain_id& /*domain*/, const groups::ask_peers& command)
     {
-        std::set<node_id>& asked = m_awaited_answers[wanted.vm];
+        std::set<node_id>& asked = m_awaited_answers[command.vm];
         asked.clear();
         for (const member& one : peers.members()) {
             if (one.node == settings.node || one.state != member_state::alive)
@@ -216,32 +216,32 @@
             if (asked.size() >= max_peers_asked)
                 break;
             asked.insert(one.node);
-            peers.send_server(one.node, server_question{wanted.vm, wanted.address});
+            peers.send_server(one.node, server_question{command.vm, command.address});
         }
         if (asked.empty())
-            m_awaited_answers.erase(wanted.vm);
+            m_awaited_answers.erase(command.vm);
     }
     void execute(const failure_domain_id& domain, const groups::ask_about_outage& /*wanted*/)
     {
         outage->start_round(domain);
     }
-    void execute(const failure_domain_id& domain, const groups::ask_runner& wanted)
+    void execute(const failure_domain_id& domain, const groups::ask_runner& command)
     {
-        net::co_spawn(io, ask_runner(domain, wanted), net::detached);
+        net::co_spawn(io, ask_runner(domain, command), net::detached);
     }
-    void execute(const failure_domain_id& /*domain*/, const groups::share_runner& wanted)
+    void execute(const failure_domain_id& /*domain*/, const groups::share_runner& command)
     {
         for (const member& one : peers.members()) {
             if (one.node != settings.node && one.live())
-                peers.send_server(one.node, wanted.word);
+                peers.send_server(one.node, command.word);
         }
-        apply_runner_word(wanted.word);
+        apply_runner_word(command.word);
     }
-    void execute(const failure_domain_id& domain, const groups::notice& wanted)
+    void execute(const failure_domain_id& domain, const groups::notice& command)
     {
         log_event(
-            wanted.level, wanted.kind,
-            {{"subject", wanted.subject}, {"detail", wanted.detail}, {"domain", domain.value()}});
+            command.level, command.kind,
+            {{"subject", command.subject}, {"detail", command.detail}, {"domain", domain.value()}});
     }
 
     net::awaitable<void> answer_peer(node_id from, server_question asked)
@@ -256,29 +256,29 @@
             peers.send_server(from, server_answer{asked.vm, answers});
     }
 
-    net::awaitable<void> transact(failure_domain_id domain, groups::kv_call wanted)
+    net::awaitable<void> transact(failure_domain_id domain, groups::kv_call command)
     {
         const auto self = shared_from_this();
-        result<kv_outcome> outcome = co_await kv.transact(std::move(wanted.transaction));
-        dispatch_to_domain(domain, groups::kv_result{wanted.token, std::move(outcome)});
+        result<kv_outcome> outcome = co_await kv.transact(std::move(command.transaction));
+        dispatch_to_domain(domain, groups::kv_result{command.token, std::move(outcome)});
     }
 
-    net::awaitable<void> grant(failure_domain_id domain, groups::lease_grant wanted)
+    net::awaitable<void> grant(failure_domain_id domain, groups::lease_grant command)
     {
         const auto self = shared_from_this();
-        const result<kv_lease> granted = co_await kv.grant(wanted.ttl);
-        const result<lease_id> told =
+        const result<kv_lease> granted = co_await kv.grant(command.ttl);
+        const result<lease_id> lease =
             granted ? result<lease_id>{granted.value().id} : result<lease_id>{granted.error()};
-        dispatch_to_domain(domain, groups::lease_result{wanted.token, told});
+        dispatch_to_domain(domain, groups::lease_result{command.token, lease});
     }
 
-    net::awaitable<void> renew(failure_domain_id domain, groups::lease_renew wanted)
+    net::awaitable<void> renew(failure_domain_id domain, groups::lease_renew command)
     {
         const auto self = shared_from_this();
-        const result<kv_lease> kept = co_await kv.keep_alive(wanted.lease);
-        const result<lease_id> told =
+        const result<kv_lease> kept = co_await kv.keep_alive(command.lease);
+        const result<lease_id> lease =
             kept ? result<lease_id>{kept.value().id} : result<lease_id>{kept.error()};
-        dispatch_to_domain(domain, groups::lease_result{wanted.token, told});
+        dispatch_to_domain(domain, groups::lease_result{command.token, lease});
     }
 
     net::awaitable<void> end_lease(lease_id lease)
@@ -288,40 +288,39 @@
         (void)co_await kv.revoke(lease);
     }
 
-    net::awaitable<void> send(failure_domain_id domain, groups::send_order wanted)
+    net::awaitable<void> send(failure_domain_id domain, groups::send_order command)
     {
         const auto self = shared_from_this();
-        const order_reply reply = co_await orders.send(wanted.address, wanted.vm, wanted.order,
-                                                       wanted.fence, order_timeout);
+        const order_reply reply = co_await orders.send(command.address, command.vm, command.order,
+                                                       command.fence, order_timeout);
         if (reply != order_reply::begun && reply != order_reply::holds)
             log_event(log_level::warning, "order_not_taken",
-                      {{"vm", wanted.vm.value()}, {"reply", to_name(reply)}});
-        dispatch_to_domain(domain, groups::order_answered{wanted.token, wanted.vm, reply});
+                      {{"vm", command.vm.value()}, {"reply", to_name(reply)}});
+        dispatch_to_domain(domain, groups::order_answered{command.token, command.vm, reply});
     }
 
-    net::awaitable<void> ask_runner(failure_domain_id domain, groups::ask_runner wanted)
+    net::awaitable<void> ask_runner(failure_domain_id domain, groups::ask_runner command)
     {
         const auto self = shared_from_this();
         const result<runner_report> report =
-            co_await orders.report(wanted.vm, wanted.address, probe_timeout);
+            co_await orders.report(command.vm, command.address, probe_timeout);
         if (report)
             dispatch_to_domain(domain, groups::runner_reported{report.value()});
         else
             log_event(log_level::warning, "runner_report_missing",
-                      {{"vm", wanted.vm.value()}, {"reason", report.error().message}});
+                      {{"vm", command.vm.value()}, {"reason", report.error().message}});
     }
 
-    net::awaitable<void> probe(failure_domain_id domain, groups::probe_member wanted)
+    net::awaitable<void> probe(failure_domain_id domain, groups::probe_member command)
     {
         const auto self = shared_from_this();
-        const bool answers = co_await orders.answers(wanted.address, probe_timeout);
+        const bool answers = co_await orders.answers(command.address, probe_timeout);
         if (!answers)
-            log_event(log_level::warning, "runner_silent", {{"vm", wanted.vm.value()}});
-        dispatch_to_domain(domain, groups::member_probed{wanted.vm, answers});
+            log_event(log_level::warning, "runner_silent", {{"vm", command.vm.value()}});
+        dispatch_to_domain(domain, groups::member_probed{command.vm, answers});
     }
 
-    std::map<vm_id, std::set<node_id>>
-        m_awaited_answers; ///< nodes whose answer about a runner is pending
+    std::map<vm_id, std::set<node_id>> m_awaited_answers; ///< nodes asked about a runner
 };
 
 formation_driver::formation_driver(net::io_context& io, const daemon_settings& settings,
@@ -380,17 +379,17 @@
     m_impl->dispatch(groups::runner_gone{vm});
 }
 
-void formation_driver::store_key_updated(const kv_entry& entry, bool there)
+void formation_driver::store_key_updated(const kv_entry& entry, bool exists)
 {
-    if (there)
+    if (exists)
         m_impl->keys[entry.key] = entry;
     else
         m_impl->keys.erase(entry.key);
     for (auto& [domain, manager] : m_impl->managers) {
         if (groups::formation_key(m_impl->settings.deployment, domain) == entry.key)
-            m_impl->dispatch_to(
-                domain, manager,
-                groups::manager_key_seen{there ? std::optional{entry} : std::optional<kv_entry>{}});
+            m_impl->dispatch_to(domain, manager,
+                                groups::manager_key_seen{exists ? std::optional{entry}
+                                                                : std::optional<kv_entry>{}});
     }
 }
 
--- a/daemon/formation_driver.h
+++ b/daemon/formation_driver.h
@@ -41,9 +41,9 @@
     void install(const configuration& tables);
     void runner_seen(const runner& row);
     void runner_gone(const vm_id& vm);
-    /// A key of the store was written (`there`) or deleted. Keys that are not manager keys are
+    /// A key of the store was written (`exists`) or deleted. Keys that are not manager keys are
     /// ignored.
-    void store_key_updated(const kv_entry& entry, bool there);
+    void store_key_updated(const kv_entry& entry, bool exists);
     /// Whether this node's copy of the registry is up to date because the store itself answers this
     /// node, and the node's rank among the followers of the store in its failure domain.
     void set_current(bool current, std::size_t rank);
--- a/daemon/group_calls.cc
+++ b/daemon/group_calls.cc
@@ -30,25 +30,25 @@
     return groups::member_state::failed;
 }
 
-groups::member_report to_report(const engine_report& told)
+groups::member_report to_report(const engine_report& received)
 {
     groups::member_report report;
-    report.vm = told.vm;
-    report.boot = told.boot;
-    report.group = told.group;
-    report.fencing = told.fencing;
-    report.rank = told.rank;
-    report.members = told.members;
-    report.model = told.model;
-    report.version = told.version;
-    report.adapters = told.adapters;
-    report.state = to_state(told.state);
-    report.progress = told.progress;
-    report.running = told.running;
-    report.waiting = told.waiting;
-    report.kv_used = told.kv_used;
-    report.step_ms = told.step_ms;
-    report.leaving = told.leaving;
+    report.vm = received.vm;
+    report.boot = received.boot;
+    report.group = received.group;
+    report.fencing = received.fencing;
+    report.rank = received.rank;
+    report.members = received.members;
+    report.model = received.model;
+    report.version = received.version;
+    report.adapters = received.adapters;
+    report.state = to_state(received.state);
+    report.progress = received.progress;
+    report.running = received.running;
+    report.waiting = received.waiting;
+    report.kv_used = received.kv_used;
+    report.step_ms = received.step_ms;
+    report.leaving = received.leaving;
     return report;
 }
 
@@ -74,59 +74,61 @@
     const auto found = managers.find(domain);
     if (found == managers.end())
         return;
-    for (const groups::manager_command& wanted : found->second.handle(event, runtime_clock::now()))
-        std::visit([&](const auto& one) { execute(domain, one); }, wanted);
+    for (const groups::manager_command& command : found->second.handle(event, runtime_clock::now()))
+        std::visit([&](const auto& one) { execute(domain, one); }, command);
 }
 
 void group_driver::impl::dispatch_to_board(const groups::board_event& event)
 {
-    for (const groups::board_command& wanted : board.handle(event, runtime_clock::now())) {
-        if (const auto* ask = std::get_if<groups::probe>(&wanted))
+    for (const groups::board_command& command : board.handle(event, runtime_clock::now())) {
+        if (const auto* ask = std::get_if<groups::probe>(&command))
             execute(fabric_domain_id{}, *ask);
-        else if (const auto* ticket = std::get_if<groups::ticket_changed>(&wanted))
+        else if (const auto* ticket = std::get_if<groups::ticket_changed>(&command))
             execute(*ticket);
-        else if (const auto* line = std::get_if<groups::notice>(&wanted))
+        else if (const auto* line = std::get_if<groups::notice>(&command))
             execute(fabric_domain_id{}, *line);
     }
 }
 
-void group_driver::impl::execute(const fabric_domain_id& domain, const groups::kv_call& wanted)
+void group_driver::impl::execute(const fabric_domain_id& domain, const groups::kv_call& command)
 {
-    net::co_spawn(io, transact(domain, wanted), net::detached);
+    net::co_spawn(io, transact(domain, command), net::detached);
 }
 
-void group_driver::impl::execute(const fabric_domain_id& domain, const groups::lease_grant& wanted)
+void group_driver::impl::execute(const fabric_domain_id& domain, const groups::lease_grant& command)
 {
-    net::co_spawn(io, grant(domain, wanted), net::detached);
+    net::co_spawn(io, grant(domain, command), net::detached);
 }
 
-void group_driver::impl::execute(const fabric_domain_id& domain, const groups::lease_renew& wanted)
+void group_driver::impl::execute(const fabric_domain_id& domain, const groups::lease_renew& command)
 {
-    net::co_spawn(io, renew(domain, wanted), net::detached);
+    net::co_spawn(io, renew(domain, command), net::detached);
 }
 
-void group_driver::impl::execute(const fabric_domain_id& /*domain*/, const groups::probe& wanted)
+void group_driver::impl::execute(const fabric_domain_id& /*domain*/, const groups::probe& command)
 {
     // The manager and the ticket board may probe the same VM; both get the result of one call.
-    if (probing.insert(wanted.vm).second)
-        net::co_spawn(io, request_report(wanted), net::detached);
+    if (probing.insert(command.vm).second)
+        net::co_spawn(io, request_report(command), net::detached);
 }
 
-void group_driver::impl::execute(const fabric_domain_id& domain, const groups::order_assign& wanted)
+void group_driver::impl::execute(const fabric_domain_id& domain,
+                                 const groups::order_assign& command)
 {
-    net::co_spawn(io, assign(domain, wanted), net::detached);
+    net::co_spawn(io, assign(domain, command), net::detached);
 }
 
 void group_driver::impl::execute(const fabric_domain_id& domain,
-                                 const groups::order_release& wanted)
+                                 const groups::order_release& command)
 {
-    net::co_spawn(io, release(domain, wanted), net::detached);
+    net::co_spawn(io, release(domain, command), net::detached);
 }
 
-void group_driver::impl::execute(const fabric_domain_id& domain, const groups::notice& wanted)
+void group_driver::impl::execute(const fabric_domain_id& domain, const groups::notice& command)
 {
-    log_event(wanted.level, wanted.kind,
-              {{"domain", domain.value()}, {"subject", wanted.subject}, {"detail", wanted.detail}});
+    log_event(
+        command.level, command.kind,
+        {{"domain", domain.value()}, {"subject", command.subject}, {"detail", command.detail}});
 }
 
 /// The nodes that watch a group publish its ticket, and so does its fabric domain's manager, which
@@ -141,29 +143,29 @@
     return leads || board.watches(group.group);
 }
 
-void group_driver::impl::execute(const groups::ticket_changed& wanted)
+void group_driver::impl::execute(const groups::ticket_changed& command)
 {
     const time_point now = runtime_clock::now();
-    if (should_publish(wanted.group)) {
-        ticket_digest told;
-        told.group = wire_key(wanted.group.group.value());
-        told.fencing = wanted.group.fencing;
-        told.complete = wanted.complete;
+    if (should_publish(command.group)) {
+        ticket_digest digest;
+        digest.group = wire_key(command.group.group.value());
+        digest.fencing = command.group.fencing;
+        digest.complete = command.complete;
         std::uint32_t capacity = 1;
         for (const pool& row : tables ? tables->pools : std::vector<pool>{}) {
-            if (row.name == wanted.group.pool)
+            if (row.name == command.group.pool)
                 capacity = std::max(1U, row.max_in_flight_per_replica);
         }
-        told.load = static_cast<std::uint16_t>(
-            std::min(per_mille, per_mille * wanted.group.load.running / capacity));
+        digest.load = static_cast<std::uint16_t>(
+            std::min(per_mille, per_mille * command.group.load.running / capacity));
         // The age of a ticket is that of the oldest report it is based on.
-        const duration left = wanted.group.valid_until - now;
-        told.age = wanted.complete ? std::max(duration{0}, ticket_horizon - left) : duration{0};
-        peers.publish(told);
+        const duration left = command.group.valid_until - now;
+        digest.age = command.complete ? std::max(duration{0}, ticket_horizon - left) : duration{0};
+        peers.publish(digest);
     }
-    if (!wanted.complete) {
+    if (!command.complete) {
         hooks.on_changed();
-        hooks.on_broken(wanted.group.group);
+        hooks.on_broken(command.group.group);
     }
 }
 
@@ -183,72 +185,72 @@
     }
 }
 
-net::awaitable<void> group_driver::impl::transact(fabric_domain_id domain, groups::kv_call wanted)
+net::awaitable<void> group_driver::impl::transact(fabric_domain_id domain, groups::kv_call command)
 {
     const auto self = shared_from_this();
-    const std::vector<kv_operation> writes = wanted.transaction.then;
-    result<kv_outcome> outcome = co_await kv.transact(std::move(wanted.transaction));
+    const std::vector<kv_operation> writes = command.transaction.then;
+    result<kv_outcome> outcome = co_await kv.transact(std::move(command.transaction));
     if (stopped)
         co_return;
     if (outcome && outcome.value().succeeded)
         relay_writes(writes, outcome.value().revision);
-    dispatch_to_manager(domain, groups::kv_result{wanted.token, std::move(outcome)});
+    dispatch_to_manager(domain, groups::kv_result{command.token, std::move(outcome)});
 }
 
-net::awaitable<void> group_driver::impl::grant(fabric_domain_id domain, groups::lease_grant wanted)
+net::awaitable<void> group_driver::impl::grant(fabric_domain_id domain, groups::lease_grant command)
 {
     const auto self = shared_from_this();
-    const result<kv_lease> granted = co_await kv.grant(wanted.ttl);
+    const result<kv_lease> granted = co_await kv.grant(command.ttl);
     if (stopped)
         co_return;
-    groups::lease_result told{wanted.token, error{}};
+    groups::lease_result outcome{command.token, error{}};
     if (granted)
-        told.lease = granted.value().id;
+        outcome.lease = granted.value().id;
     else
-        told.lease = granted.error();
-    dispatch_to_manager(domain, told);
+        outcome.lease = granted.error();
+    dispatch_to_manager(domain, outcome);
 }
 
-net::awaitable<void> group_driver::impl::renew(fabric_domain_id domain, groups::lease_renew wanted)
+net::awaitable<void> group_driver::impl::renew(fabric_domain_id domain, groups::lease_renew command)
 {
     const auto self = shared_from_this();
-    const result<kv_lease> renewed = co_await kv.keep_alive(wanted.lease);
+    const result<kv_lease> renewed = co_await kv.keep_alive(command.lease);
     if (stopped)
         co_return;
-    groups::lease_result told{wanted.token, error{}};
+    groups::lease_result outcome{command.token, error{}};
     if (renewed)
-        told.lease = renewed.value().id;
+        outcome.lease = renewed.value().id;
     else
-        told.lease = renewed.error();
-    dispatch_to_manager(domain, told);
+        outcome.lease = renewed.error();
+    dispatch_to_manager(domain, outcome);
 }
 
-net::awaitable<void> group_driver::impl::request_report(groups::probe wanted)
+net::awaitable<void> group_driver::impl::request_report(groups::probe command)
 {
     const auto self = shared_from_this();
-    engine_client engine{io.get_executor(), wanted.address, probe_timeout};
+    engine_client engine{io.get_executor(), command.address, probe_timeout};
     const time_point sent_at = runtime_clock::now();
-    const result<engine_report> told = co_await engine.report();
-    probing.erase(wanted.vm);
+    const result<engine_report> report = co_await engine.report();
+    probing.erase(command.vm);
     if (stopped)
         co_return;
-    if (told) {
-        handle_report(wanted, told.value(), sent_at);
+    if (report) {
+        handle_report(command, report.value(), sent_at);
         co_return;
     }
-    reports.erase(wanted.vm);
-    const auto domain = domain_of.find(wanted.vm);
+    reports.erase(command.vm);
+    const auto domain = domain_of.find(command.vm);
     if (domain != domain_of.end())
-        dispatch_to_manager(domain->second, groups::report_failed{wanted.vm});
-    dispatch_to_board(groups::report_failed{wanted.vm});
+        dispatch_to_manager(domain->second, groups::report_failed{command.vm});
+    dispatch_to_board(groups::report_failed{command.vm});
 }
 
-void group_driver::impl::handle_report(const groups::probe& asked, const engine_report& told,
+void group_driver::impl::handle_report(const groups::probe& asked, const engine_report& report,
                                        time_point sent_at)
 {
-    const groups::report_seen seen{asked.vm, to_report(told), sent_at};
+    const groups::report_seen seen{asked.vm, to_report(report), sent_at};
     reports[asked.vm] = seen.report;
-    if (told.leaving)
+    if (report.leaving)
         hooks.on_leaving(asked.address);
     const auto domain = domain_of.find(asked.vm);
     if (domain != domain_of.end())
@@ -257,41 +259,41 @@
 }
 
 net::awaitable<void> group_driver::impl::assign(fabric_domain_id domain,
-                                                groups::order_assign wanted)
+                                                groups::order_assign command)
 {
     const auto self = shared_from_this();
-    const duration left = wanted.not_after - runtime_clock::now();
+    const duration left = command.not_after - runtime_clock::now();
     if (left <= duration{0})
         co_return;
-    engine_client engine{io.get_executor(), wanted.address, left};
+    engine_client engine{io.get_executor(), command.address, left};
     engine_order_assign order;
-    order.order = wanted.order;
-    order.fencing = wanted.fencing;
-    order.group = wanted.group;
-    order.rank = wanted.rank;
-    order.members = wanted.members;
-    order.model = wanted.model;
-    order.version = wanted.version;
-    order.adapters = wanted.adapters;
+    order.order = command.order;
+    order.fencing = command.fencing;
+    order.group = command.group;
+    order.rank = command.rank;
+    order.members = command.members;
+    order.model = command.model;
+    order.version = command.version;
+    order.adapters = command.adapters;
     const result<void> taken = co_await engine.assign(std::move(order));
     if (!stopped)
         dispatch_to_manager(domain,
-                            groups::order_result{wanted.token, wanted.vm, to_answer(taken)});
+                            groups::order_result{command.token, command.vm, to_answer(taken)});
 }
 
 net::awaitable<void> group_driver::impl::release(fabric_domain_id domain,
-                                                 groups::order_release wanted)
+                                                 groups::order_release command)
 {
     const auto self = shared_from_this();
-    const duration left = wanted.not_after - runtime_clock::now();
+    const duration left = command.not_after - runtime_clock::now();
     if (left <= duration{0})
         co_return;
-    engine_client engine{io.get_executor(), wanted.address, left};
-    const engine_order_release order{wanted.order, wanted.fencing, wanted.group};
+    engine_client engine{io.get_executor(), command.address, left};
+    const engine_order_release order{command.order, command.fencing, command.group};
     const result<void> taken = co_await engine.release(order);
     if (!stopped)
         dispatch_to_manager(domain,
-                            groups::order_result{wanted.token, wanted.vm, to_answer(taken)});
+                            groups::order_result{command.token, command.vm, to_answer(taken)});
 }
 
 } // namespace jaynotch
--- a/daemon/group_driver_impl.h
+++ b/daemon/group_driver_impl.h
@@ -63,23 +63,23 @@
     void update_peers();
 
     // group_calls.cc
-    void execute(const fabric_domain_id& domain, const groups::kv_call& wanted);
-    void execute(const fabric_domain_id& domain, const groups::lease_grant& wanted);
-    void execute(const fabric_domain_id& domain, const groups::lease_renew& wanted);
-    void execute(const fabric_domain_id& domain, const groups::probe& wanted);
-    void execute(const fabric_domain_id& domain, const groups::order_assign& wanted);
-    void execute(const fabric_domain_id& domain, const groups::order_release& wanted);
-    void execute(const fabric_domain_id& domain, const groups::notice& wanted);
-    void execute(const groups::ticket_changed& wanted);
+    void execute(const fabric_domain_id& domain, const groups::kv_call& command);
+    void execute(const fabric_domain_id& domain, const groups::lease_grant& command);
+    void execute(const fabric_domain_id& domain, const groups::lease_renew& command);
+    void execute(const fabric_domain_id& domain, const groups::probe& command);
+    void execute(const fabric_domain_id& domain, const groups::order_assign& command);
+    void execute(const fabric_domain_id& domain, const groups::order_release& command);
+    void execute(const fabric_domain_id& domain, const groups::notice& command);
+    void execute(const groups::ticket_changed& command);
     [[nodiscard]] bool should_publish(const groups::complete_group& group) const;
     void relay_writes(const std::vector<kv_operation>& writes, std::int64_t revision);
-    net::awaitable<void> transact(fabric_domain_id domain, groups::kv_call wanted);
-    net::awaitable<void> grant(fabric_domain_id domain, groups::lease_grant wanted);
-    net::awaitable<void> renew(fabric_domain_id domain, groups::lease_renew wanted);
-    net::awaitable<void> request_report(groups::probe wanted);
-    net::awaitable<void> assign(fabric_domain_id domain, groups::order_assign wanted);
-    net::awaitable<void> release(fabric_domain_id domain, groups::order_release wanted);
-    void handle_report(const groups::probe& asked, const engine_report& told, time_point sent_at);
+    net::awaitable<void> transact(fabric_domain_id domain, groups::kv_call command);
+    net::awaitable<void> grant(fabric_domain_id domain, groups::lease_grant command);
+    net::awaitable<void> renew(fabric_domain_id domain, groups::lease_renew command);
+    net::awaitable<void> request_report(groups::probe command);
+    net::awaitable<void> assign(fabric_domain_id domain, groups::order_assign command);
+    net::awaitable<void> release(fabric_domain_id domain, groups::order_release command);
+    void handle_report(const groups::probe& asked, const engine_report& report, time_point sent_at);
 };
 
 } // namespace jaynotch
--- a/daemon/outage_inquiry.cc
+++ b/daemon/outage_inquiry.cc
@@ -63,36 +63,36 @@
     std::erase_if(m_nodes, [&](const auto& entry) {
         return entry.second && now - *entry.second > dead_node_retention;
     });
-    round& begun = m_rounds[domain];
-    if (begun.number == 0 || begun.unanswered != begun.logged) {
+    round& started = m_rounds[domain];
+    if (started.number == 0 || started.unanswered != started.logged) {
         std::vector<std::string> names;
-        for (const node_id& node : begun.unanswered)
+        for (const node_id& node : started.unanswered)
             names.push_back(node.value());
         log_event(log_level::warning, "outage_asked",
                   {{"domain", domain.value()}, {"unconfirmed_by", names}});
-        begun.logged = begun.unanswered;
+        started.logged = started.unanswered;
     }
-    begun.number = ++m_last_round;
-    begun.asked = now;
-    begun.unanswered.clear();
-    for (const auto& [node, ceased] : m_nodes) {
+    started.number = ++m_last_round;
+    started.asked = now;
+    started.unanswered.clear();
+    for (const auto& [node, dead_since] : m_nodes) {
         if (node == m_settings.node)
             continue;
-        begun.unanswered.insert(node);
-        m_peers.send_server(node, store_question{domain, begun.number});
+        started.unanswered.insert(node);
+        m_peers.send_server(node, store_question{domain, started.number});
     }
-    if (begun.unanswered.empty())
-        m_hooks.on_confirmed(domain, begun.asked);
+    if (started.unanswered.empty())
+        m_hooks.on_confirmed(domain, started.asked);
 }
 
-void outage_inquiry::receive(const node_id& from, const store_answer& told)
+void outage_inquiry::receive(const node_id& from, const store_answer& reply)
 {
-    const auto found = m_rounds.find(told.domain);
+    const auto found = m_rounds.find(reply.domain);
     // An answer to an earlier round may be so old that its sender may manage again.
-    if (found == m_rounds.end() || told.reached || told.round != found->second.number)
+    if (found == m_rounds.end() || reply.reached || reply.round != found->second.number)
         return;
     if (found->second.unanswered.erase(from) != 0 && found->second.unanswered.empty())
-        m_hooks.on_confirmed(told.domain, found->second.asked);
+        m_hooks.on_confirmed(reply.domain, found->second.asked);
 }
 
 void outage_inquiry::receive(const node_id& from, const store_question& asked)
--- a/daemon/outage_inquiry.h
+++ b/daemon/outage_inquiry.h
@@ -42,7 +42,7 @@
     /// Asks all other nodes whether they reach the store. Replaces the domain's previous round.
     void start_round(const failure_domain_id& domain);
     void receive(const node_id& from, const store_question& asked);
-    void receive(const node_id& from, const store_answer& told);
+    void receive(const node_id& from, const store_answer& reply);
     /// Answers that the store is not reached, without a check. For a node that is stopping and will
     /// manage nothing any more, so that nothing depends on whether it reaches the store.
     void confirm_without_check(const node_id& from, const store_question& asked)
--- a/daemon/registry_daemon.cc
+++ b/daemon/registry_daemon.cc
@@ -217,8 +217,8 @@
             m_registry.drop(id, runtime_clock::now());
             managers->runner_gone(id);
         };
-        hooks.on_key = [this](const kv_entry& entry, bool there) {
-            managers->store_key_updated(entry, there);
+        hooks.on_key = [this](const kv_entry& entry, bool exists) {
+            managers->store_key_updated(entry, exists);
         };
         hooks.on_current_changed = [this](bool current, std::size_t rank) {
             managers->set_current(current, rank);
@@ -292,11 +292,11 @@
         while (!m_stopped) {
             boost::system::error_code ignored;
             m_timer.expires_after(tick_interval);
-            const time_point wanted = runtime_clock::now() + tick_interval;
+            const time_point expected_at = runtime_clock::now() + tick_interval;
             co_await m_timer.async_wait(net::redirect_error(net::use_awaitable, ignored));
             if (m_stopped)
                 co_return;
-            counted.loop_delay(std::max<duration>(duration{0}, runtime_clock::now() - wanted));
+            counted.loop_delay(std::max<duration>(duration{0}, runtime_clock::now() - expected_at));
             feed->tick();
             managers->tick();
             flush_log();
--- a/daemon/registry_daemon_test.cc
+++ b/daemon/registry_daemon_test.cc
@@ -138,7 +138,7 @@
         std::shared_ptr<bool> ended = std::make_shared<bool>(false);
     };
 
-    pending_request begin(const std::string& target, std::vector<http_header> more = {},
+    pending_request begin(const std::string& target, std::vector<http_header> extra_headers = {},
                           std::size_t node = 0)
     {
         caller_request request;
@@ -151,7 +151,7 @@
             request.headers.insert(request.headers.end(),
                                    {{"Jaynotch-Model", "m"}, {"Jaynotch-Token-Counts", "100,50"}});
         bool keyed = false;
-        for (http_header& one : more) {
+        for (http_header& one : extra_headers) {
             keyed = keyed || one.name == "Authorization";
             request.headers.push_back(std::move(one));
         }
@@ -164,10 +164,10 @@
         return made;
     }
 
-    caller_answer ask(const std::string& target, std::vector<http_header> more = {},
+    caller_answer ask(const std::string& target, std::vector<http_header> extra_headers = {},
                       std::size_t node = 0)
     {
-        const pending_request made = begin(target, std::move(more), node);
+        const pending_request made = begin(target, std::move(extra_headers), node);
         cr_assert(run_until([&] { return *made.ended; }), "no answer to %s", target.c_str());
         return *made.answer;
     }
--- a/daemon/registry_feed.cc
+++ b/daemon/registry_feed.cc
@@ -41,8 +41,8 @@
 /// Each call costs the store the same whatever it returns, so changes are collected into batches.
 /// The delay is short compared with the time within which a change must be in force.
 constexpr watch_pace first_follower_pace{.gather = std::chrono::milliseconds{120}};
-/// While a follower of lower rank is up to date, this one only has to be ready to take over, so it
-/// may wait longer.
+/// While a follower that ranks before this one is up to date, this one only has to be ready to take
+/// over, so it may wait longer.
 constexpr watch_pace other_follower_pace{.gather = std::chrono::milliseconds{500}};
 /// For a watcher on which no other node depends.
 constexpr watch_pace non_follower_pace{.gather = std::chrono::milliseconds{100}};
@@ -205,14 +205,14 @@
                    {"revision", read.value().revision},
                    {"took_ms", milliseconds_since(asked)}});
         store_recovered();
-        std::set<std::string> there;
+        std::set<std::string> present_keys;
         for (const kv_entry& entry : read.value().entries) {
-            there.insert(entry.key);
+            present_keys.insert(entry.key);
             relay.read(entry);
         }
-        for (const auto& [key, held] : std::map{relay.keys()}) {
-            if (!held.value.empty() && !there.contains(key) &&
-                held.revision < read.value().revision)
+        for (const auto& [key, document] : std::map{relay.keys()}) {
+            if (!document.value.empty() && !present_keys.contains(key) &&
+                document.revision < read.value().revision)
                 relay.read(deleted_entry(key, read.value().revision));
         }
         // Documents from a full read are not pushed. Neighbours must compare their documents with
@@ -238,7 +238,7 @@
             co_return false;
         }
         const time_point begun = runtime_clock::now();
-        time_point answered_last = begun;
+        time_point last_answer_at = begun;
         while (!stopped) {
             const result<kv_watch_batch> batch = co_await watch.value().next(watch_wait);
             if (stopped)
@@ -247,7 +247,7 @@
                 log_event(log_level::info, "watch_ended",
                           {{"reason", batch.error().message},
                            {"revision", m_revision},
-                           {"silent_ms", milliseconds_since(answered_last)}});
+                           {"silent_ms", milliseconds_since(last_answer_at)}});
                 if (batch.error().kind == error_kind::not_found)
                     m_revision = 0; // the store has dropped that history: read everything
                 else
@@ -258,7 +258,7 @@
             }
             if (batch.value().revision == 0)
                 continue; // the store has sent nothing yet
-            answered_last = runtime_clock::now();
+            last_answer_at = runtime_clock::now();
             store_recovered();
             for (const kv_event& event : batch.value().events) {
                 if (event.deleted)
@@ -330,20 +330,20 @@
     void handle_entry(const kv_entry& entry)
     {
         m_changed = true;
-        const bool there = !entry.value.empty();
+        const bool exists = !entry.value.empty();
         if (platform::is_runner(entry.key))
-            handle_runner_entry(entry, there);
+            handle_runner_entry(entry, exists);
         else if (platform::is_configuration(entry.key))
-            handle_configuration_entry(entry, there);
+            handle_configuration_entry(entry, exists);
         else
-            hooks.on_key(entry, there);
+            hooks.on_key(entry, exists);
     }
 
-    void handle_runner_entry(const kv_entry& entry, bool there)
+    void handle_runner_entry(const kv_entry& entry, bool exists)
     {
         const vm_id id = platform::runner_id(entry.key);
         m_missing_runners.erase(id);
-        if (!there) {
+        if (!exists) {
             const time_point now = runtime_clock::now();
             if (now < m_grace_until)
                 m_missing_runners[id] = m_grace_until;
@@ -361,9 +361,9 @@
         hooks.on_runner_removed(id);
     }
 
-    void handle_configuration_entry(const kv_entry& entry, bool there)
+    void handle_configuration_entry(const kv_entry& entry, bool exists)
     {
-        if (!there)
+        if (!exists)
             return; // the installed configuration stays in force
         result<configuration> read = platform::parse_configuration(entry);
         if (!read) {
--- a/daemon/registry_feed.h
+++ b/daemon/registry_feed.h
@@ -29,8 +29,8 @@
     std::function<void(std::shared_ptr<const configuration>)> on_configuration;
     std::function<void(const runner&)> on_runner;
     std::function<void(const vm_id&)> on_runner_removed;
-    /// Any other key was written (`there`) or deleted.
-    std::function<void(const kv_entry&, bool there)> on_key;
+    /// Any other key was written (`exists`) or deleted.
+    std::function<void(const kv_entry&, bool exists)> on_key;
     /// `current`: the store answers this node and all its documents have been read. `rank`: the
     /// node's rank among the followers of the store in its failure domain.
     std::function<void(bool current, std::size_t rank)> on_current_changed;
--- a/daemon/registry_pages.cc
+++ b/daemon/registry_pages.cc
@@ -85,9 +85,9 @@
 net::awaitable<void> registry_pages::show_config(http_exchange& exchange)
 {
     const std::shared_ptr<const configuration> tables = m_sources.tables();
-    const std::string wanted = exchange.query("revision");
+    const std::string requested = exchange.query("revision");
     const bool other =
-        tables && !wanted.empty() && wanted != std::to_string(tables->revision.value());
+        tables && !requested.empty() && requested != std::to_string(tables->revision.value());
     if (!tables || other) {
         co_await answer_error(exchange,
                               {error_kind::not_found, "this node knows the tables in force only",
--- a/daemon/settings.h
+++ b/daemon/settings.h
@@ -21,15 +21,14 @@
 
 /// Time limits of the daemon's waits.
 struct daemon_timeouts {
-    http_timeouts http;                             ///< for callers' connections
-    std::chrono::milliseconds connect{1'000};       ///< opening a connection to a backend server
-    std::chrono::milliseconds stream_stall{10'000}; ///< between two events of an engine's stream
-    std::chrono::milliseconds upstream_idle{
-        30'000}; ///< until an unused pooled connection is closed
+    http_timeouts http;                              ///< for callers' connections
+    std::chrono::milliseconds connect{1'000};        ///< opening a connection to a backend server
+    std::chrono::milliseconds stream_stall{10'000};  ///< between two events of an engine's stream
+    std::chrono::milliseconds upstream_idle{30'000}; ///< an unused pooled connection
     /// An order takes effect within this time after it was sent, or never.
     std::chrono::milliseconds order_horizon{8'000};
-    std::chrono::milliseconds balancer_wait{
-        2'000}; ///< on a stop, from reporting not ready to closing the port
+    /// On a stop: time between reporting not ready and accepting no more connections.
+    std::chrono::milliseconds balancer_wait{2'000};
     std::chrono::milliseconds max_stop_time{660'000}; ///< upper limit of a graceful stop
 };
 
