--- a/daemon/daemon_impl.h
+++ b/daemon/daemon_impl.h
@@ -81,8 +81,8 @@
         std::map<std::pair<pool_id, workspace_id>, std::pair<demand_row, time_point>> rows;
     };
 
-    std::vector<groups::complete_group> m_pushed;
-    std::unordered_map<group_id, time_point> m_valid_until;
+    std::vector<groups::complete_group> m_pushed;           ///< last given to the request core
+    std::unordered_map<group_id, time_point> m_valid_until; ///< expiry of each group's ticket
     std::unordered_map<node_id, peer_demand_rows> m_demand;
     std::unordered_map<std::uint32_t, pool_id> m_pools_by_key;
     std::unordered_map<std::uint32_t, workspace_id> m_workspaces_by_key;
--- a/daemon/daemon_test.cc
+++ b/daemon/daemon_test.cc
@@ -80,7 +80,7 @@
 Test(daemon, a_broken_stream_continues_on_the_other_group, .timeout = 60)
 {
     served_fleet fleet;
-    const std::string complete = fleet.ask(0, chat("which ducts", 40)).text();
+    const std::string uninterrupted = fleet.ask(0, chat("which ducts", 40)).text();
     for (std::size_t index = 0; index < 4; ++index)
         fleet.platform().engine(index).apply({.cut_after = 7});
     auto pending = fleet.begin_at(0, chat("which ducts", 40));
@@ -91,7 +91,7 @@
     cr_assert_eq(fleet.node(0).counts().resumed, 1U);
     cr_assert(pending.answer->complete && pending.answer->done(), "%s",
               pending.answer->body.c_str());
-    cr_assert_eq(pending.answer->text(), complete);
+    cr_assert_eq(pending.answer->text(), uninterrupted);
 }
 
 // Every engine closes every stream early. The caller must be able to tell that its answer is
@@ -126,12 +126,12 @@
             fleet.platform().engine(index).apply(on);
         for (const bool stream : {true, false}) {
             const caller_answer answer = fleet.ask(0, chat("which ducts", 10, stream));
-            const bool fine = answer.complete && answer.status == 200;
+            const bool served = answer.complete && answer.status == 200;
             const bool refused = answer.complete && answer.status >= 400 && !answer.ran.empty();
             const bool marked_incomplete = !answer.complete && !answer.done();
-            cr_assert(fine || refused || marked_incomplete, "%d %s", answer.status,
+            cr_assert(served || refused || marked_incomplete, "%d %s", answer.status,
                       answer.body.c_str());
-            if (fine && stream)
+            if (served && stream)
                 cr_assert_eq(answer.text(), expected);
         }
         for (std::size_t index = 0; index < 4; ++index)
--- a/daemon/fleet_fixture.h
+++ b/daemon/fleet_fixture.h
@@ -43,7 +43,7 @@
     std::string ran;        ///< value of the header jaynotch-ran
     std::string headers;    ///< all of them, as text
 
-    /// The text of a chat stream; `done` if its terminal mark came.
+    /// Text of the chat stream as far as it was received.
     [[nodiscard]] std::string text() const
     {
         sse_splitter events{body.size() + 1};
@@ -56,6 +56,7 @@
         }
         return joined;
     }
+    /// Whether the chat stream ended with its terminal event.
     [[nodiscard]] bool done() const { return body.ends_with(done_event); }
 };
 
--- a/daemon/jaynotchd_main.cc
+++ b/daemon/jaynotchd_main.cc
@@ -78,9 +78,9 @@
     if (!started)
         return report_startup_error(started.error());
     const daemon_settings& settings = started.value().settings;
-    const result<void> fine = check(settings);
-    if (!fine)
-        return report_startup_error(fine.error());
+    const result<void> checked = check(settings);
+    if (!checked)
+        return report_startup_error(checked.error());
     if (started.value().check_only) {
         std::puts("settings are fine");
         return 0;
@@ -91,12 +91,12 @@
         if (settings.source == source_kind::own)
             return run<class daemon>(settings, [](class daemon&) {});
         return run<registry_daemon>(settings, [&](registry_daemon& running) {
-            const result<daemon_settings> again = reload_settings(settings);
-            if (again)
-                running.reload(again.value());
+            const result<daemon_settings> reloaded = reload_settings(settings);
+            if (reloaded)
+                running.reload(reloaded.value());
             else
                 log_event(log_level::error, "settings_unreadable",
-                          {{"reason", to_string(again.error())}});
+                          {{"reason", to_string(reloaded.error())}});
         });
     }
     catch (const std::exception& thrown) {
--- a/daemon/outage_inquiry.cc
+++ b/daemon/outage_inquiry.cc
@@ -24,6 +24,7 @@
 
 /// The store usually answers within milliseconds, and within a few tenths of a second when slow.
 constexpr duration check_timeout = std::chrono::milliseconds{400};
+/// How long the result of a failed check is used to answer further questions.
 constexpr duration failure_validity = std::chrono::milliseconds{1'500};
 /// How long the answer of a dead node is still required. Longer than nodes are partitioned from
 /// each other without either of them being restarted.
--- a/daemon/registry_daemon.cc
+++ b/daemon/registry_daemon.cc
@@ -356,9 +356,9 @@
 
     net::awaitable<void> answer_readiness(http_exchange& exchange)
     {
-        const bool fine = ready();
-        const http::status status = fine ? http::status::ok : http::status::service_unavailable;
-        co_await exchange.answer(status, "text/plain", fine ? "ready\n" : "not ready\n");
+        const bool is_ready = ready();
+        const http::status status = is_ready ? http::status::ok : http::status::service_unavailable;
+        co_await exchange.answer(status, "text/plain", is_ready ? "ready\n" : "not ready\n");
     }
 
     [[nodiscard]] std::string metrics_page()
--- a/daemon/registry_daemon_test.cc
+++ b/daemon/registry_daemon_test.cc
@@ -98,7 +98,7 @@
     duration time_until(Done done, duration longest)
     {
         constexpr duration step = 5ms;
-        const auto work = std::chrono::milliseconds{2}; // for the sockets, between two steps
+        const auto work = std::chrono::milliseconds{2}; // real time for socket I/O in each step
         runtime_clock::pause();
         const time_point begun = runtime_clock::now();
         m_io.restart();
@@ -479,11 +479,11 @@
                           [&](const std::exception_ptr&) { stopped = true; });
     fleet.run(20ms);
     cr_assert(!fleet.daemons[0]->ready());
-    const auto late = fleet.begin("/chat/2");
+    const auto during_stop = fleet.begin("/chat/2");
     cr_assert(fleet.run_until([&] { return stopped; }));
     cr_assert_eq(stream.answer->body, complete_stream);
     cr_assert(stream.answer->complete);
-    cr_assert_eq(late.answer->body, complete_stream);
+    cr_assert_eq(during_stop.answer->body, complete_stream);
 }
 
 // The head of a group stops responding. The streams that it serves must continue on another group.
--- a/daemon/registry_feed.cc
+++ b/daemon/registry_feed.cc
@@ -86,13 +86,13 @@
         const auto self = shared_from_this();
         duration pause = min_retry_interval;
         while (!stopped) {
-            bool worked = true;
+            bool succeeded = true;
             if (should_watch()) {
-                worked = co_await read_or_watch();
+                succeeded = co_await read_or_watch();
             }
             if (stopped)
                 break;
-            pause = worked ? min_retry_interval : std::min(pause * 2, max_retry_interval);
+            pause = succeeded ? min_retry_interval : std::min(pause * 2, max_retry_interval);
             boost::system::error_code woken;
             m_pause.expires_after(pause);
             co_await m_pause.async_wait(net::redirect_error(net::use_awaitable, woken));
@@ -179,14 +179,14 @@
     /// Returns true if the store answered.
     net::awaitable<bool> read_or_watch()
     {
-        bool fine = true;
+        bool succeeded = true;
         if (m_revision == 0 || runtime_clock::now() - m_last_answer_at > max_watch_gap) {
-            fine = co_await read_all();
+            succeeded = co_await read_all();
         }
-        if (fine && !stopped && should_watch()) {
-            fine = co_await watch_until_error();
+        if (succeeded && !stopped && should_watch()) {
+            succeeded = co_await watch_until_error();
         }
-        co_return fine;
+        co_return succeeded;
     }
 
     net::awaitable<bool> read_all()
--- a/daemon/settings.h
+++ b/daemon/settings.h
@@ -35,13 +35,11 @@
 /// Limits of the memory and connections that the daemon uses, whatever callers send.
 struct daemon_limits {
     http_server_limits http; ///< of callers' connections; plain bodies are streamed, not buffered
-    std::size_t model_body_bytes =
-        4 * 1024 * 1024; ///< of a chat or completion body, which is buffered
-    std::size_t answer_bytes =
-        8 * 1024 * 1024; ///< of a non-streamed engine answer, which is buffered
-    std::size_t keyed_body_bytes = 512 * 1024; ///< of a keyed call and of its stored answer
-    std::size_t requests = 4'096;              ///< in flight and queued
-    std::size_t idle_upstream = 64;            ///< pooled connections to each target
+    std::size_t model_body_bytes = 4 * 1024 * 1024; ///< of a buffered chat or completion body
+    std::size_t answer_bytes = 8 * 1024 * 1024;     ///< of a buffered, non-streamed engine answer
+    std::size_t keyed_body_bytes = 512 * 1024;      ///< of a keyed call and of its stored answer
+    std::size_t requests = 4'096;                   ///< in flight and queued
+    std::size_t idle_upstream = 64;                 ///< pooled connections to each target
 };
 
 /// Where the daemon's tables, backend servers and groups come from.
@@ -50,7 +48,7 @@
     registry, ///< documents in the platform's store, runners that register themselves in it
 };
 
-/// Every setting. Addresses are "IP:port"; port 0 takes a free one.
+/// All settings. Addresses are "IP:port"; port 0 selects a free port.
 struct daemon_settings {
     node_id node;
     failure_domain_id failure_domain;
@@ -62,10 +60,10 @@
     std::string ready_listen;   ///< registry only: IP:port of the load balancer's readiness check
     std::string peer_advertise; ///< address announced to peers; empty: peer_listen
 
-    std::vector<std::string> key_value;  ///< of the platform's key-value service
-    std::string vm_list;                 ///< of the platform's VM list
-    std::string weight_store;            ///< of the platform's weight store
-    std::vector<std::string> seed_peers; ///< some daemons, from which the others are learned
+    std::vector<std::string> key_value;  ///< addresses of the platform's key-value service
+    std::string vm_list;                 ///< address of the platform's VM list
+    std::string weight_store;            ///< address of the platform's weight store
+    std::vector<std::string> seed_peers; ///< some daemons, to discover the others
 
     tls_files caller_tls;
     tls_files peer_tls;
