--- a/daemon/fleet_fixture.h
+++ b/daemon/fleet_fixture.h
@@ -43,7 +43,7 @@
     std::string ran;        ///< value of the header jaynotch-ran
     std::string headers;    ///< all of them, as text
 
-    /// The text of a chat stream; `done` if its terminal mark came.
+    /// Text of the chat stream as far as it was received.
     [[nodiscard]] std::string text() const
     {
         sse_splitter events{body.size() + 1};
@@ -56,6 +56,7 @@
         }
         return joined;
     }
+    /// Whether the chat stream ended with its terminal event.
     [[nodiscard]] bool done() const { return body.ends_with(done_event); }
 };
 
@@ -269,14 +270,14 @@
     {
         std::string request;
         boost::system::error_code failed;
-        std::array<char, 4096> room{};
+        std::array<char, 4096> chunk{};
         for (;;) {
             const std::size_t got = co_await socket->async_read_some(
-                boost::asio::buffer(room),
+                boost::asio::buffer(chunk),
                 boost::asio::redirect_error(boost::asio::use_awaitable, failed));
             if (failed)
                 co_return;
-            request.append(room.data(), got);
+            request.append(chunk.data(), got);
             const std::size_t end = request.find("\r\n\r\n");
             if (end == std::string::npos)
                 continue;
--- a/daemon/registry_daemon.cc
+++ b/daemon/registry_daemon.cc
@@ -219,8 +219,8 @@
             m_registry.remove(id, runtime_clock::now());
             managers->runner_removed(id);
         };
-        hooks.on_key = [this](const kv_entry& entry, bool there) {
-            managers->store_key_updated(entry, there);
+        hooks.on_key = [this](const kv_entry& entry, bool exists) {
+            managers->store_key_updated(entry, exists);
         };
         hooks.on_current_changed = [this](bool current, std::size_t rank) {
             managers->set_current(current, rank);
@@ -294,12 +294,12 @@
         while (!m_stopped) {
             boost::system::error_code ignored;
             m_timer.expires_after(tick_interval);
-            const time_point wanted = runtime_clock::now() + tick_interval;
+            const time_point expected_at = runtime_clock::now() + tick_interval;
             co_await m_timer.async_wait(net::redirect_error(net::use_awaitable, ignored));
             if (m_stopped)
                 co_return;
             exported_metrics.loop_delay(
-                std::max<duration>(duration{0}, runtime_clock::now() - wanted));
+                std::max<duration>(duration{0}, runtime_clock::now() - expected_at));
             feed->tick();
             managers->tick();
             flush_log();
@@ -359,9 +359,9 @@
 
     net::awaitable<void> answer_readiness(http_exchange& exchange)
     {
-        const bool fine = ready();
-        const http::status status = fine ? http::status::ok : http::status::service_unavailable;
-        co_await exchange.answer(status, "text/plain", fine ? "ready\n" : "not ready\n");
+        const bool is_ready = ready();
+        const http::status status = is_ready ? http::status::ok : http::status::service_unavailable;
+        co_await exchange.answer(status, "text/plain", is_ready ? "ready\n" : "not ready\n");
     }
 
     [[nodiscard]] std::string metrics_page()
--- a/daemon/registry_daemon_test.cc
+++ b/daemon/registry_daemon_test.cc
@@ -98,7 +98,7 @@
     duration time_until(Done done, duration longest)
     {
         constexpr duration step = 5ms;
-        const auto work = std::chrono::milliseconds{2}; // for the sockets, between two steps
+        const auto work = std::chrono::milliseconds{2}; // real time for socket I/O in each step
         runtime_clock::pause();
         const time_point begun = runtime_clock::now();
         m_io.restart();
@@ -138,7 +138,7 @@
         std::shared_ptr<bool> ended = std::make_shared<bool>(false);
     };
 
-    pending_request begin(const std::string& target, std::vector<http_header> more = {},
+    pending_request begin(const std::string& target, std::vector<http_header> extra_headers = {},
                           std::size_t node = 0)
     {
         caller_request request;
@@ -151,7 +151,7 @@
             request.headers.insert(request.headers.end(),
                                    {{"Jaynotch-Model", "m"}, {"Jaynotch-Token-Counts", "100,50"}});
         bool keyed = false;
-        for (http_header& one : more) {
+        for (http_header& one : extra_headers) {
             keyed = keyed || one.name == "Authorization";
             request.headers.push_back(std::move(one));
         }
@@ -164,10 +164,10 @@
         return made;
     }
 
-    caller_answer ask(const std::string& target, std::vector<http_header> more = {},
+    caller_answer ask(const std::string& target, std::vector<http_header> extra_headers = {},
                       std::size_t node = 0)
     {
-        const pending_request made = begin(target, std::move(more), node);
+        const pending_request made = begin(target, std::move(extra_headers), node);
         cr_assert(run_until([&] { return *made.ended; }), "no answer to %s", target.c_str());
         return *made.answer;
     }
@@ -479,11 +479,11 @@
                           [&](const std::exception_ptr&) { stopped = true; });
     fleet.run(20ms);
     cr_assert(!fleet.daemons[0]->ready());
-    const auto late = fleet.begin("/chat/2");
+    const auto during_stop = fleet.begin("/chat/2");
     cr_assert(fleet.run_until([&] { return stopped; }));
     cr_assert_eq(stream.answer->body, complete_stream);
     cr_assert(stream.answer->complete);
-    cr_assert_eq(late.answer->body, complete_stream);
+    cr_assert_eq(during_stop.answer->body, complete_stream);
 }
 
 // The head of a group stops responding. The streams that it serves must continue on another group.
--- a/daemon/settings.h
+++ b/daemon/settings.h
@@ -21,28 +21,25 @@
 
 /// Time limits of the daemon's waits.
 struct daemon_timeouts {
-    http_timeouts http;                             ///< for callers' connections
-    std::chrono::milliseconds connect{1'000};       ///< opening a connection to a backend server
-    std::chrono::milliseconds stream_stall{10'000}; ///< between two events of an engine's stream
-    std::chrono::milliseconds upstream_idle{
-        30'000}; ///< until an unused pooled connection is closed
+    http_timeouts http;                              ///< for callers' connections
+    std::chrono::milliseconds connect{1'000};        ///< opening a connection to a backend server
+    std::chrono::milliseconds stream_stall{10'000};  ///< between two events of an engine's stream
+    std::chrono::milliseconds upstream_idle{30'000}; ///< an unused pooled connection
     /// An order takes effect within this time after it was sent, or never.
     std::chrono::milliseconds order_horizon{8'000};
-    std::chrono::milliseconds balancer_wait{
-        2'000}; ///< on a stop, from reporting not ready to closing the port
+    /// On a stop: time between reporting not ready and accepting no more connections.
+    std::chrono::milliseconds balancer_wait{2'000};
     std::chrono::milliseconds max_stop_time{660'000}; ///< upper limit of a graceful stop
 };
 
 /// Limits of the memory and connections that the daemon uses, whatever callers send.
 struct daemon_limits {
     http_server_limits http; ///< of callers' connections; plain bodies are streamed, not buffered
-    std::size_t model_body_bytes =
-        4 * 1024 * 1024; ///< of a chat or completion body, which is buffered
-    std::size_t answer_bytes =
-        8 * 1024 * 1024; ///< of a non-streamed engine answer, which is buffered
-    std::size_t keyed_body_bytes = 512 * 1024; ///< of a keyed call and of its stored answer
-    std::size_t requests = 4'096;              ///< in flight and queued
-    std::size_t idle_upstream = 64;            ///< pooled connections to each target
+    std::size_t model_body_bytes = 4 * 1024 * 1024; ///< of a buffered chat or completion body
+    std::size_t answer_bytes = 8 * 1024 * 1024;     ///< of a buffered, non-streamed engine answer
+    std::size_t keyed_body_bytes = 512 * 1024;      ///< of a keyed call and of its stored answer
+    std::size_t requests = 4'096;                   ///< in flight and queued
+    std::size_t idle_upstream = 64;                 ///< pooled connections to each target
 };
 
 /// Where the daemon's tables, backend servers and groups come from.
@@ -51,7 +48,7 @@
     registry, ///< documents in the platform's store, runners that register themselves in it
 };
 
-/// Every setting. Addresses are "IP:port"; port 0 takes a free one.
+/// All settings. Addresses are "IP:port"; port 0 selects a free port.
 struct daemon_settings {
     node_id node;
     failure_domain_id failure_domain;
@@ -63,10 +60,10 @@
     std::string ready_listen;   ///< registry only: IP:port of the load balancer's readiness check
     std::string peer_advertise; ///< address announced to peers; empty: peer_listen
 
-    std::vector<std::string> key_value;  ///< of the platform's key-value service
-    std::string vm_list;                 ///< of the platform's VM list
-    std::string weight_store;            ///< of the platform's weight store
-    std::vector<std::string> seed_peers; ///< some daemons, from which the others are learned
+    std::vector<std::string> key_value;  ///< addresses of the platform's key-value service
+    std::string vm_list;                 ///< address of the platform's VM list
+    std::string weight_store;            ///< address of the platform's weight store
+    std::vector<std::string> seed_peers; ///< some daemons, to discover the others
 
     tls_files caller_tls;
     tls_files peer_tls;
