--- a/http/connection.cc
+++ b/http/connection.cc
@@ -240,8 +240,8 @@
     while (!m_closed && drained < max_drained_bytes && runtime_clock::now() < until) {
         drained += m_input.size();
         m_input.consume(m_input.size());
-        const input_state got = co_await wait_for_input(until - runtime_clock::now());
-        if (got != input_state::arrived)
+        const input_state state = co_await wait_for_input(until - runtime_clock::now());
+        if (state != input_state::arrived)
             break;
     }
     m_closed = true;
--- a/http/http_client.cc
+++ b/http/http_client.cc
@@ -257,10 +257,10 @@
         disarm();
         if (ec == http::error::need_buffer)
             ec = {};
-        const std::size_t got = m_read_buffer.size() - body.size;
-        m_last_read_full = got == m_read_buffer.size();
-        if (got > 0)
-            co_return std::string{m_read_buffer.data(), got};
+        const std::size_t bytes_read = m_read_buffer.size() - body.size;
+        m_last_read_full = bytes_read == m_read_buffer.size();
+        if (bytes_read > 0)
+            co_return std::string{m_read_buffer.data(), bytes_read};
         if (ec && is_parse_error(ec)) {
             close();
             co_return malformed_answer("the server", ec);
--- a/http/http_exchange.cc
+++ b/http/http_exchange.cc
@@ -102,8 +102,8 @@
 
 std::string_view http_exchange::header(std::string_view name) const
 {
-    const boost::beast::string_view wanted{name.data(), name.size()};
-    const auto found = m_parser.get().find(wanted);
+    const boost::beast::string_view field_name{name.data(), name.size()};
+    const auto found = m_parser.get().find(field_name);
     if (found == m_parser.get().end())
         return {};
     return {found->value().data(), found->value().size()};
@@ -146,8 +146,8 @@
 
 net::awaitable<result<void>> http_exchange::read_more_input()
 {
-    const input_state got = co_await m_caller->wait_for_input(m_timeouts.body_stall);
-    switch (got) {
+    const input_state state = co_await m_caller->wait_for_input(m_timeouts.body_stall);
+    switch (state) {
     case input_state::arrived:
         co_return success();
     case input_state::timed_out:
@@ -184,9 +184,9 @@
             input.consume(m_parser.put(input.data(), failed));
         else
             failed = http::error::need_more;
-        const std::size_t got = piece.size() - body.size;
-        if (failed == http::error::need_buffer || m_parser.is_done() || got > 0) {
-            piece.resize(got);
+        const std::size_t bytes_read = piece.size() - body.size;
+        if (failed == http::error::need_buffer || m_parser.is_done() || bytes_read > 0) {
+            piece.resize(bytes_read);
             if (!piece.empty() || m_parser.is_done())
                 co_return piece;
             co_return error{error_kind::internal, "the body's parser stands still", ""};
--- a/http/http_server.cc
+++ b/http/http_server.cc
@@ -233,9 +233,9 @@
         current->caller->release_buffers();
         const duration wait =
             current->accepted_at_close ? backlog_request_wait : m_settings.timeouts.idle;
-        const input_state got = co_await current->caller->wait_for_input(wait);
+        const input_state arrival = co_await current->caller->wait_for_input(wait);
         current->idle = false;
-        co_return got == input_state::arrived;
+        co_return arrival == input_state::arrived;
     }
 
     net::awaitable<void> serve_requests(std::shared_ptr<session> current)
@@ -271,13 +271,13 @@
                 co_await error_exchange.refuse(header_error);
                 co_return false;
             }
-            const input_state got =
+            const input_state arrival =
                 co_await current->caller->wait_for_input(deadline - runtime_clock::now());
-            if (got == input_state::timed_out) {
+            if (arrival == input_state::timed_out) {
                 const refusal timeout_refusal = header_timeout();
                 co_await error_exchange.refuse(timeout_refusal);
             }
-            if (got != input_state::arrived)
+            if (arrival != input_state::arrived)
                 co_return false;
         }
         parser.eager(true);
@@ -291,7 +291,7 @@
     }
 };
 
-http_server::http_server(std::shared_ptr<impl> made) : m_impl{std::move(made)} {}
+http_server::http_server(std::shared_ptr<impl> server_impl) : m_impl{std::move(server_impl)} {}
 
 http_server::~http_server()
 {
@@ -303,9 +303,9 @@
                                                        http_server_settings settings,
                                                        http_handler handler)
 {
-    auto made = std::make_shared<impl>(io, std::move(settings), std::move(handler));
-    BOOST_OUTCOME_TRY(made->bind(address));
-    return std::unique_ptr<http_server>{new http_server{std::move(made)}};
+    auto server_impl = std::make_shared<impl>(io, std::move(settings), std::move(handler));
+    BOOST_OUTCOME_TRY(server_impl->bind(address));
+    return std::unique_ptr<http_server>{new http_server{std::move(server_impl)}};
 }
 
 void http_server::start()
--- a/http/http_server.h
+++ b/http/http_server.h
@@ -51,7 +51,7 @@
 
 private:
     class impl;
-    explicit http_server(std::shared_ptr<impl> made);
+    explicit http_server(std::shared_ptr<impl> server_impl);
     std::shared_ptr<impl> m_impl;
 };
 
--- a/http/http_server_test.cc
+++ b/http/http_server_test.cc
@@ -22,9 +22,10 @@
 public:
     explicit test_server(http_server_settings settings = short_timeouts())
     {
-        auto made = http_server::open(m_io, "127.0.0.1:0", std::move(settings),
-                                      [this](http_exchange& exchange) { return answer(exchange); });
-        m_server = std::move(made).value();
+        auto opened =
+            http_server::open(m_io, "127.0.0.1:0", std::move(settings),
+                              [this](http_exchange& exchange) { return answer(exchange); });
+        m_server = std::move(opened).value();
         m_server->start();
         m_port = m_server->port();
         m_thread = std::thread{[this] { m_io.run(); }};
--- a/services/etcd_gateway_kv.cc
+++ b/services/etcd_gateway_kv.cc
@@ -46,17 +46,17 @@
 error status_error(http::status status, const std::string& body, bool repeatable)
 {
     const auto code = static_cast<unsigned>(status);
-    const std::string said = "the key-value service answered " + std::to_string(code) + ": " +
-                             body.substr(0, std::min<std::size_t>(body.size(), 200));
+    const std::string summary = "the key-value service answered " + std::to_string(code) + ": " +
+                                body.substr(0, std::min<std::size_t>(body.size(), 200));
     if (status == http::status::too_many_requests)
-        return {error_kind::rate_limited, said, "come back later, with fewer calls"};
+        return {error_kind::rate_limited, summary, "come back later, with fewer calls"};
     if (status == http::status::not_found)
-        return {error_kind::not_found, said, "grant a new lease, or check the address"};
+        return {error_kind::not_found, summary, "grant a new lease, or check the address"};
     if (code < 500)
-        return {error_kind::protocol, said, "check the service's version"};
+        return {error_kind::protocol, summary, "check the service's version"};
     if (repeatable)
-        return {error_kind::unavailable, said, "check the key-value service"};
-    return {error_kind::unknown_outcome, said, "read back before writing again"};
+        return {error_kind::unavailable, summary, "check the key-value service"};
+    return {error_kind::unknown_outcome, summary, "read back before writing again"};
 }
 
 /// Removes the complete lines from `pending` and queues their events; false if the watch has ended.
@@ -71,18 +71,18 @@
         start = end + 1;
         if (line.empty())
             continue;
-        result<kv_wire_watch> seen = parse_kv_watch(line);
-        if (!seen) {
-            queue.close(seen.error());
+        result<kv_wire_watch> received = parse_kv_watch(line);
+        if (!received) {
+            queue.close(received.error());
             return false;
         }
-        if (seen.value().canceled) {
+        if (received.value().canceled) {
             queue.close({error_kind::not_found, "the service ended the watch",
                          "read the prefix and watch from its revision + 1"});
             return false;
         }
-        if (!seen.value().created || !seen.value().events.empty())
-            queue.push({seen.value().revision, std::move(seen.value().events)});
+        if (!received.value().created || !received.value().events.empty())
+            queue.push({received.value().revision, std::move(received.value().events)});
     }
     pending.erase(0, start);
     return true;
@@ -205,12 +205,12 @@
     const result<std::string> body = co_await post("/v3/lease/keepalive", request, true);
     if (!body)
         co_return body.error();
-    const result<kv_wire_lease> kept = parse_kv_keep_alive(body.value());
-    if (!kept)
-        co_return kept.error();
-    if (kept.value().ttl <= std::chrono::seconds{0})
+    const result<kv_wire_lease> renewed = parse_kv_keep_alive(body.value());
+    if (!renewed)
+        co_return renewed.error();
+    if (renewed.value().ttl <= std::chrono::seconds{0})
         co_return error{error_kind::not_found, "the lease has lapsed", "grant a new lease"};
-    co_return kv_lease{kept.value().id, kept.value().ttl};
+    co_return kv_lease{renewed.value().id, renewed.value().ttl};
 }
 
 awaitable<result<void>> etcd_gateway_kv::revoke(lease_id lease)
--- a/services/memory_kv.cc
+++ b/services/memory_kv.cc
@@ -64,12 +64,12 @@
     std::erase_if(m_watchers, [](const watcher& row) { return row.queue.expired(); });
     for (auto& row : m_watchers) {
         const auto queue = row.queue.lock();
-        result<std::vector<kv_event>> seen = store.changes(row.prefix, row.next_revision);
+        result<std::vector<kv_event>> changed = store.changes(row.prefix, row.next_revision);
         row.next_revision = store.revision() + 1;
-        if (!seen)
-            queue->close(seen.error());
-        else if (!seen.value().empty())
-            queue->push({store.revision(), std::move(seen.value())});
+        if (!changed)
+            queue->close(changed.error());
+        else if (!changed.value().empty())
+            queue->push({store.revision(), std::move(changed.value())});
     }
     const std::optional<time_point> next = store.next_expiry();
     if (!next)
