--- a/services/engine.h
+++ b/services/engine.h
@@ -1,8 +1,8 @@
 // The model engine on a backend VM: its status reports and the orders it accepts.
 //
 //   engine_client engine{executor, "10.1.0.7:9000", std::chrono::seconds{1}};
-//   result<engine_report> seen = co_await engine.report();
-//   result<void> taken = co_await engine.assign(order);   // conflict: outdated order
+//   result<engine_report> report = co_await engine.report();
+//   result<void> assigned = co_await engine.assign(order);   // conflict: outdated order
 //
 // An order carries the fencing number of the group record that it is derived from. Orders are
 // idempotent and may be sent again. Generation requests don't use this class; they go through
--- a/services/etcd_gateway_kv.cc
+++ b/services/etcd_gateway_kv.cc
@@ -19,7 +19,8 @@
 namespace {
 
 constexpr std::size_t max_watch_line_bytes = 16 * 1024 * 1024;
-/// A watch receives nothing while no key changes. A dead peer is detected by TCP keep-alive.
+/// A watch receives nothing while no key changes, so its reads may wait long. This timeout is not
+/// meant to detect a dead peer, which is left to the TCP connection.
 constexpr duration watch_read_timeout = std::chrono::hours{24};
 
 struct watch_source {
--- a/services/kv.h
+++ b/services/kv.h
@@ -4,8 +4,8 @@
 //   result<kv_read> head = co_await kv.get("/jaynotch/prod/config/head");
 //   kv_transaction swap{.compares = {{head_key, head.value().mod_revision()}},
 //                       .then = {kv_put{head_key, next}}};
-//   result<kv_outcome> done = co_await kv.transact(std::move(swap));
-//   if (!done && done.error().kind == error_kind::unknown_outcome) ...   // read back
+//   result<kv_outcome> outcome = co_await kv.transact(std::move(swap));
+//   if (!outcome && outcome.error().kind == error_kind::unknown_outcome) ...   // read back
 //
 // A write that failed with unknown_outcome may have taken effect or may still do so after the
 // failure was reported. Only a transaction that compares a revision, or a key that no other client
@@ -53,8 +53,7 @@
 /// Calls by kind, including failed ones.
 struct kv_call_counts {
     std::array<std::uint64_t, enum_names<kv_call>::entries.size()> by_kind{};
-    std::array<std::uint64_t, enum_names<kv_call>::entries.size()>
-        failed{}; ///< failed calls of `by_kind`
+    std::array<std::uint64_t, enum_names<kv_call>::entries.size()> failed{}; ///< part of by_kind
 
     [[nodiscard]] std::uint64_t of(kv_call kind) const { return by_kind.at(index(kind)); }
     void add(kv_call kind) { ++by_kind.at(index(kind)); }
@@ -88,18 +87,17 @@
 
     boost::asio::any_io_executor m_executor;
     etcd_settings m_settings;
-    std::unique_ptr<http_client> m_client; ///< on the heap: calls in progress need a stable address
+    std::unique_ptr<http_client> m_client; ///< keeps its address while calls are in progress
 };
 
 /// Faults injected by an in-memory service; may be changed at any time.
 struct kv_faults {
-    bool outage = false;       ///< every call fails without effect
-    bool unresponsive = false; ///< calls time out without effect
-    duration delay{0};         ///< before a call takes effect
-    std::uint32_t lost_replies =
-        0; ///< number of next writes that take effect but whose response is lost
-    std::uint32_t late_effects = 0;   ///< number of next writes that take effect after timing out
-    std::uint32_t failed_watches = 0; ///< number of next watches that end at once
+    bool outage = false;              ///< every call fails without effect
+    bool unresponsive = false;        ///< calls time out without effect
+    duration delay{0};                ///< before a call takes effect
+    std::uint32_t lost_replies = 0;   ///< so many next writes take effect but get no response
+    std::uint32_t late_effects = 0;   ///< so many next writes take effect after timing out
+    std::uint32_t failed_watches = 0; ///< so many next watches end at once
 };
 
 /// An in-process key-value service that several memory_kv clients share.
--- a/services/services.h
+++ b/services/services.h
@@ -7,9 +7,8 @@
 // Each external system has one client class that uses the project's own types; its wire format is
 // confined to one source file. Every call has a timeout and returns a result. Kinds of errors:
 //
-//   unavailable        the call was not sent, was rejected without effect, or was repeatable and
-//   its
-//                      connection failed
+//   unavailable        the call was not sent, had no effect, or is repeatable and its connection
+//                      failed
 //   unknown_outcome    a write was sent but not confirmed; it may have taken effect
 //   deadline_exceeded  a read or a repeatable call did not complete within its timeout
 //   protocol           the response does not conform to the wire format
--- a/services/vm_list.h
+++ b/services/vm_list.h
@@ -1,7 +1,7 @@
 // Client of the platform's list of VMs, which lags behind the VMs' actual state.
 //
 //   vm_list_client list{executor, "10.0.0.9:8080", std::chrono::seconds{2}};
-//   result<vm_list> seen = co_await list.fetch();
+//   result<vm_list> current = co_await list.fetch();
 #pragma once
 
 #include "base/base.h"
@@ -34,8 +34,7 @@
     failure_domain_id failure_domain = {};
     std::uint32_t accelerators = 0;
     vm_state state = vm_state::live;
-    std::int64_t leave_by_ms =
-        0; ///< wall-clock time by which a leaving VM is removed; 0 if it stays
+    std::int64_t leave_by_ms = 0; ///< wall-clock time by which a leaving VM ends; 0 if it stays
 
     friend bool operator==(const vm_entry&, const vm_entry&) = default;
 };
