--- a/daemon/registry_daemon_test.cc
+++ b/daemon/registry_daemon_test.cc
@@ -215,7 +215,7 @@
     cr_assert_eq(answer.status, 200);
     cr_assert_eq(ran_in_all(here.apps), 1U);
     const auto& server = here.apps[0]->ran.empty() ? here.apps[1] : here.apps[0];
-    const seen_request& seen = server->ran.front();
+    const received_request& seen = server->ran.front();
     cr_assert_eq(seen.target, "/order/1?x=y");
     cr_assert_eq(seen.body, "body");
     cr_assert_eq(seen.attempt, here.last_id());
@@ -368,10 +368,10 @@
     cr_assert(here.run_until([&] { return here.ask("/order/1").status == 200; }));
     const duration start = 7s; // changes gather differently while a fleet starts
     here.time_until([] { return false; }, start);
-    here.store().withholds_news = true;
+    here.store().withholds_changes = true;
     here.store().put("op/config", document(2, R"(["key-2"])"));
     trouble(here.store());
-    here.store().withholds_news = false;
+    here.store().withholds_changes = false;
     const auto in_force = [&] { return here.daemons[0]->tables_revision().value() == 2; };
     return here.time_until(in_force, 2 * site_bounds{}.config_apply);
 }
@@ -388,7 +388,7 @@
 // Guards against a node that waits too long on a connection that has gone silent.
 Test(registry_daemon, a_change_is_in_force_in_time_though_the_watch_went_silent)
 {
-    const duration took = time_to_revoke([](store_standin& store) { store.silence_watches(); });
+    const duration took = time_to_revoke([](store_standin& store) { store.stall_watches(); });
     cr_assert_lt(took, site_bounds{}.config_apply);
 }
 
@@ -432,11 +432,11 @@
 {
     site here;
     here.settle();
-    here.store().refuses = true;
+    here.store().is_unavailable = true;
     here.run(1500ms);
     cr_assert_eq(here.ask("/chat/1").body, whole_stream);
     cr_assert_eq(here.ask("/order/1").status, 200);
-    here.store().refuses = false;
+    here.store().is_unavailable = false;
     here.store().put("op/config", document(5, R"(["key-5"])"));
     here.run(2500ms);
     cr_assert_eq(here.ask("/order/1").status, 401, "the watch goes on where it was");
--- a/scenarios/world.cc
+++ b/scenarios/world.cc
@@ -29,7 +29,7 @@
         {"change_vm", &scenario_world::change_vm},
         {"cut", &scenario_world::cut},
         {"heal", &scenario_world::heal},
-        {"lapse", &scenario_world::lapse},
+        {"lapse", &scenario_world::expire_lease},
         {"ask", &scenario_world::ask},
         {"order", &scenario_world::order},
         {"start_load", &scenario_world::start_load},
--- a/scenarios/world.h
+++ b/scenarios/world.h
@@ -91,7 +91,7 @@
     boost::json::value change_vm(const arguments_type& arguments);
     boost::json::value cut(const arguments_type& arguments);
     boost::json::value heal(const arguments_type& arguments);
-    boost::json::value lapse(const arguments_type& arguments);
+    boost::json::value expire_lease(const arguments_type& arguments);
     std::vector<std::string> expand(const std::vector<std::string>& names) const;
 
     // Load (world_load.cc).
--- a/scenarios/world_daemons.cc
+++ b/scenarios/world_daemons.cc
@@ -84,8 +84,8 @@
     m_vms_address = m_network->forward("vms", m_fleet->vms().address()).value();
     for (std::size_t index = 0; index < m_fleet->engine_count(); ++index) {
         const std::string name = m_fleet->engine(index).vm().value();
-        m_fleet->show_engine_at(index,
-                                m_network->forward(name, m_fleet->engine(index).address()).value());
+        m_fleet->advertise_engine_address(
+            index, m_network->forward(name, m_fleet->engine(index).address()).value());
     }
     json::object plain;
     for (std::size_t index = 0; index < m_fleet->plain_count(); ++index) {
--- a/scenarios/world_faults.cc
+++ b/scenarios/world_faults.cc
@@ -84,14 +84,14 @@
     return nullptr;
 }
 
-json::value scenario_world::lapse(const arguments_type& arguments)
+json::value scenario_world::expire_lease(const arguments_type& arguments)
 {
     json_fields fields{arguments, "lapse"};
     std::uint64_t lapsed = 0;
     for (const auto& entry : m_fleet->kv().store().with_prefix(fields.text("prefix"))) {
         if (entry.lease == lease_id{})
             continue;
-        m_fleet->kv().lapse(entry.lease);
+        m_fleet->kv().expire_lease(entry.lease);
         ++lapsed;
     }
     return lapsed;
--- a/soak/soak_callers.cc
+++ b/soak/soak_callers.cc
@@ -94,7 +94,7 @@
     seen_answer answer;
     if (got) {
         answer.status = static_cast<std::uint32_t>(got.value().status);
-        answer.id = answered_request(got.value());
+        answer.id = answered_request_id(got.value());
         answer.body = got.value().body;
     }
     m_book.answered(asked.id, std::move(answer), runtime_clock::now());
--- a/soak/soak_run.cc
+++ b/soak/soak_run.cc
@@ -263,11 +263,11 @@
     {
         const std::size_t number = harm_begins({}, false);
         if (what.fault == link_fault::none)
-            m_site.store().refuses = true;
+            m_site.store().is_unavailable = true;
         for (soak_daemon& one : m_site.daemons())
             one.store_link->set(what.fault, std::chrono::milliseconds{300});
         co_await pause(lasts);
-        m_site.store().refuses = false;
+        m_site.store().is_unavailable = false;
         for (soak_daemon& one : m_site.daemons())
             one.store_link->set(link_fault::none);
         harm_ends(number);
--- a/soak/soak_site.cc
+++ b/soak/soak_site.cc
@@ -69,8 +69,8 @@
             seeds.push_back(seed.peer_link->address());
     }
     std::ofstream file{one.settings_file};
-    file << settings_text({one.name, one.domain, one.first_start, seeds, one.listen,
-                           one.ready_listen, one.peer_listen, one.store_link->address()});
+    file << render_settings({one.name, one.domain, one.first_start, seeds, one.listen,
+                             one.ready_listen, one.peer_listen, one.store_link->address()});
 }
 
 void soak_site::launch(std::size_t index)
@@ -101,14 +101,14 @@
     soak_runner made;
     made.server = runner_standin::start(m_io.get_executor(), m_store, chosen).value();
     made.link = fault_proxy::open(m_io.get_executor(), made.server->address()).value();
-    made.server->show_at(made.link->address());
+    made.server->advertise_address(made.link->address());
     m_runners.push_back(std::move(made));
 }
 
 void soak_site::next_version()
 {
     ++m_version;
-    put_version(*m_store, m_version);
+    put_config_version(*m_store, m_version);
     m_book.accepted(m_version, runtime_clock::now());
 }
 
--- a/standins/engine_batch.cc
+++ b/standins/engine_batch.cc
@@ -6,10 +6,10 @@
 
 void engine_batch::add(std::shared_ptr<batch_sequence> sequence)
 {
-    const auto behind = std::upper_bound(
+    const auto position = std::upper_bound(
         m_waiting.begin(), m_waiting.end(), sequence->priority,
         [](int priority, const auto& other) { return priority > other->priority; });
-    m_waiting.insert(behind, std::move(sequence));
+    m_waiting.insert(position, std::move(sequence));
 }
 
 void engine_batch::abort(batch_sequence& sequence)
@@ -49,31 +49,31 @@
         sequence->partial = true;
 }
 
-std::uint64_t engine_batch::tokens_held() const
+std::uint64_t engine_batch::kv_tokens_used() const
 {
-    std::uint64_t held = 0;
+    std::uint64_t used_tokens = 0;
     for (const auto& sequence : m_running)
-        held += sequence->prompt_tokens + sequence->produced;
-    return held;
+        used_tokens += sequence->prompt_tokens + sequence->produced;
+    return used_tokens;
 }
 
 double engine_batch::kv_used() const
 {
-    const double used = static_cast<double>(tokens_held()) / m_settings.kv_tokens;
+    const double used = static_cast<double>(kv_tokens_used()) / m_settings.kv_tokens;
     return std::min(1.0, used);
 }
 
 duration engine_batch::begin_step()
 {
     drop_ended();
-    std::uint64_t held = tokens_held();
+    std::uint64_t used_tokens = kv_tokens_used();
     std::uint64_t prefill = 0;
     while (!m_waiting.empty() && m_running.size() < m_settings.max_batch) {
         const auto& next = m_waiting.front();
-        const std::uint64_t needs = next->prompt_tokens + next->total;
-        if (!m_running.empty() && held + needs > m_settings.kv_tokens)
+        const std::uint64_t needed_tokens = next->prompt_tokens + next->total;
+        if (!m_running.empty() && used_tokens + needed_tokens > m_settings.kv_tokens)
             break;
-        held += needs;
+        used_tokens += needed_tokens;
         prefill += next->prompt_tokens - std::min(next->cached_tokens, next->prompt_tokens);
         m_running.push_back(next);
         m_waiting.erase(m_waiting.begin());
--- a/standins/engine_batch.h
+++ b/standins/engine_batch.h
@@ -28,8 +28,8 @@
 
 /// One answer being generated.
 struct batch_sequence {
-    batch_sequence(const boost::asio::any_io_executor& executor, std::string of_attempt)
-        : attempt{std::move(of_attempt)}, wake{executor}
+    batch_sequence(const boost::asio::any_io_executor& executor, std::string attempt_id)
+        : attempt{std::move(attempt_id)}, wake{executor}
     {}
 
     std::string attempt;
@@ -68,7 +68,7 @@
     [[nodiscard]] const batch_settings& settings() const { return m_settings; }
 
 private:
-    [[nodiscard]] std::uint64_t tokens_held() const;
+    [[nodiscard]] std::uint64_t kv_tokens_used() const;
     void drop_ended();
 
     batch_settings m_settings;
--- a/standins/engine_serving.cc
+++ b/standins/engine_serving.cc
@@ -24,23 +24,23 @@
     std::string model;
     std::string prompt;
     std::uint32_t max_tokens = 0; ///< 0 for no limit
-    bool ignore_end = false;      ///< go on to max_tokens, as engines' "ignore_eos" does
-    std::string given;            ///< text to resume after
+    bool ignore_eos = false;      ///< go on to max_tokens, as engines' "ignore_eos" does
+    std::string resume_text;      ///< text to resume after
     std::string attempt;
-    std::size_t execution = 0; ///< its row in the account
+    std::size_t execution_index = 0; ///< its row in the account
     std::shared_ptr<batch_sequence> sequence;
     std::optional<answer_text> text;
-    std::uint32_t resumed = 0; ///< tokens of `given`
+    std::uint32_t resumed_tokens = 0; ///< tokens in `resume_text`
 };
 
 namespace {
 
-constexpr std::uint32_t most_answer_tokens = 100'000;
+constexpr std::uint32_t max_answer_tokens = 100'000;
 constexpr std::size_t bytes_per_token = 4;
 constexpr duration client_poll = std::chrono::milliseconds{20};
 constexpr duration member_poll = std::chrono::milliseconds{5};
 constexpr duration member_timeout = std::chrono::milliseconds{200};
-constexpr duration members_seen_for = std::chrono::milliseconds{50};
+constexpr duration members_health_ttl = std::chrono::milliseconds{50};
 
 int priority_of(std::string_view name)
 {
@@ -57,9 +57,9 @@
     return prompt->is_string() ? std::string{prompt->get_string()} : json::serialize(*prompt);
 }
 
-std::string refusal_body(const std::string& why)
+std::string refusal_body(const std::string& refusal)
 {
-    const json::object inner{{"message", why}, {"type", "not_run"}};
+    const json::object inner{{"message", refusal}, {"type", "not_run"}};
     return json::serialize(json::object{{"error", inner}});
 }
 
@@ -85,8 +85,9 @@
     return row;
 }
 
-std::string body_of(const std::string& attempt, const std::string& model,
-                    const std::string& version, bool chat, bool stream, json::object chosen)
+std::string render_completion(const std::string& attempt, const std::string& model,
+                              const std::string& version, bool chat, bool stream,
+                              json::object chosen)
 {
     std::string_view object = chat ? "chat.completion" : "text_completion";
     if (chat && stream)
@@ -102,55 +103,56 @@
 
 } // namespace
 
-group_health engine_standin::judge(const engine_report& member) const
+group_health engine_standin::check_report(const engine_report& member) const
 {
     // Not by fencing numbers: a repair orders only the members that it must, so those of one group
     // may know different ones. The list of members by rank is what a collective stands on.
     const bool in_group = member.group == m_group && member.members == m_members &&
                           member.state == engine_state::ready && member.model == m_model &&
                           member.version == m_version;
-    return in_group ? group_health::whole : group_health::broken;
+    return in_group ? group_health::complete : group_health::broken;
 }
 
-group_health engine_standin::judge_near(const engine_standin& member) const
+group_health engine_standin::check_local_member(const engine_standin& member) const
 {
     engine_report truth = member.report();
     truth.state = member.m_state;
-    if (member.m_faults.kill || judge(truth) == group_health::broken)
+    if (member.m_faults.kill || check_report(truth) == group_health::broken)
         return group_health::broken;
-    const bool held = member.m_faults.pause || member.m_faults.stall;
-    return held ? group_health::stalled : group_health::whole;
+    const bool suspended = member.m_faults.pause || member.m_faults.stall;
+    return suspended ? group_health::stalled : group_health::complete;
 }
 
-awaitable<group_health> engine_standin::look_at_members()
+awaitable<group_health> engine_standin::check_members()
 {
     const std::vector<std::string> members = m_members;
-    const bool ask = runtime_clock::now() - m_members_seen_at > members_seen_for;
-    group_health worst = group_health::whole;
-    bool asked = false;
+    const bool query_remote = runtime_clock::now() - m_members_checked_at > members_health_ttl;
+    group_health worst = group_health::complete;
+    bool queried = false;
     for (std::size_t rank = 1; rank < members.size(); ++rank) {
-        group_health seen = group_health::whole;
+        group_health member_health = group_health::complete;
         if (const auto engine = m_directory ? m_directory->find(members[rank]) : nullptr) {
-            seen = judge_near(*engine);
+            member_health = check_local_member(*engine);
         }
-        else if (ask) {
-            asked = true;
+        else if (query_remote) {
+            queried = true;
             engine_client member{m_executor, members[rank], member_timeout};
             const result<engine_report> answer = co_await member.report();
             if (answer)
-                seen = judge(answer.value());
+                member_health = check_report(answer.value());
             else
-                seen = answer.error().kind == error_kind::deadline_exceeded ? group_health::stalled
-                                                                            : group_health::broken;
+                member_health = answer.error().kind == error_kind::deadline_exceeded
+                                    ? group_health::stalled
+                                    : group_health::broken;
         }
         else {
-            seen = m_members_seen;
+            member_health = m_members_health;
         }
-        worst = std::max(worst, seen);
+        worst = std::max(worst, member_health);
     }
-    if (asked) {
-        m_members_seen = worst;
-        m_members_seen_at = runtime_clock::now();
+    if (queried) {
+        m_members_health = worst;
+        m_members_checked_at = runtime_clock::now();
     }
     co_return worst;
 }
@@ -168,12 +170,12 @@
 awaitable<void> engine_standin::run_steps(std::shared_ptr<engine_standin> self)
 {
     while (self->m_batch.busy()) {
-        const bool held = self->m_faults.pause || self->m_faults.stall;
-        group_health health = held ? group_health::stalled : co_await self->look_at_members();
-        const bool careless = self->m_faults.serve_partial && !held;
-        if (careless && health != group_health::whole) {
+        const bool suspended = self->m_faults.pause || self->m_faults.stall;
+        group_health health = suspended ? group_health::stalled : co_await self->check_members();
+        const bool ignores_members = self->m_faults.serve_partial && !suspended;
+        if (ignores_members && health != group_health::complete) {
             self->m_batch.mark_partial();
-            health = group_health::whole;
+            health = group_health::complete;
         }
         if (health == group_health::broken) {
             self->m_batch.abort_all();
@@ -199,7 +201,7 @@
     self->m_stepping = false;
 }
 
-std::string engine_standin::why_not_serving(standin_exchange& exchange) const
+std::string engine_standin::refusal_reason(standin_exchange& exchange) const
 {
     if (m_state != engine_state::ready)
         return "the engine is " + std::string{to_name(m_state)};
@@ -215,10 +217,10 @@
 }
 
 awaitable<void> engine_standin::refuse(standin_exchange& exchange, http::status status,
-                                       std::string why)
+                                       std::string refusal)
 {
     exchange.set("jaynotch-ran", "no");
-    co_await exchange.answer(status, refusal_body(why));
+    co_await exchange.answer(status, refusal_body(refusal));
 }
 
 result<engine_standin::completion_call> engine_standin::read_call(standin_exchange& exchange,
@@ -231,12 +233,12 @@
     call.stream = fields.flag("stream");
     call.model = fields.text("model");
     call.prompt = prompt_text(body, chat);
-    call.max_tokens = static_cast<std::uint32_t>(fields.count("max_tokens", most_answer_tokens));
-    call.ignore_end = fields.flag("ignore_eos");
+    call.max_tokens = static_cast<std::uint32_t>(fields.count("max_tokens", max_answer_tokens));
+    call.ignore_eos = fields.flag("ignore_eos");
     call.attempt = std::string{exchange.header("jaynotch-attempt")};
     if (const json::object* resume = fields.object("jaynotch_resume")) {
         json_fields inner{*resume, "request"};
-        call.given = inner.text("text");
+        call.resume_text = inner.text("text");
     }
     if (fields.failure())
         return *fields.failure();
@@ -246,30 +248,30 @@
 result<void> engine_standin::begin(standin_exchange& exchange, completion_call& call)
 {
     call.text.emplace(call.model, m_version, call.prompt);
-    const std::optional<std::size_t> given = call.text->tokens_in(call.given);
-    if (!given)
+    const std::optional<std::size_t> resumed = call.text->tokens_in(call.resume_text);
+    if (!resumed)
         return error{error_kind::invalid_argument, "the text to resume is not this model's answer",
                      ""};
-    call.resumed = static_cast<std::uint32_t>(*given);
+    call.resumed_tokens = static_cast<std::uint32_t>(*resumed);
     call.sequence = std::make_shared<batch_sequence>(m_executor, call.attempt);
     batch_sequence& sequence = *call.sequence;
     const std::size_t hits = m_cache.use(prompt_blocks(call.prompt), runtime_clock::now());
     sequence.cached_tokens =
         static_cast<std::uint32_t>(hits * prompt_block_bytes / bytes_per_token);
     sequence.prompt_tokens =
-        static_cast<std::uint32_t>(call.prompt.size() / bytes_per_token + 1) + call.resumed;
+        static_cast<std::uint32_t>(call.prompt.size() / bytes_per_token + 1) + call.resumed_tokens;
     sequence.priority = priority_of(exchange.header("jaynotch-priority"));
-    sequence.produced = call.resumed;
-    const auto natural = static_cast<std::uint32_t>(call.text->natural_length());
-    sequence.total = call.max_tokens == 0 ? natural
-                     : call.ignore_end    ? call.max_tokens
-                                          : std::min(natural, call.max_tokens);
-    call.execution = m_executions.size();
+    sequence.produced = call.resumed_tokens;
+    const auto natural_tokens = static_cast<std::uint32_t>(call.text->natural_length());
+    sequence.total = call.max_tokens == 0 ? natural_tokens
+                     : call.ignore_eos    ? call.max_tokens
+                                          : std::min(natural_tokens, call.max_tokens);
+    call.execution_index = m_executions.size();
     m_executions.push_back({.attempt = call.attempt,
                             .digest = content_digest(exchange.body()),
                             .group = m_group,
                             .fencing = m_fencing,
-                            .began = runtime_clock::now()});
+                            .start_time = runtime_clock::now()});
     if (!sequence.ended())
         m_batch.add(call.sequence);
     if (!m_stepping) {
@@ -294,15 +296,15 @@
     }
     if (!call.value().attempt.empty())
         exchange.set("jaynotch-attempt", call.value().attempt);
-    std::string why = why_not_serving(exchange);
-    if (why.empty() && !m_faults.serve_partial) {
-        const group_health health = co_await look_at_members();
+    std::string refusal = refusal_reason(exchange);
+    if (refusal.empty() && !m_faults.serve_partial) {
+        const group_health health = co_await check_members();
         // Looking at members over sockets takes time: the assignment may have changed meanwhile.
-        why = health == group_health::broken ? "a member of the group is missing"
-                                             : why_not_serving(exchange);
+        refusal = health == group_health::broken ? "a member of the group is missing"
+                                                 : refusal_reason(exchange);
     }
-    if (!why.empty()) {
-        co_await refuse(exchange, http::status::conflict, why);
+    if (!refusal.empty()) {
+        co_await refuse(exchange, http::status::conflict, refusal);
         co_return;
     }
     if (!has_model(call.value().model)) {
@@ -319,8 +321,8 @@
     if (call.value().stream)
         co_await answer_stream(exchange, call.value());
     else
-        co_await answer_whole(exchange, call.value());
-    m_executions[call.value().execution].partial = sequence.partial;
+        co_await answer_buffered(exchange, call.value());
+    m_executions[call.value().execution_index].partial = sequence.partial;
     if (!sequence.ended())
         m_batch.abort(sequence);
 }
@@ -332,7 +334,7 @@
         sequence.wake.expires_after(client_poll);
         boost::system::error_code ignored;
         co_await sequence.wake.async_wait(asio::redirect_error(asio::use_awaitable, ignored));
-        if (!m_faults.pause && exchange.client_gone())
+        if (!m_faults.pause && exchange.client_disconnected())
             co_return false;
     }
     while (m_faults.pause)
@@ -345,13 +347,13 @@
 {
     batch_sequence& sequence = *call.sequence;
     const std::string version = m_version;
-    if (m_faults.take_lost_reply()) {
+    if (m_faults.consume_lost_reply()) {
         exchange.cut();
         co_return;
     }
     if (!co_await exchange.begin_chunks(http::status::ok, "text/event-stream"))
         co_return;
-    std::uint32_t sent = call.resumed;
+    std::uint32_t sent = call.resumed_tokens;
     bool first = true;
     while (sent < sequence.total) {
         if (!co_await wait_for_tokens(exchange, sequence, sent)) {
@@ -362,11 +364,12 @@
         while (sent < sequence.produced) {
             const json::object chosen = choice(call.chat, true, call.text->token(sent), first, "");
             events +=
-                "data: " + body_of(call.attempt, call.model, version, call.chat, true, chosen) +
+                "data: " +
+                render_completion(call.attempt, call.model, version, call.chat, true, chosen) +
                 "\n\n";
             first = false;
             ++sent;
-            if (m_faults.cut_after > 0 && sent - call.resumed >= m_faults.cut_after) {
+            if (m_faults.cut_after > 0 && sent - call.resumed_tokens >= m_faults.cut_after) {
                 co_await exchange.write_chunk(events);
                 exchange.cut();
                 co_return;
@@ -374,21 +377,21 @@
         }
         if (!co_await exchange.write_chunk(std::move(events)))
             co_return;
-        m_executions[call.execution].tokens = sent - call.resumed;
+        m_executions[call.execution_index].tokens = sent - call.resumed_tokens;
     }
-    const bool natural_end = sequence.total >= call.text->natural_length() && !call.ignore_end;
+    const bool natural_end = sequence.total >= call.text->natural_length() && !call.ignore_eos;
     const json::object last = choice(call.chat, true, "", false, natural_end ? "stop" : "length");
     std::string ending =
-        "data: " + body_of(call.attempt, call.model, version, call.chat, true, last) +
+        "data: " + render_completion(call.attempt, call.model, version, call.chat, true, last) +
         "\n\ndata: [DONE]\n\n";
     if (!co_await exchange.write_chunk(std::move(ending)) || !co_await exchange.finish_chunks())
         co_return;
-    engine_execution& run = m_executions[call.execution];
+    engine_execution& run = m_executions[call.execution_index];
     run.finished = true;
 }
 
-awaitable<void> engine_standin::answer_whole(standin_exchange& exchange,
-                                             const completion_call& call)
+awaitable<void> engine_standin::answer_buffered(standin_exchange& exchange,
+                                                const completion_call& call)
 {
     batch_sequence& sequence = *call.sequence;
     const std::string version = m_version;
@@ -396,14 +399,15 @@
         exchange.cut();
         co_return;
     }
-    const bool natural_end = sequence.total >= call.text->natural_length() && !call.ignore_end;
+    const bool natural_end = sequence.total >= call.text->natural_length() && !call.ignore_eos;
     const json::object chosen =
-        choice(call.chat, false, call.text->joined(call.resumed, sequence.total), true,
+        choice(call.chat, false, call.text->joined(call.resumed_tokens, sequence.total), true,
                natural_end ? "stop" : "length");
-    std::string body = body_of(call.attempt, call.model, version, call.chat, false, chosen);
+    std::string body =
+        render_completion(call.attempt, call.model, version, call.chat, false, chosen);
     co_await answer_with_faults(m_faults, exchange, http::status::ok, std::move(body));
-    engine_execution& run = m_executions[call.execution];
-    run.tokens = sequence.total - call.resumed;
+    engine_execution& run = m_executions[call.execution_index];
+    run.tokens = sequence.total - call.resumed_tokens;
     run.finished = !exchange.is_cut();
 }
 
--- a/standins/engine_standin.cc
+++ b/standins/engine_standin.cc
@@ -21,7 +21,7 @@
 constexpr duration weight_timeout = std::chrono::seconds{30};
 constexpr duration load_retry = std::chrono::milliseconds{100};
 constexpr duration drain_poll = std::chrono::milliseconds{5};
-constexpr std::size_t most_executions = 200'000;
+constexpr std::size_t max_executions = 200'000;
 
 std::string gauge(std::string_view name, double value)
 {
@@ -29,7 +29,7 @@
            std::to_string(value) + "\n";
 }
 
-std::uint64_t number_of(const std::string& digits)
+std::uint64_t parse_number(const std::string& digits)
 {
     std::uint64_t value = 0;
     std::from_chars(digits.data(), digits.data() + digits.size(), value);
@@ -37,7 +37,7 @@
 }
 
 /// A text member of a JSON body; empty if there is none.
-std::string member_text(const std::string& body, std::string_view name)
+std::string string_member(const std::string& body, std::string_view name)
 {
     const result<json::object> object = parse_json_object(body, "order");
     if (!object)
@@ -46,7 +46,7 @@
     return fields.text(name);
 }
 
-std::uint64_t block_of(const std::string& name)
+std::uint64_t parse_block_name(const std::string& name)
 {
     std::uint64_t block = 0;
     std::from_chars(name.data(), name.data() + name.size(), block, 16);
@@ -98,9 +98,9 @@
 
 void engine_standin::boot()
 {
-    ++m_boots;
-    m_boot = m_settings.vm.value() + "-" + std::to_string(m_boots) + "-" +
-             std::to_string(wall_time_ms());
+    ++m_boot_count;
+    m_boot_id = m_settings.vm.value() + "-" + std::to_string(m_boot_count) + "-" +
+                std::to_string(wall_time_ms());
     leave();
     m_fencing = fencing_number{};
     m_cache.clear();
@@ -127,26 +127,26 @@
 
 engine_report engine_standin::report() const
 {
-    engine_report seen;
-    seen.vm = m_settings.vm;
-    seen.boot = m_boot;
-    seen.group = m_group;
-    seen.fencing = m_fencing;
-    seen.rank = m_rank;
-    seen.members = m_members;
-    seen.model = m_model;
-    seen.version = m_version;
-    seen.adapters = m_adapters;
-    seen.state = m_faults.claim_ready ? engine_state::ready : m_state;
-    seen.progress = m_faults.claim_ready ? 1.0 : m_progress;
-    seen.running = static_cast<std::uint32_t>(m_batch.running());
-    seen.waiting = static_cast<std::uint32_t>(m_batch.waiting());
-    seen.kv_used = m_batch.kv_used();
+    engine_report current;
+    current.vm = m_settings.vm;
+    current.boot = m_boot_id;
+    current.group = m_group;
+    current.fencing = m_fencing;
+    current.rank = m_rank;
+    current.members = m_members;
+    current.model = m_model;
+    current.version = m_version;
+    current.adapters = m_adapters;
+    current.state = m_faults.claim_ready ? engine_state::ready : m_state;
+    current.progress = m_faults.claim_ready ? 1.0 : m_progress;
+    current.running = static_cast<std::uint32_t>(m_batch.running());
+    current.waiting = static_cast<std::uint32_t>(m_batch.waiting());
+    current.kv_used = m_batch.kv_used();
     const double base_ms =
         std::chrono::duration<double, std::milli>{m_settings.batch.step_base}.count();
-    seen.step_ms = m_step_ms > 0.0 ? m_step_ms : base_ms * m_faults.straggle;
-    seen.leaving = m_faults.leaving;
-    return seen;
+    current.step_ms = m_step_ms > 0.0 ? m_step_ms : base_ms * m_faults.straggle;
+    current.leaving = m_faults.leaving;
+    return current;
 }
 
 bool engine_standin::stale(fencing_number order) const
@@ -156,17 +156,17 @@
 
 void engine_standin::join(const engine_order_assign& order)
 {
-    const bool same_work = m_state == engine_state::ready && m_group == order.group &&
-                           m_model == order.model && m_version == order.version &&
-                           m_adapters == order.adapters;
-    if (!same_work || m_members != order.members)
+    const bool same_assignment = m_state == engine_state::ready && m_group == order.group &&
+                                 m_model == order.model && m_version == order.version &&
+                                 m_adapters == order.adapters;
+    if (!same_assignment || m_members != order.members)
         m_batch.abort_all();
     m_group = order.group;
     m_fencing = std::max(m_fencing, order.fencing);
     m_rank = order.rank;
     m_members = order.members;
-    m_members_seen_at = time_point{};
-    if (same_work)
+    m_members_checked_at = time_point{};
+    if (same_assignment)
         return;
     m_model = order.model;
     m_version = order.version;
@@ -209,8 +209,8 @@
             co_await standin_sleep(self->m_executor, load_retry);
             continue;
         }
-        const double all = static_cast<double>(
-            number_of(std::string{opened.value().header("jaynotch-weight-bytes")}));
+        const double total_bytes = static_cast<double>(
+            parse_number(std::string{opened.value().header("jaynotch-weight-bytes")}));
         double read = 0.0;
         while (self->m_epoch == epoch) {
             result<std::string> piece = co_await opened.value().read(weight_timeout);
@@ -219,8 +219,8 @@
             while (self->m_faults.pause || self->m_faults.stall)
                 co_await standin_sleep(self->m_executor, load_retry);
             read += static_cast<double>(piece.value().size());
-            if (self->m_epoch == epoch && all > 0.0)
-                self->m_progress = std::min(1.0, read / all);
+            if (self->m_epoch == epoch && total_bytes > 0.0)
+                self->m_progress = std::min(1.0, read / total_bytes);
             loaded = piece.value().empty();
             if (loaded)
                 break;
@@ -240,7 +240,7 @@
         self->leave();
 }
 
-awaitable<void> engine_standin::take_assign(standin_exchange& exchange)
+awaitable<void> engine_standin::handle_assign(standin_exchange& exchange)
 {
     const result<engine_order_assign> order = parse_engine_assign(exchange.body());
     if (!order) {
@@ -253,12 +253,12 @@
         co_return;
     }
     if (stale(order.value().fencing))
-        ++m_stale_taken;
+        ++m_stale_orders_taken;
     join(order.value());
     co_await answer_with_faults(m_faults, exchange, http::status::accepted, "{}");
 }
 
-awaitable<void> engine_standin::take_release(standin_exchange& exchange)
+awaitable<void> engine_standin::handle_release(standin_exchange& exchange)
 {
     const result<engine_order_release> order = parse_engine_release(exchange.body());
     if (!order) {
@@ -271,7 +271,7 @@
         co_return;
     }
     if (stale(order.value().fencing))
-        ++m_stale_taken;
+        ++m_stale_orders_taken;
     m_fencing = std::max(m_fencing, order.value().fencing);
     if (m_group == order.value().group && m_state != engine_state::idle &&
         m_state != engine_state::releasing)
@@ -285,8 +285,8 @@
 
 awaitable<void> engine_standin::import_kv(standin_exchange& exchange)
 {
-    const std::string prefix = member_text(exchange.body(), "prefix");
-    http_client source{m_executor, member_text(exchange.body(), "from"), http_limits{}};
+    const std::string prefix = string_member(exchange.body(), "prefix");
+    http_client source{m_executor, string_member(exchange.body(), "from"), http_limits{}};
     http_request request;
     request.method = http::verb::post;
     request.target = "/control/kv/export";
@@ -298,7 +298,7 @@
         co_await exchange.answer(http::status::not_found, error_body("no such prefix there", 5));
         co_return;
     }
-    m_cache.store(block_of(prefix), runtime_clock::now());
+    m_cache.store(parse_block_name(prefix), runtime_clock::now());
     co_await answer_with_faults(m_faults, exchange, http::status::accepted, "{}");
 }
 
@@ -311,21 +311,21 @@
         co_return true;
     }
     if (path == "/control/assign") {
-        co_await take_assign(exchange);
+        co_await handle_assign(exchange);
         co_return true;
     }
     if (path == "/control/release") {
-        co_await take_release(exchange);
+        co_await handle_release(exchange);
         co_return true;
     }
     if (path == "/control/cancel") {
-        m_batch.abort_attempt(member_text(exchange.body(), "attempt"));
+        m_batch.abort_attempt(string_member(exchange.body(), "attempt"));
         co_await answer_with_faults(m_faults, exchange, http::status::accepted, "{}");
         co_return true;
     }
     if (path == "/control/cache_events") {
         const auto events =
-            m_cache.events(number_of(exchange.query("after")), runtime_clock::now());
+            m_cache.events(parse_number(exchange.query("after")), runtime_clock::now());
         co_await answer_with_faults(m_faults, exchange, http::status::ok,
                                     render_cache_events(events));
         co_return true;
@@ -335,8 +335,9 @@
         co_return true;
     }
     if (path == "/control/kv/export") {
-        const bool held = m_cache.holds(block_of(member_text(exchange.body(), "prefix")));
-        const auto status = held ? http::status::ok : http::status::not_found;
+        const bool cached =
+            m_cache.has_block(parse_block_name(string_member(exchange.body(), "prefix")));
+        const auto status = cached ? http::status::ok : http::status::not_found;
         co_await answer_with_faults(m_faults, exchange, status, "{}");
         co_return true;
     }
@@ -362,12 +363,12 @@
         co_await exchange.answer(http::status::ok, render_executions());
         co_return;
     }
-    if (co_await meet_faults(m_executor, m_faults, exchange))
+    if (co_await apply_faults(m_executor, m_faults, exchange))
         co_return;
     if (co_await handle_control(exchange))
         co_return;
     if (path == "/v1/chat/completions" || path == "/v1/completions") {
-        if (m_executions.size() >= most_executions)
+        if (m_executions.size() >= max_executions)
             m_executions.clear();
         co_await serve(exchange, path == "/v1/chat/completions");
         co_return;
@@ -388,22 +389,22 @@
                                     {"partial", run.partial}});
     return json::serialize(json::object{{"vm", m_settings.vm.value()},
                                         {"executions", std::move(rows)},
-                                        {"stale_orders_taken", m_stale_taken}});
+                                        {"stale_orders_taken", m_stale_orders_taken}});
 }
 
 std::string engine_standin::render_metrics()
 {
     const time_point now = runtime_clock::now();
-    if (now - m_load_shown_at >= m_settings.load_lag) {
-        const engine_report seen = report();
-        m_shown_load = {static_cast<double>(seen.running), static_cast<double>(seen.waiting),
-                        seen.kv_used, seen.step_ms};
-        m_load_shown_at = now;
+    if (now - m_load_sampled_at >= m_settings.load_lag) {
+        const engine_report current = report();
+        m_sampled_load = {static_cast<double>(current.running),
+                          static_cast<double>(current.waiting), current.kv_used, current.step_ms};
+        m_load_sampled_at = now;
     }
-    return gauge("engine_requests_running", m_shown_load.running) +
-           gauge("engine_requests_waiting", m_shown_load.waiting) +
-           gauge("engine_kv_cache_used", m_shown_load.kv_used) +
-           gauge("engine_step_ms", m_shown_load.step_ms);
+    return gauge("engine_requests_running", m_sampled_load.running) +
+           gauge("engine_requests_waiting", m_sampled_load.waiting) +
+           gauge("engine_kv_cache_used", m_sampled_load.kv_used) +
+           gauge("engine_step_ms", m_sampled_load.step_ms);
 }
 
 } // namespace jaynotch
--- a/standins/engine_standin.h
+++ b/standins/engine_standin.h
@@ -45,7 +45,7 @@
     std::uint32_t tokens = 0; ///< produced here
     bool finished = false;    ///< all of it was written out
     bool partial = false;     ///< a member was missing while it ran
-    time_point began;
+    time_point start_time;
 };
 
 class engine_standin;
@@ -64,9 +64,9 @@
 
 /// How a group looks to its member of rank 0.
 enum class group_health {
-    whole,   ///< every member is ready in this group with the same list of members
-    stalled, ///< a member does not answer
-    broken,  ///< a member is gone, or in another group
+    complete, ///< every member is ready in this group with the same list of members
+    stalled,  ///< a member does not answer
+    broken,   ///< a member is gone, or in another group
 };
 
 class engine_standin : public std::enable_shared_from_this<engine_standin> {
@@ -83,7 +83,7 @@
     [[nodiscard]] engine_report report() const;
     [[nodiscard]] const std::vector<engine_execution>& executions() const { return m_executions; }
     /// Orders that were taken although a newer fencing number had been seen.
-    [[nodiscard]] std::uint64_t stale_orders_taken() const { return m_stale_taken; }
+    [[nodiscard]] std::uint64_t stale_orders_taken() const { return m_stale_orders_taken; }
 
 private:
     struct completion_call; // engine_serving.cc
@@ -95,8 +95,8 @@
     // Orders and reports (engine_standin.cc).
     awaitable<void> handle(standin_exchange& exchange);
     awaitable<bool> handle_control(standin_exchange& exchange);
-    awaitable<void> take_assign(standin_exchange& exchange);
-    awaitable<void> take_release(standin_exchange& exchange);
+    awaitable<void> handle_assign(standin_exchange& exchange);
+    awaitable<void> handle_release(standin_exchange& exchange);
     awaitable<void> import_kv(standin_exchange& exchange);
     void join(const engine_order_assign& order);
     void leave();
@@ -114,16 +114,16 @@
     result<void> begin(standin_exchange& exchange, completion_call& call);
     [[nodiscard]] bool has_model(const std::string& name) const;
     awaitable<void> refuse(standin_exchange& exchange, boost::beast::http::status status,
-                           std::string why);
-    [[nodiscard]] std::string why_not_serving(standin_exchange& exchange) const;
+                           std::string refusal);
+    [[nodiscard]] std::string refusal_reason(standin_exchange& exchange) const;
     awaitable<void> answer_stream(standin_exchange& exchange, const completion_call& call);
-    awaitable<void> answer_whole(standin_exchange& exchange, const completion_call& call);
+    awaitable<void> answer_buffered(standin_exchange& exchange, const completion_call& call);
     awaitable<bool> wait_for_tokens(standin_exchange& exchange, batch_sequence& sequence,
                                     std::uint32_t above);
     static awaitable<void> run_steps(std::shared_ptr<engine_standin> self);
-    awaitable<group_health> look_at_members();
-    [[nodiscard]] group_health judge(const engine_report& member) const;
-    [[nodiscard]] group_health judge_near(const engine_standin& member) const;
+    awaitable<group_health> check_members();
+    [[nodiscard]] group_health check_report(const engine_report& member) const;
+    [[nodiscard]] group_health check_local_member(const engine_standin& member) const;
     [[nodiscard]] double slowest_member() const;
 
     boost::asio::any_io_executor m_executor;
@@ -135,8 +135,8 @@
     prefix_cache m_cache;
     std::vector<engine_execution> m_executions;
 
-    std::string m_boot;
-    std::uint64_t m_boots = 0;
+    std::string m_boot_id;
+    std::uint64_t m_boot_count = 0;
     std::uint64_t m_epoch = 0; ///< grows with each change of assignment; ends older coroutines
     group_id m_group;
     fencing_number m_fencing;
@@ -149,11 +149,11 @@
     double m_progress = 0.0;
     double m_step_ms = 0.0;
     bool m_stepping = false;
-    std::uint64_t m_stale_taken = 0;
-    engine_load m_shown_load;
-    time_point m_load_shown_at;
-    time_point m_members_seen_at;
-    group_health m_members_seen = group_health::whole;
+    std::uint64_t m_stale_orders_taken = 0;
+    engine_load m_sampled_load;
+    time_point m_load_sampled_at;
+    time_point m_members_checked_at;
+    group_health m_members_health = group_health::complete;
 };
 
 } // namespace jaynotch
--- a/standins/engine_standin_test.cc
+++ b/standins/engine_standin_test.cc
@@ -16,7 +16,7 @@
 constexpr const char* version = "v1";
 
 /// Everything a caller got of one stream.
-struct streamed {
+struct received_stream {
     http::status status = http::status::unknown;
     std::string ran; ///< the header jaynotch-ran
     std::string text;
@@ -24,12 +24,12 @@
     bool cut = false;
 };
 
-struct group_of_engines {
+struct engine_group {
     test_runtime runtime;
     std::shared_ptr<standin_fleet> fleet;
     std::vector<std::string> members;
 
-    explicit group_of_engines(std::size_t size, standin_fleet_settings settings = {})
+    explicit engine_group(std::size_t size, standin_fleet_settings settings = {})
     {
         settings.engines = size;
         settings.fabric_domains = 1;
@@ -67,15 +67,15 @@
     }
 
     http_request request(const std::string& prompt, std::uint32_t tokens,
-                         const std::string& given = "")
+                         const std::string& resume_text = "")
     {
         json::object body{{"model", model},
                           {"prompt", prompt},
                           {"stream", true},
                           {"max_tokens", tokens},
                           {"ignore_eos", true}};
-        if (!given.empty())
-            body["jaynotch_resume"] = json::object{{"text", given}};
+        if (!resume_text.empty())
+            body["jaynotch_resume"] = json::object{{"text", resume_text}};
         http_request made;
         made.method = http::verb::post;
         made.target = "/v1/completions";
@@ -85,36 +85,39 @@
         return made;
     }
 
-    streamed stream(http_request wanted) { return runtime.run(read_stream(std::move(wanted))); }
+    received_stream stream(http_request wanted)
+    {
+        return runtime.run(read_stream(std::move(wanted)));
+    }
 
-    awaitable<streamed> read_stream(http_request wanted)
+    awaitable<received_stream> read_stream(http_request wanted)
     {
-        streamed got;
+        received_stream received;
         http_client client{runtime.executor(), members[0], http_limits{}};
         result<http_stream> opened =
             co_await client.open(std::move(wanted), std::chrono::seconds{5});
         if (!opened) {
-            got.cut = true;
-            co_return got;
+            received.cut = true;
+            co_return received;
         }
-        got.status = opened.value().status();
-        got.ran = std::string{opened.value().header("jaynotch-ran")};
+        received.status = opened.value().status();
+        received.ran = std::string{opened.value().header("jaynotch-ran")};
         std::string body;
         for (;;) {
             result<std::string> piece = co_await opened.value().read(std::chrono::seconds{5});
             if (!piece) {
-                got.cut = true;
+                received.cut = true;
                 break;
             }
             if (piece.value().empty())
                 break;
             body += piece.value();
         }
-        take_events(body, got);
-        co_return got;
+        parse_events(body, received);
+        co_return received;
     }
 
-    static void take_events(std::string_view body, streamed& got)
+    static void parse_events(std::string_view body, received_stream& received)
     {
         while (!body.empty()) {
             const std::size_t end = body.find("\n\n");
@@ -126,52 +129,52 @@
                 continue;
             event.remove_prefix(6);
             if (event == "[DONE]") {
-                got.done = true;
+                received.done = true;
                 continue;
             }
             const json::value parsed = json::parse(event);
-            got.text += parsed.at("choices").at(0).at("text").as_string();
+            received.text += parsed.at("choices").at(0).at("text").as_string();
         }
     }
 };
 
-awaitable<void> wait_and_do(boost::asio::any_io_executor executor, duration wait,
-                            std::function<void()> act)
+awaitable<void> run_after_delay(boost::asio::any_io_executor executor, duration wait,
+                                std::function<void()> action)
 {
     co_await standin_sleep(executor, wait);
-    act();
+    action();
 }
 
 /// Does something while the test waits for something else.
-void later(group_of_engines& group, duration wait, std::function<void()> act)
+void run_after(engine_group& group, duration wait, std::function<void()> action)
 {
     const auto executor = group.runtime.executor();
-    boost::asio::co_spawn(executor, wait_and_do(executor, wait, std::move(act)),
+    boost::asio::co_spawn(executor, run_after_delay(executor, wait, std::move(action)),
                           boost::asio::detached);
 }
 
-awaitable<void> wait_for_and_do(boost::asio::any_io_executor executor, std::function<bool()> holds,
-                                std::function<void()> act)
+awaitable<void> run_when(boost::asio::any_io_executor executor, std::function<bool()> condition,
+                         std::function<void()> action)
 {
-    while (!holds()) {
+    while (!condition()) {
         co_await standin_sleep(executor, std::chrono::milliseconds{1});
     }
-    act();
+    action();
 }
 
 /// Does something as soon as the first member runs a request that has produced `tokens`.
-void once_running(group_of_engines& group, std::uint32_t tokens, std::function<void()> act)
+void when_produced(engine_group& group, std::uint32_t tokens, std::function<void()> action)
 {
     const auto running = [&group, tokens] {
         const auto& executions = group.fleet->engine(0).executions();
         return !executions.empty() && executions.front().tokens >= tokens;
     };
     const auto executor = group.runtime.executor();
-    boost::asio::co_spawn(executor, wait_for_and_do(executor, running, std::move(act)),
+    boost::asio::co_spawn(executor, run_when(executor, running, std::move(action)),
                           boost::asio::detached);
 }
 
-awaitable<bool> open_and_leave(group_of_engines& group)
+awaitable<bool> open_and_disconnect(engine_group& group)
 {
     http_client client{group.runtime.executor(), group.members[0], http_limits{}};
     const result<http_stream> opened =
@@ -179,7 +182,7 @@
     co_return bool(opened);
 }
 
-awaitable<void> release_first(group_of_engines& group)
+awaitable<void> release_first(engine_group& group)
 {
     engine_client client{group.runtime.executor(), group.members[0], std::chrono::seconds{1}};
     const engine_order_release order{"r", fencing_number{6}, group_id{"g1"}};
@@ -191,28 +194,28 @@
 
 } // namespace
 
-Test(engine, a_whole_group_answers_with_the_text_that_the_caller_can_check)
+Test(engine, a_complete_group_answers_with_verifiable_text)
 {
-    group_of_engines group{4};
+    engine_group group{4};
     group.assign_all(5);
-    const streamed got = group.stream(group.request("trench 7", 24));
-    cr_assert(got.done);
-    cr_assert_eq(got.text, (answer_text{model, version, "trench 7"}.joined(0, 24)));
+    const received_stream received = group.stream(group.request("trench 7", 24));
+    cr_assert(received.done);
+    cr_assert_eq(received.text, (answer_text{model, version, "trench 7"}.joined(0, 24)));
     cr_assert(group.fleet->engine(0).executions().at(0).finished);
     cr_assert(!group.fleet->engine(0).executions().at(0).partial);
 }
 
 // One of four members dies. The group must not answer on the other three: new requests are refused
 // as not run, and the stream in flight is cut without its terminal mark.
-Test(engine, a_group_that_lost_a_member_cuts_and_refuses)
+Test(engine, a_group_that_lost_a_member_cuts_its_stream_and_refuses)
 {
-    group_of_engines group{4};
+    engine_group group{4};
     group.assign_all(5);
-    once_running(group, 1, [&] { group.fleet->engine(2).apply({.kill = true}); });
-    const streamed cut = group.stream(group.request("a", 400));
+    when_produced(group, 1, [&] { group.fleet->engine(2).apply({.kill = true}); });
+    const received_stream cut = group.stream(group.request("a", 400));
     cr_assert(cut.cut && !cut.done);
     cr_assert((answer_text{model, version, "a"}.tokens_in(cut.text)));
-    const streamed refused = group.stream(group.request("b", 10));
+    const received_stream refused = group.stream(group.request("b", 10));
     cr_assert(refused.status == http::status::conflict);
     cr_assert_eq(refused.ran, "no");
 }
@@ -221,74 +224,74 @@
 // member returns, and the answer is whole.
 Test(engine, a_paused_member_stalls_its_group_until_it_returns)
 {
-    group_of_engines group{2};
+    engine_group group{2};
     group.assign_all(5);
     group.fleet->engine(1).apply({.pause = true});
-    once_running(group, 0, [&] {
-        later(group, std::chrono::milliseconds{200}, [&] {
+    when_produced(group, 0, [&] {
+        run_after(group, std::chrono::milliseconds{200}, [&] {
             cr_assert_eq(group.fleet->engine(0).executions().at(0).tokens, 0U);
             group.fleet->engine(1).apply({.pause = false});
         });
     });
-    const streamed got = group.stream(group.request("p", 20));
-    cr_assert(got.done);
-    cr_assert_eq(got.text, (answer_text{model, version, "p"}.joined(0, 20)));
+    const received_stream received = group.stream(group.request("p", 20));
+    cr_assert(received.done);
+    cr_assert_eq(received.text, (answer_text{model, version, "p"}.joined(0, 20)));
 }
 
-Test(engine, a_stream_resumes_behind_the_text_already_given)
+Test(engine, a_stream_resumes_after_the_text_already_sent)
 {
-    group_of_engines group{2};
+    engine_group group{2};
     group.assign_all(5);
     group.fleet->engine(0).apply({.cut_after = 9});
-    const streamed cut = group.stream(group.request("r", 30));
+    const received_stream cut = group.stream(group.request("r", 30));
     cr_assert(cut.cut && !cut.done);
     group.fleet->engine(0).apply({.cut_after = 0});
-    const streamed rest = group.stream(group.request("r", 30, cut.text));
+    const received_stream rest = group.stream(group.request("r", 30, cut.text));
     cr_assert(rest.done);
     cr_assert_eq(cut.text + rest.text, (answer_text{model, version, "r"}.joined(0, 30)));
-    const streamed foreign = group.stream(group.request("other", 30, cut.text));
+    const received_stream foreign = group.stream(group.request("other", 30, cut.text));
     cr_assert(foreign.status == http::status::unprocessable_entity);
 }
 
-Test(engine, an_old_fencing_number_is_refused_only_where_it_is_checked)
+Test(engine, an_old_fencing_number_is_refused_only_with_checking_enabled)
 {
-    group_of_engines careful{2};
-    careful.assign_all(5);
-    cr_assert(careful.assign(1, 4, "g2").error().kind == error_kind::conflict);
+    engine_group with_check{2};
+    with_check.assign_all(5);
+    cr_assert(with_check.assign(1, 4, "g2").error().kind == error_kind::conflict);
     standin_fleet_settings settings;
     settings.engine.check_fencing = false;
-    group_of_engines careless{2, settings};
-    careless.assign_all(5);
-    cr_assert(careless.assign(1, 4, "g2"));
-    cr_assert_eq(careless.fleet->engine(1).stale_orders_taken(), 1U);
-    const streamed refused = careless.stream(careless.request("b", 10));
+    engine_group without_check{2, settings};
+    without_check.assign_all(5);
+    cr_assert(without_check.assign(1, 4, "g2"));
+    cr_assert_eq(without_check.fleet->engine(1).stale_orders_taken(), 1U);
+    const received_stream refused = without_check.stream(without_check.request("b", 10));
     cr_assert(refused.status == http::status::conflict);
 }
 
 // An engine that does not ask its members answers on a part of the group. The account must show
 // it, or no scenario could tell that a daemon let it happen.
-Test(engine, the_account_shows_an_answer_of_a_partial_group)
+Test(engine, executions_list_marks_an_answer_of_a_partial_group)
 {
-    group_of_engines group{3};
+    engine_group group{3};
     group.assign_all(5);
     group.fleet->engine(0).apply({.serve_partial = true});
     group.fleet->engine(1).apply({.kill = true});
-    const streamed got = group.stream(group.request("a", 10));
-    cr_assert(got.done);
+    const received_stream received = group.stream(group.request("a", 10));
+    cr_assert(received.done);
     cr_assert(group.fleet->engine(0).executions().at(0).partial);
 }
 
 // A member was put into another group of the same name with other members. What it computes belongs
 // to those; rank 0 must not take it for its own member.
-Test(engine, a_member_with_another_list_of_members_is_not_of_the_group)
+Test(engine, a_member_with_another_member_list_breaks_the_group)
 {
-    group_of_engines group{3};
+    engine_group group{3};
     group.assign_all(5);
     cr_assert(group.stream(group.request("a", 5)).done);
     std::swap(group.members[0], group.members[1]);
     cr_assert(group.assign(2, 6));
     std::swap(group.members[0], group.members[1]);
-    const streamed refused = group.stream(group.request("b", 5));
+    const received_stream refused = group.stream(group.request("b", 5));
     cr_assert(refused.status == http::status::conflict);
     cr_assert(group.assign(2, 7));
     cr_assert(group.stream(group.request("c", 5)).done);
@@ -297,22 +300,22 @@
 // A straggler slows its whole group, not only itself.
 Test(engine, a_straggler_slows_its_group)
 {
-    group_of_engines group{2};
+    engine_group group{2};
     group.assign_all(5);
     const time_point began = runtime_clock::now();
     cr_assert(group.stream(group.request("a", 30)).done);
     const duration healthy = runtime_clock::now() - began;
     group.fleet->engine(1).apply({.straggle = 6.0});
-    const time_point again = runtime_clock::now();
+    const time_point straggling_start = runtime_clock::now();
     cr_assert(group.stream(group.request("b", 30)).done);
-    cr_assert(runtime_clock::now() - again > 2 * healthy);
+    cr_assert(runtime_clock::now() - straggling_start > 2 * healthy);
 }
 
 Test(engine, a_cancelled_or_abandoned_answer_leaves_the_batch)
 {
-    group_of_engines group{1};
+    engine_group group{1};
     group.assign_all(5);
-    cr_assert(group.runtime.run(open_and_leave(group)));
+    cr_assert(group.runtime.run(open_and_disconnect(group)));
     cr_assert(
         group.runtime.run_until([&] { return group.fleet->engine(0).report().running == 0; }));
     cr_assert(!group.fleet->engine(0).executions().at(0).finished);
@@ -320,9 +323,9 @@
 
 Test(engine, a_release_waits_for_the_answers_in_flight)
 {
-    group_of_engines group{1};
+    engine_group group{1};
     group.assign_all(5);
-    once_running(group, 1, [&] {
+    when_produced(group, 1, [&] {
         boost::asio::co_spawn(group.runtime.executor(), release_first(group),
                               boost::asio::detached);
     });
@@ -333,11 +336,11 @@
 
 // Prompts that share a beginning are quicker the second time, and the engine says late, and not
 // always, what it holds.
-Test(engine, a_cached_prefix_is_published_late_and_with_gaps)
+Test(engine, cache_events_are_delayed_and_incomplete)
 {
     standin_fleet_settings settings;
     settings.engine.cache = {.blocks = 64, .event_lag = std::chrono::seconds{1}, .event_loss = 0.3};
-    group_of_engines group{1, settings};
+    engine_group group{1, settings};
     group.assign_all(5);
     engine_client client{group.runtime.executor(), group.members[0], std::chrono::seconds{1}};
     cr_assert(group.stream(group.request(std::string(40 * prompt_block_bytes, 'x'), 1)).done);
--- a/standins/faults.cc
+++ b/standins/faults.cc
@@ -56,7 +56,7 @@
         rate = *change.rate;
 }
 
-bool fault_state::take_lost_reply()
+bool fault_state::consume_lost_reply()
 {
     if (lose_replies == 0)
         return false;
@@ -92,8 +92,8 @@
     return change;
 }
 
-awaitable<bool> take_fault(standin_exchange& exchange,
-                           std::function<void(const fault_change&)> apply)
+awaitable<bool> handle_fault_request(standin_exchange& exchange,
+                                     std::function<void(const fault_change&)> apply)
 {
     if (exchange.path() != "/fault")
         co_return false;
@@ -105,12 +105,12 @@
     co_return true;
 }
 
-awaitable<bool> meet_faults(boost::asio::any_io_executor executor, fault_state& faults,
-                            standin_exchange& exchange)
+awaitable<bool> apply_faults(boost::asio::any_io_executor executor, fault_state& faults,
+                             standin_exchange& exchange)
 {
     while (faults.pause)
         co_await standin_sleep(executor, pause_poll);
-    if (exchange.client_gone() || faults.kill) {
+    if (exchange.client_disconnected() || faults.kill) {
         exchange.cut();
         co_return true;
     }
@@ -133,7 +133,7 @@
 awaitable<void> answer_with_faults(fault_state& faults, standin_exchange& exchange,
                                    http::status status, std::string body)
 {
-    if (faults.take_lost_reply()) {
+    if (faults.consume_lost_reply()) {
         exchange.cut();
         co_return;
     }
--- a/standins/faults.h
+++ b/standins/faults.h
@@ -56,19 +56,19 @@
 
     void apply(const fault_change& change);
     /// Takes one lost reply out of the count; whether this reply is to be lost.
-    bool take_lost_reply();
+    bool consume_lost_reply();
 };
 
 result<fault_change> parse_fault(std::string_view body);
 
 /// Answers /fault once `apply` has made the change, so that who asked finds it in force. True if
 /// the exchange is dealt with.
-awaitable<bool> take_fault(standin_exchange& exchange,
-                           std::function<void(const fault_change&)> apply);
+awaitable<bool> handle_fault_request(standin_exchange& exchange,
+                                     std::function<void(const fault_change&)> apply);
 /// What is common to all stand-ins: pauses, refuses, delays or garbles as the switches say. True if
 /// the exchange is dealt with and the stand-in must not look at it.
-awaitable<bool> meet_faults(boost::asio::any_io_executor executor, fault_state& faults,
-                            standin_exchange& exchange);
+awaitable<bool> apply_faults(boost::asio::any_io_executor executor, fault_state& faults,
+                             standin_exchange& exchange);
 /// Answers, or loses or spoils the answer as the switches say.
 awaitable<void> answer_with_faults(fault_state& faults, standin_exchange& exchange,
                                    boost::beast::http::status status, std::string body);
--- a/standins/fleet.cc
+++ b/standins/fleet.cc
@@ -47,7 +47,7 @@
         BOOST_OUTCOME_TRY(auto engine, engine_standin::start(m_executor, one, m_directory));
         rows.push_back({.vm = one.vm,
                         .address = engine->address(),
-                        .fabric_domain = fabric_of(index),
+                        .fabric_domain = fabric_domain_of(index),
                         .failure_domain = failure_domain_of(index),
                         .accelerators = m_settings.accelerators});
         m_engines.push_back(std::move(engine));
@@ -63,7 +63,7 @@
     return success();
 }
 
-void standin_fleet::show_engine_at(std::size_t index, const std::string& address)
+void standin_fleet::advertise_engine_address(std::size_t index, const std::string& address)
 {
     m_directory->add_alias(address, m_engines.at(index));
     vm_entry row = m_vms->vms().at(index);
@@ -73,7 +73,7 @@
     m_vms->put_all(std::move(rows));
 }
 
-fabric_domain_id standin_fleet::fabric_of(std::size_t index) const
+fabric_domain_id standin_fleet::fabric_domain_of(std::size_t index) const
 {
     const std::size_t domain = index * m_settings.fabric_domains / m_settings.engines;
     return fabric_domain_id{"fabric-" + std::to_string(domain)};
@@ -119,7 +119,7 @@
 void standin_fleet::apply_to_fabric(const fabric_domain_id& domain, const fault_change& change)
 {
     for (std::size_t index = 0; index < m_engines.size(); ++index) {
-        if (fabric_of(index) == domain)
+        if (fabric_domain_of(index) == domain)
             m_engines[index]->apply(change);
     }
 }
@@ -130,7 +130,7 @@
     for (std::size_t index = 0; index < m_engines.size(); ++index)
         engines.push_back(json::object{{"vm", m_engines[index]->vm().value()},
                                        {"address", m_engines[index]->address()},
-                                       {"fabric_domain", fabric_of(index).value()},
+                                       {"fabric_domain", fabric_domain_of(index).value()},
                                        {"failure_domain", failure_domain_of(index).value()}});
     json::array plain;
     for (const auto& one : m_plain)
@@ -143,7 +143,7 @@
                                         {"plain", std::move(plain)}});
 }
 
-std::string standin_fleet::account() const
+std::string standin_fleet::render_totals() const
 {
     std::uint64_t finished = 0;
     std::uint64_t partial = 0;
@@ -173,7 +173,7 @@
         co_return;
     }
     if (exchange.path() == "/account") {
-        co_await exchange.answer(http::status::ok, account());
+        co_await exchange.answer(http::status::ok, render_totals());
         co_return;
     }
     if (!exchange.path().starts_with(fault_path)) {
@@ -183,8 +183,8 @@
     const std::string name{exchange.path().substr(fault_path.size())};
     const result<fault_change> change = parse_fault(exchange.body());
     const result<void> done = change ? apply(name, change.value()) : result<void>{change.error()};
-    const std::string said = done ? "{}" : error_body(to_string(done.error()), 3);
-    co_await exchange.answer(done ? http::status::ok : http::status::bad_request, said);
+    const std::string response_body = done ? "{}" : error_body(to_string(done.error()), 3);
+    co_await exchange.answer(done ? http::status::ok : http::status::bad_request, response_body);
 }
 
 } // namespace jaynotch
--- a/standins/fleet.h
+++ b/standins/fleet.h
@@ -51,9 +51,9 @@
     [[nodiscard]] plain_standin& plain(std::size_t index) { return *m_plain.at(index); }
     [[nodiscard]] const std::string& control_address() const { return m_control->address(); }
     /// Makes the VM list show an engine at another address, one that leads to it.
-    void show_engine_at(std::size_t index, const std::string& address);
+    void advertise_engine_address(std::size_t index, const std::string& address);
     /// Fabric domain of an engine.
-    [[nodiscard]] fabric_domain_id fabric_of(std::size_t index) const;
+    [[nodiscard]] fabric_domain_id fabric_domain_of(std::size_t index) const;
     [[nodiscard]] failure_domain_id failure_domain_of(std::size_t index) const;
 
     /// Changes the faults of whatever has this name; not_found if nothing has.
@@ -69,7 +69,7 @@
     result<void> start_platform();
     result<void> start_backends();
     awaitable<void> handle(standin_exchange& exchange);
-    [[nodiscard]] std::string account() const;
+    [[nodiscard]] std::string render_totals() const;
 
     boost::asio::any_io_executor m_executor;
     standin_fleet_settings m_settings;
--- a/standins/kv_adapters_test.cc
+++ b/standins/kv_adapters_test.cc
@@ -38,7 +38,7 @@
 
 } // namespace
 
-Test(etcd_gateway, a_swap_is_won_once_and_the_loser_sees_the_winner)
+Test(etcd_gateway, only_one_create_succeeds_and_the_other_gets_the_entry)
 {
     served_kv served;
     const std::string binary("\0\xff binary", 9);
@@ -53,7 +53,7 @@
     cr_assert_eq(read.value().mod_revision(), first.value().revision);
 }
 
-Test(etcd_gateway, a_prefix_reads_its_keys_and_no_neighbour)
+Test(etcd_gateway, a_prefix_read_returns_only_keys_with_the_prefix)
 {
     served_kv served;
     for (const char* key : {"a/1", "a/2", "a0", "a", "b/1"})
@@ -65,7 +65,7 @@
 
 // A dealer's confirmation is claimed, the claim is written, and the reply is lost. The daemon must
 // not take that for "did not happen": it reads back and finds its own claim.
-Test(etcd_gateway, a_write_whose_reply_is_lost_is_unknown_and_can_be_settled)
+Test(etcd_gateway, a_write_whose_reply_is_lost_is_unknown_and_can_be_resolved)
 {
     served_kv served;
     served.standin->apply({.lose_replies = 1});
@@ -77,7 +77,7 @@
 
 // The service stops answering in the middle of everything. Reads say that time ran out, writes
 // that their outcome is unknown; both come back within their timeout.
-Test(etcd_gateway, silence_is_a_timeout_for_reads_and_unknown_for_writes)
+Test(etcd_gateway, an_unresponsive_service_is_a_timeout_for_reads_and_unknown_for_writes)
 {
     served_kv served;
     served.standin->apply({.pause = true});
@@ -101,7 +101,7 @@
     cr_assert(served.put("a", "1"));
 }
 
-Test(etcd_gateway, an_outage_and_a_rate_limit_are_told_apart)
+Test(etcd_gateway, an_outage_and_a_rate_limit_are_distinguished)
 {
     served_kv served;
     served.standin->apply({.outage = true});
@@ -112,7 +112,7 @@
     cr_assert(served.put("a", "2").error().kind == error_kind::rate_limited);
 }
 
-Test(etcd_gateway, garbage_and_cut_answers_are_never_taken_for_an_outcome)
+Test(etcd_gateway, malformed_and_cut_answers_are_never_an_outcome)
 {
     served_kv served;
     served.standin->apply({.garbage = true});
@@ -148,7 +148,7 @@
     cr_assert(served.runtime.run(small.get("a")).error().kind == error_kind::too_large);
 }
 
-Test(etcd_gateway, a_lapsed_lease_takes_its_keys_and_says_so)
+Test(etcd_gateway, an_expired_lease_deletes_its_keys_and_is_not_found)
 {
     served_kv served;
     const auto lease = served.runtime.run(served.kv.grant(std::chrono::seconds{30}));
@@ -156,14 +156,14 @@
     transaction.then.push_back(kv_put{"manager", "me", lease.value().id});
     cr_assert(served.transact(transaction));
     cr_assert(served.runtime.run(served.kv.keep_alive(lease.value().id)));
-    served.standin->lapse(lease.value().id);
+    served.standin->expire_lease(lease.value().id);
     const auto kept = served.runtime.run(served.kv.keep_alive(lease.value().id));
     cr_assert(kept.error().kind == error_kind::not_found);
     cr_assert(!served.runtime.run(served.kv.get("manager")).value().entry);
     cr_assert(served.transact(transaction).error().kind == error_kind::not_found);
 }
 
-Test(etcd_gateway, a_watch_shows_each_change_once_and_in_order)
+Test(etcd_gateway, a_watch_reports_each_change_once_and_in_order)
 {
     served_kv served;
     const auto before = served.put("w/0", "0");
@@ -187,7 +187,7 @@
 
 // The connection of a watch dies with the service. Its reader must hear it, not wait for ever, and
 // find all changes again by watching from where it stood.
-Test(etcd_gateway, a_cut_watch_is_noticed_and_loses_no_change)
+Test(etcd_gateway, a_cut_watch_is_detected_and_loses_no_change)
 {
     served_kv served;
     const auto before = served.put("w/0", "0");
@@ -218,7 +218,7 @@
 
 // Both adapters must agree on what each operation means, or a test against one proves nothing for
 // the other: the same random transactions on both, compared step by step.
-Test(kv_adapters, memory_and_gateway_do_the_same)
+Test(kv_adapters, memory_and_gateway_behave_alike)
 {
     served_kv served;
     auto server = memory_kv_server::make(served.runtime.executor());
@@ -246,7 +246,7 @@
 }
 
 // A write gives up, then takes effect all the same: the caller heard "unknown", not "failed".
-Test(memory_kv, a_late_effect_comes_after_the_caller_gave_up)
+Test(memory_kv, a_delayed_write_takes_effect_after_the_timeout)
 {
     test_runtime runtime;
     auto server = memory_kv_server::make(runtime.executor());
@@ -258,7 +258,7 @@
     cr_assert(runtime.run_until([&] { return server->store.find("a") != nullptr; }));
 }
 
-Test(memory_kv, leases_end_on_the_paused_clock_and_watches_see_it)
+Test(memory_kv, leases_expire_on_the_paused_clock_and_notify_watches)
 {
     runtime_clock::pause();
     test_runtime runtime;
@@ -274,7 +274,7 @@
     cr_assert(batch.value().events.at(0).deleted);
 }
 
-Test(memory_kv, a_partitioned_client_is_cut_off_alone)
+Test(memory_kv, a_partition_affects_only_its_client)
 {
     test_runtime runtime;
     auto server = memory_kv_server::make(runtime.executor());
--- a/standins/kv_standin.cc
+++ b/standins/kv_standin.cc
@@ -5,7 +5,7 @@
 #include <boost/asio/redirect_error.hpp>
 #include <boost/asio/use_awaitable.hpp>
 
-// Leases end when a call or a watch next looks at the store, which is at most `longest_quiet`
+// Leases end when a call or a watch next looks at the store, which is at most `max_watch_wait`
 // later: near enough for leases of seconds, and no timer for each lease.
 
 namespace jaynotch {
@@ -16,9 +16,9 @@
 
 namespace {
 
-constexpr duration longest_quiet = std::chrono::milliseconds{20};
-constexpr std::string_view what = "key-value request";
-constexpr std::size_t most_value_bytes = 1'500'000;
+constexpr duration max_watch_wait = std::chrono::milliseconds{20};
+constexpr std::string_view request_name = "key-value request";
+constexpr std::size_t max_value_bytes = 1'500'000;
 
 std::string decimal(std::int64_t number)
 {
@@ -32,7 +32,7 @@
 
 result<key_range> read_range(const json::object& object)
 {
-    json_fields fields{object, what};
+    json_fields fields{object, request_name};
     BOOST_OUTCOME_TRY(std::string key, base64_decode(fields.text("key")));
     BOOST_OUTCOME_TRY(const std::string end, base64_decode(fields.text("range_end")));
     if (fields.failure())
@@ -44,23 +44,23 @@
 
 struct watch_request {
     std::string prefix;
-    std::int64_t from = 0; ///< 0 for from now
+    std::int64_t start_revision = 0; ///< 0 for from now
 };
 
 result<watch_request> read_watch(const std::string& body)
 {
-    BOOST_OUTCOME_TRY(const json::object object, parse_json_object(body, what));
-    json_fields outer{object, what};
+    BOOST_OUTCOME_TRY(const json::object object, parse_json_object(body, request_name));
+    json_fields outer{object, request_name};
     outer.require("create_request");
     const json::object* create = outer.object("create_request");
     if (outer.failure())
         return *outer.failure();
-    json_fields fields{*create, what};
-    const std::int64_t from = fields.integer("start_revision");
+    json_fields fields{*create, request_name};
+    const std::int64_t start_revision = fields.integer("start_revision");
     BOOST_OUTCOME_TRY(key_range range, read_range(*create));
     if (fields.failure())
         return *fields.failure();
-    return watch_request{std::move(range.key), from};
+    return watch_request{std::move(range.key), start_revision};
 }
 
 json::object render_event(const kv_event& event)
@@ -73,15 +73,15 @@
 
 } // namespace
 
-bool rate_gate::admit(time_point now)
+bool call_rate_limiter::admit(time_point now)
 {
     if (m_per_second == 0)
         return true;
-    if (now - m_second_began >= std::chrono::seconds{1}) {
-        m_second_began = now;
-        m_taken = 0;
+    if (now - m_window_start >= std::chrono::seconds{1}) {
+        m_window_start = now;
+        m_admitted = 0;
     }
-    return m_taken++ < m_per_second;
+    return m_admitted++ < m_per_second;
 }
 
 kv_standin::kv_standin(const asio::any_io_executor& executor, const kv_standin_settings& settings)
@@ -108,7 +108,7 @@
     wake_watches();
 }
 
-void kv_standin::lapse(lease_id lease)
+void kv_standin::expire_lease(lease_id lease)
 {
     m_store.revoke(lease);
     wake_watches();
@@ -116,7 +116,7 @@
 
 void kv_standin::wake_watches()
 {
-    for (timer* wait : m_watch_waits)
+    for (timer* wait : m_watch_timers)
         wait->cancel();
 }
 
@@ -132,7 +132,7 @@
 {
     const auto keep = shared_from_this();
     const auto change_faults = [this](const fault_change& change) { apply(change); };
-    const bool taken = co_await take_fault(exchange, change_faults);
+    const bool taken = co_await handle_fault_request(exchange, change_faults);
     if (taken)
         co_return;
     if (exchange.path() == "/stats") {
@@ -140,7 +140,7 @@
         co_await exchange.answer(page.status, page.body);
         co_return;
     }
-    if (co_await meet_faults(m_executor, m_faults, exchange))
+    if (co_await apply_faults(m_executor, m_faults, exchange))
         co_return;
     m_store.expire(runtime_clock::now());
     if (exchange.path() == "/v3/watch") {
@@ -175,7 +175,7 @@
 
 kv_standin::call_answer kv_standin::range(const std::string& body)
 {
-    const result<json::object> object = parse_json_object(body, what);
+    const result<json::object> object = parse_json_object(body, request_name);
     if (!object)
         return {http::status::bad_request, error_body(object.error().message, 3)};
     const result<key_range> range = read_range(object.value());
@@ -203,7 +203,7 @@
 kv_standin::call_answer kv_standin::transact(const std::string& body)
 {
     m_counts.add(kv_call::transact);
-    if (body.size() > most_value_bytes)
+    if (body.size() > max_value_bytes)
         return {http::status::bad_request, error_body("request is too large", 3)};
     const result<kv_transaction> transaction = parse_kv_transaction(body);
     if (!transaction)
@@ -225,10 +225,10 @@
 kv_standin::call_answer kv_standin::grant(const std::string& body)
 {
     m_counts.add(kv_call::grant);
-    const result<json::object> object = parse_json_object(body, what);
+    const result<json::object> object = parse_json_object(body, request_name);
     if (!object)
         return {http::status::bad_request, error_body(object.error().message, 3)};
-    json_fields fields{object.value(), what};
+    json_fields fields{object.value(), request_name};
     const std::int64_t ttl = fields.integer("TTL");
     if (fields.failure() || ttl <= 0)
         return {http::status::bad_request, error_body("TTL is missing", 3)};
@@ -241,10 +241,10 @@
 kv_standin::call_answer kv_standin::keep_alive(const std::string& body)
 {
     m_counts.add(kv_call::keep_alive);
-    const result<json::object> object = parse_json_object(body, what);
+    const result<json::object> object = parse_json_object(body, request_name);
     if (!object)
         return {http::status::bad_request, error_body(object.error().message, 3)};
-    json_fields fields{object.value(), what};
+    json_fields fields{object.value(), request_name};
     const lease_id id{fields.integer("ID")};
     const std::optional<duration> ttl = m_store.keep_alive(id, runtime_clock::now());
     json::object inner{{"header", header()}, {"ID", decimal(id.value())}};
@@ -256,10 +256,10 @@
 kv_standin::call_answer kv_standin::revoke(const std::string& body)
 {
     m_counts.add(kv_call::revoke);
-    const result<json::object> object = parse_json_object(body, what);
+    const result<json::object> object = parse_json_object(body, request_name);
     if (!object)
         return {http::status::bad_request, error_body(object.error().message, 3)};
-    json_fields fields{object.value(), what};
+    json_fields fields{object.value(), request_name};
     if (!m_store.revoke(lease_id{fields.integer("ID")}))
         return {http::status::not_found, error_body("requested lease not found", 5)};
     return {http::status::ok, json::serialize(json::object{{"header", header()}})};
@@ -271,7 +271,7 @@
     for (const auto& entry : enum_names<kv_call>::entries)
         counts[entry.name] = m_counts.of(entry.value);
     counts["refused"] = m_refused;
-    counts["waiting_watches"] = m_waiting;
+    counts["waiting_watches"] = m_open_watches;
     return {http::status::ok, json::serialize(counts)};
 }
 
@@ -281,9 +281,9 @@
     return json::serialize(json::object{{"result", inner}}) + "\n";
 }
 
-std::string kv_standin::changes_line(const std::string& prefix, std::int64_t from) const
+std::string kv_standin::changes_line(const std::string& prefix, std::int64_t start_revision) const
 {
-    const result<std::vector<kv_event>> seen = m_store.changes(prefix, from);
+    const result<std::vector<kv_event>> seen = m_store.changes(prefix, start_revision);
     json::object inner{{"header", header()}};
     if (!seen) {
         inner["canceled"] = true;
@@ -301,35 +301,35 @@
 awaitable<void> kv_standin::watch(standin_exchange& exchange)
 {
     m_counts.add(kv_call::watch);
-    const result<watch_request> asked = read_watch(exchange.body());
-    if (!asked) {
+    const result<watch_request> parsed = read_watch(exchange.body());
+    if (!parsed) {
         co_await exchange.answer(http::status::bad_request, error_body("malformed watch", 3));
         co_return;
     }
-    std::int64_t from = asked.value().from;
-    if (from <= 0)
-        from = m_store.revision() + 1;
-    ++m_waiting;
+    std::int64_t start_revision = parsed.value().start_revision;
+    if (start_revision <= 0)
+        start_revision = m_store.revision() + 1;
+    ++m_open_watches;
     timer wait{m_executor};
-    m_watch_waits.insert(&wait);
+    m_watch_timers.insert(&wait);
     bool open = co_await exchange.begin_chunks(http::status::ok, "application/json");
     if (open)
         open = co_await exchange.write_chunk(created_line());
-    while (open && !exchange.client_gone() && !m_faults.outage && !m_faults.kill) {
+    while (open && !exchange.client_disconnected() && !m_faults.outage && !m_faults.kill) {
         m_store.expire(runtime_clock::now());
-        if (!m_faults.pause && m_store.revision() >= from) {
-            std::string line = changes_line(asked.value().prefix, from);
-            from = m_store.revision() + 1;
+        if (!m_faults.pause && m_store.revision() >= start_revision) {
+            std::string line = changes_line(parsed.value().prefix, start_revision);
+            start_revision = m_store.revision() + 1;
             if (!line.empty())
                 open = co_await exchange.write_chunk(std::move(line));
             continue;
         }
-        wait.expires_after(longest_quiet);
+        wait.expires_after(max_watch_wait);
         boost::system::error_code ignored;
         co_await wait.async_wait(asio::redirect_error(asio::use_awaitable, ignored));
     }
-    m_watch_waits.erase(&wait);
-    --m_waiting;
+    m_watch_timers.erase(&wait);
+    --m_open_watches;
     exchange.cut();
 }
 
--- a/standins/kv_standin.h
+++ b/standins/kv_standin.h
@@ -24,16 +24,16 @@
 };
 
 /// Counts calls of one second and refuses those beyond the limit.
-class rate_gate {
+class call_rate_limiter {
 public:
-    explicit rate_gate(std::uint32_t per_second) : m_per_second{per_second} {}
+    explicit call_rate_limiter(std::uint32_t per_second) : m_per_second{per_second} {}
     void set(std::uint32_t per_second) { m_per_second = per_second; }
     bool admit(time_point now);
 
 private:
     std::uint32_t m_per_second;
-    std::uint32_t m_taken = 0;
-    time_point m_second_began;
+    std::uint32_t m_admitted = 0;
+    time_point m_window_start;
 };
 
 class kv_standin : public std::enable_shared_from_this<kv_standin> {
@@ -44,10 +44,10 @@
     [[nodiscard]] const std::string& address() const { return m_server->address(); }
     void apply(const fault_change& change);
     [[nodiscard]] const kv_call_counts& counts() const { return m_counts; }
-    [[nodiscard]] std::size_t waiting_watches() const { return m_waiting; }
+    [[nodiscard]] std::size_t waiting_watches() const { return m_open_watches; }
     [[nodiscard]] kv_store& store() { return m_store; }
     /// Ends a lease now; called after any change from outside as well, to wake the watches.
-    void lapse(lease_id lease);
+    void expire_lease(lease_id lease);
 
 private:
     struct call_answer {
@@ -66,7 +66,8 @@
     awaitable<void> watch(standin_exchange& exchange);
     [[nodiscard]] std::string created_line() const;
     /// Empty if nothing under `prefix` changed.
-    [[nodiscard]] std::string changes_line(const std::string& prefix, std::int64_t from) const;
+    [[nodiscard]] std::string changes_line(const std::string& prefix,
+                                           std::int64_t start_revision) const;
     [[nodiscard]] call_answer stats() const;
     [[nodiscard]] boost::json::object header() const;
     void wake_watches();
@@ -76,10 +77,10 @@
     kv_store m_store;
     fault_state m_faults;
     kv_call_counts m_counts;
-    rate_gate m_reads;
-    rate_gate m_writes;
-    std::set<timer*> m_watch_waits; ///< cancelled on each change, which wakes the watches
-    std::size_t m_waiting = 0;
+    call_rate_limiter m_reads;
+    call_rate_limiter m_writes;
+    std::set<timer*> m_watch_timers; ///< cancelled on each change, which wakes the watches
+    std::size_t m_open_watches = 0;
     std::uint64_t m_refused = 0;
 };
 
--- a/standins/load_test.cc
+++ b/standins/load_test.cc
@@ -57,7 +57,7 @@
 
 } // namespace
 
-Test(load, whole_answers_are_whole)
+Test(load, complete_answers_are_recognised)
 {
     served all;
     cr_assert(all.ask(true).outcome == call_outcome::whole);
@@ -65,7 +65,7 @@
     cr_assert(all.order("k1").outcome == call_outcome::whole);
 }
 
-Test(load, a_cut_stream_is_never_whole)
+Test(load, a_cut_stream_is_never_complete)
 {
     served all;
     for (const std::uint32_t after : {1U, 5U, 11U, 12U}) {
@@ -76,7 +76,7 @@
     cr_assert(all.ask(false).outcome == call_outcome::cut);
 }
 
-Test(load, a_refusal_is_believed_only_as_far_as_it_goes)
+Test(load, each_failure_has_its_outcome)
 {
     served all;
     all.engine().apply({.outage = true});
@@ -88,17 +88,17 @@
     cr_assert(all.order("k3").outcome == call_outcome::unreachable);
 }
 
-Test(load, a_load_accounts_for_every_call)
+Test(load, a_load_run_counts_every_call)
 {
     served all;
-    load_settings wanted;
-    wanted.targets = {all.engine().address()};
-    wanted.model = "router";
-    wanted.rate = 300.0;
-    wanted.length = std::chrono::milliseconds{700};
-    wanted.tokens = 5;
-    wanted.stream_share = 0.5;
-    const load_report report = all.runtime.run(run_load(all.runtime.executor(), wanted));
+    load_settings run_settings;
+    run_settings.targets = {all.engine().address()};
+    run_settings.model = "router";
+    run_settings.rate = 300.0;
+    run_settings.length = std::chrono::milliseconds{700};
+    run_settings.tokens = 5;
+    run_settings.stream_share = 0.5;
+    const load_report report = all.runtime.run(run_load(all.runtime.executor(), run_settings));
     std::uint64_t sum = 0;
     for (const std::uint64_t count : report.outcomes)
         sum += count;
@@ -108,14 +108,14 @@
     cr_assert(report.first_token.count > 0 && report.total.p50 <= report.total.p99);
 }
 
-Test(load, percentiles_are_within_their_stated_error)
+Test(load, percentiles_are_within_the_documented_error)
 {
-    latency_histogram seen;
+    latency_histogram histogram;
     for (int ms = 1; ms <= 1000; ++ms)
-        seen.add(std::chrono::milliseconds{ms});
+        histogram.add(std::chrono::milliseconds{ms});
     for (const double rank : {0.1, 0.5, 0.9, 0.99, 1.0}) {
-        const double found =
-            std::chrono::duration<double, std::milli>{seen.percentile(rank)}.count();
-        cr_assert(found >= rank * 1000 * 0.98 && found <= rank * 1000 * 1.03);
+        const double reported_ms =
+            std::chrono::duration<double, std::milli>{histogram.percentile(rank)}.count();
+        cr_assert(reported_ms >= rank * 1000 * 0.98 && reported_ms <= rank * 1000 * 1.03);
     }
 }
--- a/standins/plain_standin.cc
+++ b/standins/plain_standin.cc
@@ -32,14 +32,14 @@
 {
     const auto keep = shared_from_this();
     const auto change_faults = [this](const fault_change& change) { apply(change); };
-    const bool taken = co_await take_fault(exchange, change_faults);
+    const bool taken = co_await handle_fault_request(exchange, change_faults);
     if (taken)
         co_return;
     if (exchange.path() == "/executions") {
         co_await exchange.answer(http::status::ok, render_executions());
         co_return;
     }
-    if (co_await meet_faults(m_executor, m_faults, exchange))
+    if (co_await apply_faults(m_executor, m_faults, exchange))
         co_return;
     if (m_faults.leaving)
         exchange.set("jaynotch-leaving", "1");
@@ -63,7 +63,7 @@
                             .attempt = std::string{exchange.header("jaynotch-attempt")},
                             .key = std::string{exchange.header("Idempotency-Key")},
                             .digest = content_digest(exchange.body()),
-                            .began = runtime_clock::now()});
+                            .start_time = runtime_clock::now()});
     const json::object body{
         {"service", m_settings.name},         {"method", m_executions[row].method},
         {"target", m_executions[row].target}, {"digest", m_executions[row].digest},
--- a/standins/plain_standin.h
+++ b/standins/plain_standin.h
@@ -31,7 +31,7 @@
     std::string key; ///< idempotency key
     std::string digest;
     bool answered = false;
-    time_point began;
+    time_point start_time;
 };
 
 class plain_standin : public std::enable_shared_from_this<plain_standin> {
--- a/standins/platform_forms.cc
+++ b/standins/platform_forms.cc
@@ -73,12 +73,12 @@
 
 } // namespace
 
-void put_version(store_standin& store, std::int64_t version)
+void put_config_version(store_standin& store, std::int64_t version)
 {
     store.put("op/config", document(version));
 }
 
-std::string settings_text(const site_file& site)
+std::string render_settings(const daemon_site& site)
 {
     std::ostringstream text;
     text << "node = \"" << site.node << "\"\nzone = \"" << site.failure_domain
@@ -94,25 +94,25 @@
     return text.str();
 }
 
-http_request caller_request(const caller_form& form)
+http_request caller_request(const caller_parameters& form)
 {
-    http_request made;
-    made.method =
+    http_request request;
+    request.method =
         form.body.empty() ? boost::beast::http::verb::get : boost::beast::http::verb::post;
-    made.target = form.path;
-    made.body = form.body;
-    made.headers = {{"Host", "a.example"},
-                    {"Jaynotch-Attempt-Id", form.id},
-                    {"Jaynotch-Deadline-Ms", "4000"},
-                    {"Authorization", "Bearer " + form.key}};
+    request.target = form.path;
+    request.body = form.body;
+    request.headers = {{"Host", "a.example"},
+                       {"Jaynotch-Attempt-Id", form.id},
+                       {"Jaynotch-Deadline-Ms", "4000"},
+                       {"Authorization", "Bearer " + form.key}};
     if (form.streams) {
-        made.headers.push_back({"Jaynotch-Model", "m"});
-        made.headers.push_back({"Jaynotch-Token-Counts", "100,84"});
+        request.headers.push_back({"Jaynotch-Model", "m"});
+        request.headers.push_back({"Jaynotch-Token-Counts", "100,84"});
     }
-    return made;
+    return request;
 }
 
-std::string answered_request(const http_response& answer)
+std::string answered_request_id(const http_response& answer)
 {
     return std::string{answer.header("Jaynotch-Attempt-Id")};
 }
--- a/standins/prefix_cache.cc
+++ b/standins/prefix_cache.cc
@@ -6,17 +6,17 @@
 
 namespace {
 
-constexpr std::size_t most_events = 5'000;
+constexpr std::size_t max_events = 5'000;
 
 } // namespace
 
 std::vector<std::uint64_t> prompt_blocks(std::string_view prompt)
 {
     std::vector<std::uint64_t> blocks;
-    std::uint64_t chained = 0;
+    std::uint64_t chained_hash = 0;
     while (prompt.size() >= prompt_block_bytes) {
-        chained = hash64(prompt.substr(0, prompt_block_bytes), chained);
-        blocks.push_back(chained);
+        chained_hash = hash64(prompt.substr(0, prompt_block_bytes), chained_hash);
+        blocks.push_back(chained_hash);
         prompt.remove_prefix(prompt_block_bytes);
     }
     return blocks;
@@ -32,7 +32,7 @@
 std::size_t prefix_cache::use(const std::vector<std::uint64_t>& blocks, time_point now)
 {
     std::size_t hits = 0;
-    while (hits < blocks.size() && holds(blocks[hits]))
+    while (hits < blocks.size() && has_block(blocks[hits]))
         ++hits;
     for (const std::uint64_t block : blocks)
         store(block, now);
@@ -41,16 +41,16 @@
 
 void prefix_cache::store(std::uint64_t block, time_point now)
 {
-    if (const auto found = m_held.find(block); found != m_held.end()) {
+    if (const auto found = m_positions.find(block); found != m_positions.end()) {
         m_order.splice(m_order.end(), m_order, found->second);
         return;
     }
-    m_held[block] = m_order.insert(m_order.end(), block);
+    m_positions[block] = m_order.insert(m_order.end(), block);
     publish(cache_change::stored, block, now);
-    while (m_held.size() > m_settings.blocks) {
+    while (m_positions.size() > m_settings.blocks) {
         const std::uint64_t oldest = m_order.front();
         m_order.pop_front();
-        m_held.erase(oldest);
+        m_positions.erase(oldest);
         publish(cache_change::evicted, oldest, now);
     }
 }
@@ -61,24 +61,24 @@
     if (m_random.chance(m_settings.event_loss))
         return;
     m_events.push_back({now + m_settings.event_lag, event});
-    if (m_events.size() > most_events)
+    if (m_events.size() > max_events)
         m_events.pop_front();
 }
 
 std::vector<cache_event> prefix_cache::events(std::uint64_t after, time_point now) const
 {
-    std::vector<cache_event> seen;
+    std::vector<cache_event> visible_events;
     for (const auto& pending : m_events) {
-        if (pending.visible <= now && pending.event.sequence > after)
-            seen.push_back(pending.event);
+        if (pending.visible_at <= now && pending.event.sequence > after)
+            visible_events.push_back(pending.event);
     }
-    return seen;
+    return visible_events;
 }
 
 void prefix_cache::clear()
 {
     m_order.clear();
-    m_held.clear();
+    m_positions.clear();
 }
 
 } // namespace jaynotch
--- a/standins/prefix_cache.h
+++ b/standins/prefix_cache.h
@@ -36,14 +36,14 @@
     /// How many leading blocks are held; all of `blocks` are held afterwards.
     std::size_t use(const std::vector<std::uint64_t>& blocks, time_point now);
     void store(std::uint64_t block, time_point now);
-    [[nodiscard]] bool holds(std::uint64_t block) const { return m_held.contains(block); }
+    [[nodiscard]] bool has_block(std::uint64_t block) const { return m_positions.contains(block); }
     /// Published events with a sequence above `after`.
     std::vector<cache_event> events(std::uint64_t after, time_point now) const;
     void clear();
 
 private:
     struct pending_event {
-        time_point visible;
+        time_point visible_at;
         cache_event event;
     };
     void publish(cache_change change, std::uint64_t block, time_point now);
@@ -51,7 +51,7 @@
     prefix_cache_settings m_settings;
     random_source m_random;
     std::list<std::uint64_t> m_order; ///< least recently used first
-    std::unordered_map<std::uint64_t, std::list<std::uint64_t>::iterator> m_held;
+    std::unordered_map<std::uint64_t, std::list<std::uint64_t>::iterator> m_positions;
     std::deque<pending_event> m_events;
     std::uint64_t m_sequence = 0;
 };
--- a/standins/runner_standin.cc
+++ b/standins/runner_standin.cc
@@ -16,30 +16,31 @@
 runner_standin::start(const boost::asio::any_io_executor& executor,
                       std::shared_ptr<store_standin> store, runner_standin_settings settings)
 {
-    std::shared_ptr<runner_standin> made{
+    std::shared_ptr<runner_standin> standin{
         new runner_standin{executor, std::move(store), std::move(settings)}};
-    const standin_handler handler = forward_to(made, &runner_standin::handle);
-    BOOST_OUTCOME_TRY(made->m_server, standin_server::listen(executor, "127.0.0.1:0", handler));
-    if (made->m_settings.fabric)
-        made->m_settings.fabric->runners[made->id()] = made;
-    made->publish();
-    return made;
+    const standin_handler handler = forward_to(standin, &runner_standin::handle);
+    BOOST_OUTCOME_TRY(standin->m_server, standin_server::listen(executor, "127.0.0.1:0", handler));
+    if (standin->m_settings.fabric)
+        standin->m_settings.fabric->runners[standin->id()] = standin;
+    standin->publish();
+    return standin;
 }
 
-void runner_standin::show_at(std::string address)
+void runner_standin::advertise_address(std::string address)
 {
-    m_shown = std::move(address);
+    m_advertised_address = std::move(address);
     publish();
 }
 
 json::object runner_standin::description() const
 {
-    json::object entry{{"service", m_settings.service},
-                       {"addr", m_shown.empty() ? m_server->address() : m_shown},
-                       {"zone", m_settings.zone},
-                       {"slot_count", 8},
-                       {"state", m_state},
-                       {"born", 1}};
+    json::object entry{
+        {"service", m_settings.service},
+        {"addr", m_advertised_address.empty() ? m_server->address() : m_advertised_address},
+        {"zone", m_settings.zone},
+        {"slot_count", 8},
+        {"state", m_state},
+        {"born", 1}};
     if (!m_settings.domain.empty()) {
         entry["domain"] = m_settings.domain;
         json::array staged;
@@ -86,19 +87,19 @@
 awaitable<void> runner_standin::handle(standin_exchange& exchange)
 {
     const auto keep = shared_from_this();
-    constexpr duration longest_mute = 20s;
+    constexpr duration max_mute_time = 20s;
     if (faults.mute) {
-        co_await standin_sleep(m_executor, longest_mute);
+        co_await standin_sleep(m_executor, max_mute_time);
         exchange.cut();
         co_return;
     }
     if (exchange.path() == "/order") {
-        co_await take_order(exchange);
+        co_await handle_order(exchange);
         co_return;
     }
     if (exchange.path() == "/report") {
         json::object report = description();
-        report["seq"] = m_begun_orders;
+        report["seq"] = m_accepted_orders;
         std::string text = json::serialize(report);
         co_await exchange.answer(http::status::ok, std::move(text));
         co_return;
@@ -114,15 +115,15 @@
         co_await exchange.answer(http::status::service_unavailable, "");
         co_return;
     }
-    seen_request seen;
-    seen.at = runtime_clock::now();
-    seen.attempt = std::string{exchange.header("Jaynotch-Attempt-Id")};
-    seen.target = std::string{exchange.request().target()};
-    seen.body = exchange.body();
+    received_request received;
+    received.at = runtime_clock::now();
+    received.attempt = std::string{exchange.header("Jaynotch-Attempt-Id")};
+    received.target = std::string{exchange.request().target()};
+    received.body = exchange.body();
     for (const auto& field : exchange.request())
-        seen.headers[std::string{field.name_string()}] = std::string{field.value()};
-    ran.push_back(seen);
-    check_run();
+        received.headers[std::string{field.name_string()}] = std::string{field.value()};
+    ran.push_back(received);
+    check_serving();
     if (faults.cut) {
         exchange.cut();
         co_return;
@@ -139,7 +140,7 @@
     }
 }
 
-std::string runner_standin::mark_answer(standin_exchange& exchange) const
+std::string runner_standin::set_answer_headers(standin_exchange& exchange) const
 {
     std::string attempt{exchange.header("Jaynotch-Attempt-Id")};
     exchange.set("Jaynotch-Attempt-Id", attempt);
@@ -152,13 +153,13 @@
 
 awaitable<void> runner_standin::fail(standin_exchange& exchange)
 {
-    mark_answer(exchange);
+    set_answer_headers(exchange);
     co_await exchange.answer(http::status::internal_server_error, "failed", "text/plain");
 }
 
 awaitable<void> runner_standin::answer(standin_exchange& exchange)
 {
-    const std::string attempt = mark_answer(exchange);
+    const std::string attempt = set_answer_headers(exchange);
     if (faults.foreign) {
         const std::string other = "HTTP/1.1 200 OK\r\nJaynotch-Attempt-Id: another\r\n"
                                   "Jaynotch-Response-Seal: s\r\nContent-Length: 6\r\n\r\nforged";
@@ -170,7 +171,7 @@
 
 awaitable<void> runner_standin::stream(standin_exchange& exchange)
 {
-    mark_answer(exchange);
+    set_answer_headers(exchange);
     const std::string_view after = exchange.header("Last-Event-Id");
     const std::size_t first = after.empty() ? 1 : std::stoul(std::string{after}) + 1;
     if (!co_await exchange.begin_chunks(http::status::ok, "text/event-stream"))
@@ -191,7 +192,7 @@
     co_await exchange.finish_chunks();
 }
 
-bool runner_standin::whole() const
+bool runner_standin::group_complete() const
 {
     if (!m_settings.fabric)
         return true;
@@ -207,11 +208,11 @@
 /// A head that misses a member stands still and then breaks.
 awaitable<bool> runner_standin::wait_for_members()
 {
-    constexpr duration look = 20ms;
+    constexpr duration poll_interval = 20ms;
     const std::string group = m_group;
     const time_point since = runtime_clock::now();
-    while (!whole()) {
-        co_await standin_sleep(m_executor, look);
+    while (!group_complete()) {
+        co_await standin_sleep(m_executor, poll_interval);
         if (!m_alive || m_group != group)
             co_return false;
         if (runtime_clock::now() - since >= m_settings.fabric->stall) {
@@ -239,7 +240,7 @@
     }
 }
 
-void runner_standin::check_run() const
+void runner_standin::check_serving() const
 {
     if (!m_settings.fabric || m_settings.domain.empty())
         return;
@@ -248,64 +249,64 @@
                                             std::to_string(m_members.size()) + " members");
     for (const std::string& id : m_members) {
         const auto other = m_settings.fabric->runners[id].lock();
-        if (other && other->m_alive && !other->m_was_ready.contains({m_group, m_epoch}))
+        if (other && other->m_alive && !other->m_ready_groups.contains({m_group, m_epoch}))
             m_settings.fabric->broken.push_back(m_group + " serves before " + id + " was ready");
     }
 }
 
-awaitable<void> runner_standin::take_order(standin_exchange& exchange)
+awaitable<void> runner_standin::handle_order(standin_exchange& exchange)
 {
     orders.push_back(exchange.body());
     const json::object order = json::parse(exchange.body()).as_object();
     const std::string op{order.at("op").as_string()};
     const std::int64_t fence =
-        order.contains("fence") ? order.at("fence").to_number<std::int64_t>() : m_fence;
+        order.contains("fence") ? order.at("fence").to_number<std::int64_t>() : m_highest_fence;
     http::status status = http::status::precondition_failed;
-    if (fence >= m_fence) {
-        m_fence = fence;
-        status = obey(op, order);
+    if (fence >= m_highest_fence) {
+        m_highest_fence = fence;
+        status = execute_order(op, order);
     }
     co_await exchange.answer(status, "");
 }
 
-http::status runner_standin::obey(const std::string& op, const json::object& order)
+http::status runner_standin::execute_order(const std::string& op, const json::object& order)
 {
     if (op == "stage") {
-        ++m_begun_orders;
+        ++m_accepted_orders;
         m_staged = std::string{order.at("model").as_string()};
         publish();
         return http::status::accepted;
     }
-    const bool own = order.at("group").as_string() == m_group &&
-                     order.at("epoch").to_number<std::int64_t>() == m_epoch;
+    const bool for_current_group = order.at("group").as_string() == m_group &&
+                                   order.at("epoch").to_number<std::int64_t>() == m_epoch;
     if (op == "join")
-        return own ? http::status::ok : obey_join(order);
-    if (op == "open" && own && m_rank == 0 && m_phase == member_phase::ready) {
-        ++m_begun_orders;
+        return for_current_group ? http::status::ok : execute_join(order);
+    if (op == "open" && for_current_group && m_rank == 0 && m_phase == member_phase::ready) {
+        ++m_accepted_orders;
         m_phase = member_phase::open;
         publish();
         return http::status::accepted;
     }
-    if (op == "leave" && own) {
-        ++m_begun_orders;
+    if (op == "leave" && for_current_group) {
+        ++m_accepted_orders;
         m_group.clear();
         m_model.clear();
         m_phase = member_phase::joining; // a head that has left serves nobody
         publish();
         return http::status::ok;
     }
-    return own ? http::status::ok : http::status::conflict;
+    return for_current_group ? http::status::ok : http::status::conflict;
 }
 
-http::status runner_standin::obey_join(const json::object& order)
+http::status runner_standin::execute_join(const json::object& order)
 {
     const auto epoch = order.at("epoch").to_number<std::int64_t>();
     if (epoch < m_highest_epoch)
         return http::status::precondition_failed;
     if (order.contains("expected") &&
-        order.at("expected").to_number<std::int64_t>() != m_begun_orders)
+        order.at("expected").to_number<std::int64_t>() != m_accepted_orders)
         return http::status::conflict;
-    ++m_begun_orders;
+    ++m_accepted_orders;
     const std::string group{order.at("group").as_string()};
     check_join(group);
     m_highest_epoch = epoch;
@@ -332,7 +333,7 @@
     if (m_group != group || m_epoch != epoch)
         co_return;
     m_phase = member_phase::ready;
-    m_was_ready.emplace(group, epoch);
+    m_ready_groups.emplace(group, epoch);
     m_model = model;
     m_staged = model;
     publish();
--- a/standins/standin_main.cc
+++ b/standins/standin_main.cc
@@ -46,12 +46,12 @@
     "usage: jaynotch-standin {kv|vms|weights|engine|plain|fleet} [flags]\n\n"
     "Every stand-in takes POST /fault; a fleet takes POST /fault/<name> at its control address.";
 
-std::vector<std::string> list_of(const std::string& joined)
+std::vector<std::string> split_list(const std::string& joined)
 {
     return absl::StrSplit(joined, ',', absl::SkipEmpty());
 }
 
-std::uint32_t positive(int value)
+std::uint32_t non_negative(int value)
 {
     return static_cast<std::uint32_t>(std::max(0, value));
 }
@@ -68,22 +68,22 @@
         std::chrono::microseconds{absl::GetFlag(FLAGS_step_per_sequence_us)};
     settings.batch.prefill_per_token =
         std::chrono::microseconds{absl::GetFlag(FLAGS_prefill_per_token_us)};
-    settings.batch.max_batch = std::max(1U, positive(absl::GetFlag(FLAGS_max_batch)));
+    settings.batch.max_batch = std::max(1U, non_negative(absl::GetFlag(FLAGS_max_batch)));
     return settings;
 }
 
 kv_standin_settings kv_from_flags()
 {
     return {.listen = absl::GetFlag(FLAGS_listen),
-            .reads_per_second = positive(absl::GetFlag(FLAGS_kv_reads)),
-            .writes_per_second = positive(absl::GetFlag(FLAGS_kv_writes))};
+            .reads_per_second = non_negative(absl::GetFlag(FLAGS_kv_reads)),
+            .writes_per_second = non_negative(absl::GetFlag(FLAGS_kv_writes))};
 }
 
 weight_standin_settings weights_from_flags()
 {
     return {.listen = absl::GetFlag(FLAGS_listen),
-            .bytes_per_second = std::max(1U, positive(absl::GetFlag(FLAGS_weight_rate))),
-            .model_bytes = positive(absl::GetFlag(FLAGS_weight_bytes))};
+            .bytes_per_second = std::max(1U, non_negative(absl::GetFlag(FLAGS_weight_rate))),
+            .model_bytes = non_negative(absl::GetFlag(FLAGS_weight_bytes))};
 }
 
 vm_list_standin_settings vms_from_flags()
@@ -102,10 +102,10 @@
 standin_fleet_settings fleet_from_flags()
 {
     standin_fleet_settings settings;
-    settings.engines = positive(absl::GetFlag(FLAGS_engines));
-    settings.fabric_domains = positive(absl::GetFlag(FLAGS_fabric_domains));
-    settings.failure_domains = list_of(absl::GetFlag(FLAGS_failure_domains));
-    settings.plain = list_of(absl::GetFlag(FLAGS_plain));
+    settings.engines = non_negative(absl::GetFlag(FLAGS_engines));
+    settings.fabric_domains = non_negative(absl::GetFlag(FLAGS_fabric_domains));
+    settings.failure_domains = split_list(absl::GetFlag(FLAGS_failure_domains));
+    settings.plain = split_list(absl::GetFlag(FLAGS_plain));
     settings.plain_work = std::chrono::milliseconds{absl::GetFlag(FLAGS_plain_work_ms)};
     settings.engine = engine_from_flags();
     settings.kv = kv_from_flags();
@@ -121,40 +121,40 @@
 }
 
 /// What keeps a stand-in alive, and where it listens, as JSON.
-struct started {
+struct running_standin {
     std::shared_ptr<void> owner;
     std::string addresses;
 };
 
 template <class Standin>
-result<started> single(result<std::shared_ptr<Standin>> made)
+result<running_standin> describe_single(result<std::shared_ptr<Standin>> start_result)
 {
-    BOOST_OUTCOME_TRY(auto standin, std::move(made));
+    BOOST_OUTCOME_TRY(auto standin, std::move(start_result));
     const boost::json::object where{{"address", standin->address()}};
-    return started{standin, boost::json::serialize(where)};
+    return running_standin{standin, boost::json::serialize(where)};
 }
 
-result<started> start(const boost::asio::any_io_executor& executor, const std::string& what)
+result<running_standin> start(const boost::asio::any_io_executor& executor, const std::string& what)
 {
     if (what == "kv")
-        return single(kv_standin::start(executor, kv_from_flags()));
+        return describe_single(kv_standin::start(executor, kv_from_flags()));
     if (what == "vms")
-        return single(vm_list_standin::start(executor, vms_from_flags()));
+        return describe_single(vm_list_standin::start(executor, vms_from_flags()));
     if (what == "weights")
-        return single(weight_standin::start(executor, weights_from_flags()));
+        return describe_single(weight_standin::start(executor, weights_from_flags()));
     if (what == "engine")
-        return single(engine_standin::start(executor, engine_from_flags(), nullptr));
+        return describe_single(engine_standin::start(executor, engine_from_flags(), nullptr));
     if (what == "plain")
-        return single(plain_standin::start(executor, plain_from_flags()));
+        return describe_single(plain_standin::start(executor, plain_from_flags()));
     if (what == "fleet") {
         BOOST_OUTCOME_TRY(auto fleet, standin_fleet::start(executor, fleet_from_flags()));
-        return started{fleet, fleet->describe()};
+        return running_standin{fleet, fleet->describe()};
     }
     return error{error_kind::invalid_argument, "unknown stand-in \"" + what + "\"",
                  "write kv, vms, weights, engine, plain or fleet"};
 }
 
-void tell(const std::string& addresses)
+void write_addresses(const std::string& addresses)
 {
     const std::string out = absl::GetFlag(FLAGS_out);
     if (out.empty()) {
@@ -162,22 +162,22 @@
         return;
     }
     // Renamed into place, so that a reader waiting for the file never sees half of it.
-    const std::string unfinished = out + ".part";
-    std::ofstream file{unfinished};
+    const std::string temporary = out + ".part";
+    std::ofstream file{temporary};
     file << addresses << "\n";
     file.close();
-    if (!file || std::rename(unfinished.c_str(), out.c_str()) != 0)
+    if (!file || std::rename(temporary.c_str(), out.c_str()) != 0)
         throw exception{{error_kind::invalid_argument, "can't write " + out, "check --out"}};
 }
 
-int run(const std::vector<char*>& words)
+int run(const std::vector<char*>& arguments)
 {
-    if (words.size() != 2)
+    if (arguments.size() != 2)
         throw exception{{error_kind::invalid_argument, "no stand-in named",
                          "write kv, vms, weights, engine, plain or fleet"}};
     boost::asio::io_context io{1};
-    const started standin = start(io.get_executor(), words[1]).value();
-    tell(standin.addresses);
+    const running_standin standin = start(io.get_executor(), arguments[1]).value();
+    write_addresses(standin.addresses);
     boost::asio::signal_set signals{io, SIGINT, SIGTERM};
     signals.async_wait([&](const auto&, int) { io.stop(); });
     io.run();
--- a/standins/standin_server.cc
+++ b/standins/standin_server.cc
@@ -21,8 +21,8 @@
 
 namespace {
 
-constexpr std::uint32_t most_header_bytes = 64 * 1024;
-constexpr std::uint64_t most_body_bytes = 64 * 1024 * 1024;
+constexpr std::uint32_t max_header_bytes = 64 * 1024;
+constexpr std::uint64_t max_body_bytes = 64 * 1024 * 1024;
 
 std::string_view view(boost::beast::string_view text)
 {
@@ -51,10 +51,10 @@
 std::string standin_exchange::query(std::string_view name) const
 {
     const std::string_view target = view(m_request.target());
-    const std::size_t mark = target.find('?');
-    if (mark == std::string_view::npos)
+    const std::size_t query_start = target.find('?');
+    if (query_start == std::string_view::npos)
         return {};
-    std::string_view rest = target.substr(mark + 1);
+    std::string_view rest = target.substr(query_start + 1);
     while (!rest.empty()) {
         const std::string_view pair = rest.substr(0, rest.find('&'));
         rest.remove_prefix(std::min(rest.size(), pair.size() + 1));
@@ -144,7 +144,7 @@
     m_socket.close(ignored);
 }
 
-bool standin_exchange::client_gone()
+bool standin_exchange::client_disconnected()
 {
     if (m_cut || !m_socket.is_open())
         return true;
@@ -202,9 +202,9 @@
     }
 }
 
-void standin_server::set_running(bool wanted)
+void standin_server::set_running(bool should_run)
 {
-    if (wanted)
+    if (should_run)
         restart().value();
     else
         stop();
@@ -240,8 +240,8 @@
 {
     for (;;) {
         http::request_parser<http::string_body> parser;
-        parser.header_limit(most_header_bytes);
-        parser.body_limit(most_body_bytes);
+        parser.header_limit(max_header_bytes);
+        parser.body_limit(max_body_bytes);
         error_code ec;
         co_await http::async_read(client->socket, client->buffer, parser,
                                   asio::redirect_error(asio::use_awaitable, ec));
--- a/standins/standin_server.h
+++ b/standins/standin_server.h
@@ -57,7 +57,7 @@
     /// Closes the connection without ending the answer.
     void cut();
     /// Whether the client has closed its side.
-    bool client_gone();
+    bool client_disconnected();
     [[nodiscard]] bool is_cut() const { return m_cut; }
 
 private:
@@ -93,12 +93,12 @@
     /// Listens again, on the same port.
     result<void> restart();
     /// stop() or restart(), whichever leads there; throws if the port can't be had again.
-    void set_running(bool wanted);
+    void set_running(bool should_run);
     [[nodiscard]] bool running() const { return m_acceptor.is_open(); }
 
 private:
     struct connection {
-        explicit connection(boost::asio::ip::tcp::socket taken) : socket{std::move(taken)} {}
+        explicit connection(boost::asio::ip::tcp::socket accepted) : socket{std::move(accepted)} {}
         boost::asio::ip::tcp::socket socket;
         boost::beast::flat_buffer buffer;
     };
--- a/standins/standin_testing.h
+++ b/standins/standin_testing.h
@@ -25,22 +25,23 @@
     T run(awaitable<T> work)
     {
         std::optional<T> answer;
-        boost::asio::co_spawn(m_io, keep(std::move(work), answer), [](std::exception_ptr failed) {
-            if (failed)
-                std::rethrow_exception(failed);
-        });
+        boost::asio::co_spawn(m_io, store_result(std::move(work), answer),
+                              [](std::exception_ptr failed) {
+                                  if (failed)
+                                      std::rethrow_exception(failed);
+                              });
         while (!answer)
             run_once();
         return std::move(*answer);
     }
 
     /// Runs until `holds` does; false if it has not after `longest`.
-    bool run_until(const std::function<bool()>& holds,
-                   std::chrono::milliseconds longest = std::chrono::seconds{10})
+    bool run_until(const std::function<bool()>& condition,
+                   std::chrono::milliseconds timeout = std::chrono::seconds{10})
     {
-        const auto ends = std::chrono::steady_clock::now() + longest;
-        while (!holds()) {
-            if (std::chrono::steady_clock::now() >= ends)
+        const auto deadline = std::chrono::steady_clock::now() + timeout;
+        while (!condition()) {
+            if (std::chrono::steady_clock::now() >= deadline)
                 return false;
             run_once();
         }
@@ -55,7 +56,7 @@
 
 private:
     template <class T>
-    static awaitable<void> keep(awaitable<T> work, std::optional<T>& answer)
+    static awaitable<void> store_result(awaitable<T> work, std::optional<T>& answer)
     {
         answer.emplace(co_await std::move(work));
     }
--- a/standins/store_standin.cc
+++ b/standins/store_standin.cc
@@ -14,7 +14,7 @@
 
 constexpr duration poll_step = 2ms;
 
-json::object item_of(const kv_entry& entry)
+json::object render_entry(const kv_entry& entry)
 {
     return {{"key", entry.key},
             {"value", base64_encode(entry.value)},
@@ -23,11 +23,11 @@
             {"lease", entry.lease.value()}};
 }
 
-json::array events_of(const std::vector<kv_event>& changes)
+json::array render_events(const std::vector<kv_event>& changes)
 {
     json::array events;
     for (const kv_event& event : changes) {
-        json::object item = item_of(event.entry);
+        json::object item = render_entry(event.entry);
         if (event.deleted)
             item["tombstone"] = true;
         events.push_back(std::move(item));
@@ -35,7 +35,7 @@
     return events;
 }
 
-std::int64_t number(const std::string& text)
+std::int64_t parse_number(const std::string& text)
 {
     return text.empty() ? 0 : std::stoll(text);
 }
@@ -45,10 +45,10 @@
 result<std::shared_ptr<store_standin>>
 store_standin::start(const boost::asio::any_io_executor& executor)
 {
-    std::shared_ptr<store_standin> made{new store_standin{executor}};
-    const standin_handler handler = forward_to(made, &store_standin::handle);
-    BOOST_OUTCOME_TRY(made->m_server, standin_server::listen(executor, "127.0.0.1:0", handler));
-    return made;
+    std::shared_ptr<store_standin> standin{new store_standin{executor}};
+    const standin_handler handler = forward_to(standin, &store_standin::handle);
+    BOOST_OUTCOME_TRY(standin->m_server, standin_server::listen(executor, "127.0.0.1:0", handler));
+    return standin;
 }
 
 void store_standin::put(const std::string& key, const std::string& value)
@@ -63,8 +63,8 @@
 
 void store_standin::drop_history()
 {
-    m_forgotten = store.revision();
-    ++m_drops;
+    m_dropped_revision = store.revision();
+    ++m_history_drops;
 }
 
 awaitable<void> store_standin::handle(standin_exchange& exchange)
@@ -73,7 +73,7 @@
     ++calls;
     store.expire(runtime_clock::now());
     const std::string path{exchange.path()};
-    if (refuses) {
+    if (is_unavailable) {
         co_await exchange.answer(http::status::service_unavailable, "{}");
         co_return;
     }
@@ -92,7 +92,7 @@
     if (path == "/kv-range") {
         json::array items;
         for (const kv_entry& entry : store.with_prefix(exchange.query("prefix")))
-            items.push_back(item_of(entry));
+            items.push_back(render_entry(entry));
         json::object page;
         page["items"] = std::move(items);
         page["has_more"] = false;
@@ -104,7 +104,7 @@
     const kv_entry* entry = store.find(exchange.query("key"));
     json::object item;
     if (entry != nullptr)
-        item = item_of(*entry);
+        item = render_entry(*entry);
     item["current_rev"] = store.revision();
     std::string text = json::serialize(item);
     co_await exchange.answer(entry != nullptr ? http::status::ok : http::status::not_found,
@@ -114,32 +114,33 @@
 awaitable<void> store_standin::watch(standin_exchange& exchange)
 {
     const std::string prefix = exchange.query("prefix");
-    const std::int64_t after = number(exchange.query("after"));
+    const std::int64_t after = parse_number(exchange.query("after"));
     const time_point until =
-        runtime_clock::now() + std::chrono::milliseconds{number(exchange.query("wait_ms"))};
-    const std::size_t drops = m_drops;
-    const std::size_t silenced = m_silenced;
+        runtime_clock::now() + std::chrono::milliseconds{parse_number(exchange.query("wait_ms"))};
+    const std::size_t drops_at_start = m_history_drops;
+    const std::size_t stalls_at_start = m_watch_stalls;
     json::array events;
     for (;;) {
         store.expire(runtime_clock::now());
-        if (drops != m_drops || exchange.client_gone()) {
+        if (drops_at_start != m_history_drops || exchange.client_disconnected()) {
             exchange.cut();
             co_return;
         }
-        const result<std::vector<kv_event>> seen = store.changes(prefix, after + 1);
-        if (!seen) {
+        const result<std::vector<kv_event>> changes_since = store.changes(prefix, after + 1);
+        if (!changes_since) {
             co_await exchange.answer(http::status::gone, "{}");
             co_return;
         }
-        const bool may_tell = !withholds_news && silenced == m_silenced && after >= m_forgotten;
-        if (may_tell)
-            events = events_of(seen.value());
-        const bool over = runtime_clock::now() >= until && silenced == m_silenced;
-        if (!events.empty() || refuses || over)
+        const bool may_report =
+            !withholds_changes && stalls_at_start == m_watch_stalls && after >= m_dropped_revision;
+        if (may_report)
+            events = render_events(changes_since.value());
+        const bool timed_out = runtime_clock::now() >= until && stalls_at_start == m_watch_stalls;
+        if (!events.empty() || is_unavailable || timed_out)
             break;
         co_await standin_sleep(m_executor, poll_step);
     }
-    if (after < m_forgotten && !refuses) {
+    if (after < m_dropped_revision && !is_unavailable) {
         co_await exchange.answer(http::status::gone, "{}");
         co_return;
     }
@@ -147,43 +148,43 @@
     page["events"] = std::move(events);
     page["current_rev"] = store.revision();
     std::string text = json::serialize(page);
-    co_await exchange.answer(refuses ? http::status::service_unavailable : http::status::ok,
+    co_await exchange.answer(is_unavailable ? http::status::service_unavailable : http::status::ok,
                              std::move(text));
 }
 
 awaitable<void> store_standin::transact(standin_exchange& exchange)
 {
-    const json::object asked = json::parse(exchange.body()).as_object();
-    kv_transaction wanted;
+    const json::object request = json::parse(exchange.body()).as_object();
+    kv_transaction transaction;
     json::array found;
-    for (const json::value& row : asked.at("expected").as_array()) {
+    for (const json::value& row : request.at("expected").as_array()) {
         const std::string key{row.at("key").as_string()};
-        wanted.compares.push_back({key, row.at("rev").to_number<std::int64_t>()});
+        transaction.compares.push_back({key, row.at("rev").to_number<std::int64_t>()});
         if (const kv_entry* entry = store.find(key); entry != nullptr)
-            found.push_back(item_of(*entry));
+            found.push_back(render_entry(*entry));
     }
-    for (const json::value& row : asked.at("puts").as_array()) {
+    for (const json::value& row : request.at("puts").as_array()) {
         const std::string value{row.at("value").as_string()};
-        wanted.then.push_back(kv_put{std::string{row.at("key").as_string()},
-                                     base64_decode(value).value(),
-                                     lease_id{row.at("lease").to_number<std::int64_t>()}});
-    }
-    for (const json::value& key : asked.at("remove").as_array())
-        wanted.then.push_back(kv_delete{std::string{key.as_string()}});
-    const result<kv_outcome> done = store.transact(wanted);
-    json::object told;
+        transaction.then.push_back(kv_put{std::string{row.at("key").as_string()},
+                                          base64_decode(value).value(),
+                                          lease_id{row.at("lease").to_number<std::int64_t>()}});
+    }
+    for (const json::value& key : request.at("remove").as_array())
+        transaction.then.push_back(kv_delete{std::string{key.as_string()}});
+    const result<kv_outcome> outcome = store.transact(transaction);
+    json::object response;
     http::status status = http::status::ok;
-    if (!done) {
+    if (!outcome) {
         status = http::status::not_found;
     }
-    else if (done.value().succeeded) {
-        told["rev"] = done.value().revision;
+    else if (outcome.value().succeeded) {
+        response["rev"] = outcome.value().revision;
     }
     else {
         status = http::status::precondition_failed;
-        told["items"] = std::move(found);
+        response["items"] = std::move(found);
     }
-    std::string text = json::serialize(told);
+    std::string text = json::serialize(response);
     co_await exchange.answer(status, std::move(text));
 }
 
@@ -191,26 +192,27 @@
 {
     const std::string path{exchange.path()};
     const std::size_t slash = path.rfind('/');
-    const bool named = slash != 0;
-    const lease_id id{named ? number(path.substr(slash + 1)) : 0};
-    json::object told;
+    const bool has_id = slash != 0;
+    const lease_id id{has_id ? parse_number(path.substr(slash + 1)) : 0};
+    json::object response;
     http::status status = http::status::ok;
-    if (!named) {
-        const json::object asked = json::parse(exchange.body()).as_object();
-        const auto ttl = asked.at("ttl_ms").to_number<std::int64_t>();
-        told["lease"] = store.grant(std::chrono::milliseconds{ttl}, runtime_clock::now()).value();
-        told["ttl_ms"] = ttl;
+    if (!has_id) {
+        const json::object request = json::parse(exchange.body()).as_object();
+        const auto ttl = request.at("ttl_ms").to_number<std::int64_t>();
+        response["lease"] =
+            store.grant(std::chrono::milliseconds{ttl}, runtime_clock::now()).value();
+        response["ttl_ms"] = ttl;
     }
     else if (exchange.method() == http::verb::delete_) {
         store.revoke(id);
     }
     else if (const auto ttl = store.keep_alive(id, runtime_clock::now())) {
-        told["ttl_ms"] = std::chrono::duration_cast<std::chrono::milliseconds>(*ttl).count();
+        response["ttl_ms"] = std::chrono::duration_cast<std::chrono::milliseconds>(*ttl).count();
     }
     else {
         status = http::status::not_found;
     }
-    std::string text = json::serialize(told);
+    std::string text = json::serialize(response);
     co_await exchange.answer(status, std::move(text));
 }
 
--- a/standins/store_standin.h
+++ b/standins/store_standin.h
@@ -34,9 +34,9 @@
     /// tells a later watch from a forgotten revision so only when that call's waiting time is over.
     void drop_history();
     /// The watches that wait now are never answered, and their connections stay open.
-    void silence_watches() { ++m_silenced; }
-    bool refuses = false;        ///< answers every call with 503 and does nothing
-    bool withholds_news = false; ///< watches hear of no change
+    void stall_watches() { ++m_watch_stalls; }
+    bool is_unavailable = false;    ///< answers every call with 503 and does nothing
+    bool withholds_changes = false; ///< watches hear of no change
     std::size_t calls = 0;
     kv_store store;
 
@@ -51,9 +51,9 @@
 
     boost::asio::any_io_executor m_executor;
     std::shared_ptr<standin_server> m_server;
-    std::int64_t m_forgotten = 0; ///< changes up to this revision are no longer told
-    std::size_t m_drops = 0;      ///< how often the history was dropped
-    std::size_t m_silenced = 0;   ///< how often the waiting watches were silenced
+    std::int64_t m_dropped_revision = 0; ///< changes up to this revision are no longer told
+    std::size_t m_history_drops = 0;     ///< how often the history was dropped
+    std::size_t m_watch_stalls = 0;      ///< how often the waiting watches were silenced
 };
 
 class runner_standin;
@@ -89,7 +89,7 @@
 };
 
 /// One request as a runner saw it.
-struct seen_request {
+struct received_request {
     std::string attempt;
     std::string target;
     std::string body;
@@ -104,14 +104,14 @@
           runner_standin_settings settings);
 
     runner_faults faults;
-    std::vector<seen_request> ran;
+    std::vector<received_request> ran;
     std::vector<std::string> orders; ///< their bodies
     [[nodiscard]] bool open() const { return m_phase == member_phase::open; }
     [[nodiscard]] const std::string& id() const { return m_settings.id; }
     [[nodiscard]] const runner_standin_settings& settings() const { return m_settings; }
     [[nodiscard]] const std::string& address() const { return m_server->address(); }
     /// Registers another address, which leads here.
-    void show_at(std::string address);
+    void advertise_address(std::string address);
     void drain();
     /// Its process is gone: connections are cut and its entry goes.
     void stop();
@@ -127,19 +127,20 @@
     {}
 
     awaitable<void> handle(standin_exchange& exchange);
-    awaitable<void> take_order(standin_exchange& exchange);
+    awaitable<void> handle_order(standin_exchange& exchange);
     awaitable<void> join(std::string group, std::int64_t epoch, std::string model);
     /// Sets the headers that every answer bears; gives the attempt that it names.
-    std::string mark_answer(standin_exchange& exchange) const;
+    std::string set_answer_headers(standin_exchange& exchange) const;
     awaitable<void> fail(standin_exchange& exchange);
     awaitable<void> answer(standin_exchange& exchange);
     awaitable<void> stream(standin_exchange& exchange);
     awaitable<bool> wait_for_members();
-    boost::beast::http::status obey(const std::string& op, const boost::json::object& order);
-    boost::beast::http::status obey_join(const boost::json::object& order);
-    [[nodiscard]] bool whole() const;
+    boost::beast::http::status execute_order(const std::string& op,
+                                             const boost::json::object& order);
+    boost::beast::http::status execute_join(const boost::json::object& order);
+    [[nodiscard]] bool group_complete() const;
     void check_join(const std::string& group) const;
-    void check_run() const;
+    void check_serving() const;
     [[nodiscard]] boost::json::object description() const;
     void publish();
 
@@ -147,13 +148,13 @@
     std::shared_ptr<store_standin> m_store;
     runner_standin_settings m_settings;
     std::shared_ptr<standin_server> m_server;
-    std::string m_shown;
+    std::string m_advertised_address;
     bool m_alive = true;
-    std::int64_t m_fence = 0;
+    std::int64_t m_highest_fence = 0;
     std::int64_t m_highest_epoch = 0;
-    std::int64_t m_begun_orders = 0;
+    std::int64_t m_accepted_orders = 0;
     std::vector<std::string> m_members;
-    std::set<std::pair<std::string, std::int64_t>> m_was_ready;
+    std::set<std::pair<std::string, std::int64_t>> m_ready_groups;
     std::string m_state = "ready";
     std::string m_group;
     std::int64_t m_epoch = 0;
--- a/standins/vm_list_standin.cc
+++ b/standins/vm_list_standin.cc
@@ -34,13 +34,13 @@
 {
     std::erase_if(m_vms, [&](const vm_entry& row) { return row.vm == entry.vm; });
     m_vms.push_back(std::move(entry));
-    changed();
+    record_version();
 }
 
 void vm_list_standin::put_all(std::vector<vm_entry> entries)
 {
     m_vms = std::move(entries);
-    changed();
+    record_version();
 }
 
 void vm_list_standin::set_leaving(const vm_id& vm, std::int64_t leave_by_ms)
@@ -51,34 +51,34 @@
         row.state = vm_state::leaving;
         row.leave_by_ms = leave_by_ms;
     }
-    changed();
+    record_version();
 }
 
 void vm_list_standin::remove(const vm_id& vm)
 {
     std::erase_if(m_vms, [&](const vm_entry& row) { return row.vm == vm; });
-    changed();
+    record_version();
 }
 
-void vm_list_standin::changed()
+void vm_list_standin::record_version()
 {
     m_versions.push_back({runtime_clock::now(), wall_time_ms(), m_vms});
-    (void)shown();
+    (void)visible_version();
 }
 
-const vm_list_standin::version& vm_list_standin::shown()
+const vm_list_standin::version& vm_list_standin::visible_version()
 {
-    const time_point cut = runtime_clock::now() - m_lag;
-    while (m_versions.size() > 1 && m_versions[1].since <= cut)
+    const time_point visible_until = runtime_clock::now() - m_lag;
+    while (m_versions.size() > 1 && m_versions[1].since <= visible_until)
         m_versions.pop_front();
     return m_versions.front();
 }
 
 result<void> vm_list_standin::edit(const std::string& body)
 {
-    constexpr std::string_view what = "VM change";
-    BOOST_OUTCOME_TRY(const boost::json::object object, parse_json_object(body, what));
-    json_fields fields{object, what};
+    constexpr std::string_view request_name = "VM change";
+    BOOST_OUTCOME_TRY(const boost::json::object object, parse_json_object(body, request_name));
+    json_fields fields{object, request_name};
     fields.require("vm");
     const vm_id vm{fields.text("vm")};
     const std::string state = fields.text("state");
@@ -98,7 +98,7 @@
 {
     const auto keep = shared_from_this();
     const auto change_faults = [this](const fault_change& change) { apply(change); };
-    const bool taken = co_await take_fault(exchange, change_faults);
+    const bool taken = co_await handle_fault_request(exchange, change_faults);
     if (taken)
         co_return;
     if (exchange.path() == "/vms") {
@@ -106,13 +106,13 @@
         co_await exchange.answer(done ? http::status::ok : http::status::bad_request, "{}");
         co_return;
     }
-    if (co_await meet_faults(m_executor, m_faults, exchange))
+    if (co_await apply_faults(m_executor, m_faults, exchange))
         co_return;
     if (exchange.path() != "/v1/vms") {
         co_await exchange.answer(http::status::not_found, "{}");
         co_return;
     }
-    const version& seen = shown();
+    const version& seen = visible_version();
     const vm_list list{seen.as_of_ms, seen.vms};
     co_await answer_with_faults(m_faults, exchange, http::status::ok, render_vm_list(list));
 }
--- a/standins/vm_list_standin.h
+++ b/standins/vm_list_standin.h
@@ -49,8 +49,8 @@
     vm_list_standin(const boost::asio::any_io_executor& executor, duration lag);
     awaitable<void> handle(standin_exchange& exchange);
     result<void> edit(const std::string& body);
-    void changed();
-    [[nodiscard]] const version& shown();
+    void record_version();
+    [[nodiscard]] const version& visible_version();
 
     boost::asio::any_io_executor m_executor;
     std::shared_ptr<standin_server> m_server;
--- a/standins/weight_standin.h
+++ b/standins/weight_standin.h
@@ -29,7 +29,7 @@
 
     [[nodiscard]] const std::string& address() const { return m_server->address(); }
     void apply(const fault_change& change);
-    [[nodiscard]] std::uint64_t bytes_served() const { return m_served; }
+    [[nodiscard]] std::uint64_t bytes_served() const { return m_bytes_served; }
 
 private:
     weight_standin(const boost::asio::any_io_executor& executor,
@@ -37,14 +37,14 @@
     awaitable<void> handle(standin_exchange& exchange);
     awaitable<void> send(standin_exchange& exchange, std::uint64_t bytes);
     /// Books bytes on the shared rate; returns when they may be sent.
-    time_point book(std::uint64_t bytes);
+    time_point reserve_send_time(std::uint64_t bytes);
 
     boost::asio::any_io_executor m_executor;
     weight_standin_settings m_settings;
     std::shared_ptr<standin_server> m_server;
     fault_state m_faults;
-    time_point m_booked_until;
-    std::uint64_t m_served = 0;
+    time_point m_reserved_until;
+    std::uint64_t m_bytes_served = 0;
 };
 
 } // namespace jaynotch
