--- a/standins/engine_batch.h
+++ b/standins/engine_batch.h
@@ -1,11 +1,15 @@
-// Continuous batching as a model of time: which sequences run in the next step, how long the step
-// takes, and who gets a token from it.
+// Timing model of continuous batching: chooses the sequences that run in the next step, computes
+// the duration of the step and adds one token to each running sequence.
 //
-//   auto sequence = batch.add(executor, {...});
-//   wait(batch.begin_step()); batch.end_step();     // for as long as batch.busy()
+//   batch.add(std::make_shared<batch_sequence>(executor, attempt));
+//   while (batch.busy()) {
+//       wait(batch.begin_step());
+//       batch.end_step();
+//   }
 //
-// A step lasts base + per_sequence * running + prefill_per_token * (uncached tokens of prompts
-// admitted now). Waiting sequences are admitted by priority, then in order of arrival.
+// The duration of a step is step_base + step_per_sequence * running sequences + prefill_per_token *
+// uncached prompt tokens of the sequences admitted in this step. Waiting sequences are admitted by
+// priority, then in order of arrival.
 #pragma once
 
 #include "base/base.h"
@@ -23,24 +27,24 @@
     duration step_per_sequence = std::chrono::microseconds{100};
     duration prefill_per_token = std::chrono::microseconds{20};
     std::uint32_t max_batch = 32;
-    std::uint32_t kv_tokens = 65'536; ///< what the KV cache holds
+    std::uint32_t kv_tokens = 65'536; ///< capacity of the KV cache
 };
 
-/// One answer being generated.
+/// One response being generated.
 struct batch_sequence {
     batch_sequence(const boost::asio::any_io_executor& executor, std::string attempt_id)
         : attempt{std::move(attempt_id)}, wake{executor}
     {}
 
     std::string attempt;
-    int priority = 0; ///< higher goes first
+    int priority = 0; ///< higher values are admitted first
     std::uint32_t prompt_tokens = 0;
-    std::uint32_t cached_tokens = 0; ///< of the prompt, found in the prefix cache
-    std::uint32_t produced = 0;      ///< tokens so far, resumed ones included
-    std::uint32_t total = 0;         ///< tokens when finished
-    bool aborted = false;            ///< the group broke, or the request was cancelled
-    bool partial = false;            ///< a step was taken without every member
-    timer wake;                      ///< cancelled when a token comes or the sequence ends
+    std::uint32_t cached_tokens = 0; ///< prompt tokens found in the prefix cache
+    std::uint32_t produced = 0;      ///< output tokens so far, including resumed ones
+    std::uint32_t total = 0;         ///< output tokens at the end
+    bool aborted = false;            ///< the group broke or the request was cancelled
+    bool partial = false;            ///< at least one step ran without all group members
+    timer wake; ///< cancelled on each new token and at the end, to wake the waiting handler
 
     [[nodiscard]] bool finished() const { return produced >= total; }
     [[nodiscard]] bool ended() const { return aborted || finished(); }
@@ -51,19 +55,21 @@
     explicit engine_batch(batch_settings settings) : m_settings{settings} {}
 
     void add(std::shared_ptr<batch_sequence> sequence);
-    /// Takes a sequence out, as a cancel does.
+    /// Aborts a sequence and removes it from the batch.
     void abort(batch_sequence& sequence);
     void abort_all();
     void abort_attempt(const std::string& attempt);
-    /// Notes on every running sequence that a member is missing.
+    /// Marks every running sequence as computed without all group members.
     void mark_partial();
     [[nodiscard]] bool busy() const { return !m_running.empty() || !m_waiting.empty(); }
-    /// Admits what fits and returns how long the step lasts without stragglers.
+    /// Admits the waiting sequences that fit and returns the step's duration without stragglers.
     duration begin_step();
+    /// Adds a token to each running sequence and removes the finished ones.
     void end_step();
 
     [[nodiscard]] std::size_t running() const { return m_running.size(); }
     [[nodiscard]] std::size_t waiting() const { return m_waiting.size(); }
+    /// Fraction of the KV cache in use, 0 to 1.
     [[nodiscard]] double kv_used() const;
     [[nodiscard]] const batch_settings& settings() const { return m_settings; }
 
@@ -73,7 +79,7 @@
 
     batch_settings m_settings;
     std::vector<std::shared_ptr<batch_sequence>> m_running;
-    std::vector<std::shared_ptr<batch_sequence>> m_waiting; ///< first to be admitted first
+    std::vector<std::shared_ptr<batch_sequence>> m_waiting; ///< in order of admission
 };
 
 } // namespace jaynotch
--- a/standins/engine_serving.cc
+++ b/standins/engine_serving.cc
@@ -7,9 +7,9 @@
 #include <boost/asio/redirect_error.hpp>
 #include <boost/asio/use_awaitable.hpp>
 
-// Serving on the member of rank 0. One coroutine runs the batch's steps while anything is in it;
-// each request's coroutine waits for its sequence to grow and writes what is new. A step is only
-// taken while every member takes part in it, as a tensor-parallel model needs.
+// Serving on the member of rank 0. One coroutine runs the steps of the batch while it is not empty;
+// the coroutine of each request waits for new tokens of its sequence and writes them. A step runs
+// only if every member takes part, as in a tensor-parallel model.
 
 namespace jaynotch {
 
@@ -17,20 +17,20 @@
 namespace http = boost::beast::http;
 namespace json = boost::json;
 
-/// A request for an answer, as read from its body.
+/// A completion request, as parsed from its body and headers.
 struct engine_standin::completion_call {
     bool chat = true;
     bool stream = false;
     std::string model;
     std::string prompt;
-    std::uint32_t max_tokens = 0; ///< 0 for no limit
-    bool ignore_eos = false;      ///< go on to max_tokens, as engines' "ignore_eos" does
-    std::string resume_text;      ///< text to resume after
+    std::uint32_t max_tokens = 0; ///< 0: no limit
+    bool ignore_eos = false;      ///< generate max_tokens, past the natural end
+    std::string resume_text;      ///< text already sent; generation continues after it
     std::string attempt;
-    std::size_t execution_index = 0; ///< its row in the account
+    std::size_t execution_index = 0; ///< index in m_executions
     std::shared_ptr<batch_sequence> sequence;
     std::optional<answer_text> text;
-    std::uint32_t resumed_tokens = 0; ///< tokens in `resume_text`
+    std::uint32_t resumed_tokens = 0; ///< number of tokens in `resume_text`
 };
 
 namespace {
@@ -63,8 +63,8 @@
     return json::serialize(json::object{{"error", inner}});
 }
 
-json::object choice(bool chat, bool stream, const std::string& text, bool first,
-                    std::string_view reason)
+json::object make_choice(bool chat, bool stream, const std::string& text, bool first,
+                         std::string_view reason)
 {
     json::object row{{"index", 0}};
     if (chat) {
@@ -87,7 +87,7 @@
 
 std::string render_completion(const std::string& attempt, const std::string& model,
                               const std::string& version, bool chat, bool stream,
-                              json::object chosen)
+                              json::object choice)
 {
     std::string_view object = chat ? "chat.completion" : "text_completion";
     if (chat && stream)
@@ -97,7 +97,7 @@
                       {"created", wall_time_ms() / 1000},
                       {"model", model},
                       {"system_fingerprint", version}};
-    body["choices"] = json::array{std::move(chosen)};
+    body["choices"] = json::array{std::move(choice)};
     return json::serialize(body);
 }
 
@@ -105,8 +105,9 @@
 
 group_health engine_standin::check_report(const engine_report& member) const
 {
-    // Not by fencing numbers: a repair orders only the members that it must, so those of one group
-    // may know different ones. The list of members by rank is what a collective stands on.
+    // Fencing numbers are not compared: a repair sends orders only to the members it has to change,
+    // so members of one group may know different numbers. Collective operations depend on the list
+    // of members by rank.
     const bool in_group = member.group == m_group && member.members == m_members &&
                           member.state == engine_state::ready && member.model == m_model &&
                           member.version == m_version;
@@ -115,6 +116,7 @@
 
 group_health engine_standin::check_local_member(const engine_standin& member) const
 {
+    // The report may claim a state that isn't true, so the actual state replaces it.
     engine_report truth = member.report();
     truth.state = member.m_state;
     if (member.m_faults.kill || check_report(truth) == group_health::broken)
@@ -190,7 +192,7 @@
             std::chrono::duration_cast<duration>(std::chrono::duration<double, std::nano>{
                 static_cast<double>(self->m_batch.begin_step().count()) * factor});
         co_await standin_sleep(self->m_executor, step);
-        // A pause that began within the step holds its tokens back as well.
+        // A pause that began during the step also delays its tokens.
         while (self->m_faults.pause || self->m_faults.stall)
             co_await standin_sleep(self->m_executor, member_poll);
         self->m_batch.end_step();
@@ -299,7 +301,7 @@
     std::string refusal = refusal_reason(exchange);
     if (refusal.empty() && !m_faults.serve_partial) {
         const group_health health = co_await check_members();
-        // Looking at members over sockets takes time: the assignment may have changed meanwhile.
+        // Checking members over the network takes time; the assignment may have changed meanwhile.
         refusal = health == group_health::broken ? "a member of the group is missing"
                                                  : refusal_reason(exchange);
     }
@@ -362,10 +364,11 @@
         }
         std::string events;
         while (sent < sequence.produced) {
-            const json::object chosen = choice(call.chat, true, call.text->token(sent), first, "");
+            const json::object choice =
+                make_choice(call.chat, true, call.text->token(sent), first, "");
             events +=
                 "data: " +
-                render_completion(call.attempt, call.model, version, call.chat, true, chosen) +
+                render_completion(call.attempt, call.model, version, call.chat, true, choice) +
                 "\n\n";
             first = false;
             ++sent;
@@ -380,7 +383,8 @@
         m_executions[call.execution_index].tokens = sent - call.resumed_tokens;
     }
     const bool natural_end = sequence.total >= call.text->natural_length() && !call.ignore_eos;
-    const json::object last = choice(call.chat, true, "", false, natural_end ? "stop" : "length");
+    const json::object last =
+        make_choice(call.chat, true, "", false, natural_end ? "stop" : "length");
     std::string ending =
         "data: " + render_completion(call.attempt, call.model, version, call.chat, true, last) +
         "\n\ndata: [DONE]\n\n";
@@ -400,11 +404,11 @@
         co_return;
     }
     const bool natural_end = sequence.total >= call.text->natural_length() && !call.ignore_eos;
-    const json::object chosen =
-        choice(call.chat, false, call.text->joined(call.resumed_tokens, sequence.total), true,
-               natural_end ? "stop" : "length");
+    const json::object choice =
+        make_choice(call.chat, false, call.text->joined(call.resumed_tokens, sequence.total), true,
+                    natural_end ? "stop" : "length");
     std::string body =
-        render_completion(call.attempt, call.model, version, call.chat, false, chosen);
+        render_completion(call.attempt, call.model, version, call.chat, false, choice);
     co_await answer_with_faults(m_faults, exchange, http::status::ok, std::move(body));
     engine_execution& run = m_executions[call.execution_index];
     run.tokens = sequence.total - call.resumed_tokens;
--- a/standins/engine_standin.cc
+++ b/standins/engine_standin.cc
@@ -7,8 +7,9 @@
 
 #include <charconv>
 
-// Each change of assignment starts a new epoch; a loading or draining coroutine of an older one
-// sees that and ends, so it can't touch what a later order set up.
+// Each change of assignment starts a new epoch. Loading and draining coroutines compare their epoch
+// with the current one after each wait and stop if it differs, so they can't modify the state of a
+// later assignment.
 
 namespace jaynotch {
 
@@ -36,7 +37,7 @@
     return value;
 }
 
-/// A text member of a JSON body; empty if there is none.
+/// A string member of a JSON body; empty if missing.
 std::string string_member(const std::string& body, std::string_view name)
 {
     const result<json::object> object = parse_json_object(body, "order");
@@ -211,16 +212,16 @@
         }
         const double total_bytes = static_cast<double>(
             parse_number(std::string{opened.value().header("jaynotch-weight-bytes")}));
-        double read = 0.0;
+        double bytes_read = 0.0;
         while (self->m_epoch == epoch) {
             result<std::string> piece = co_await opened.value().read(weight_timeout);
             if (!piece)
                 break;
             while (self->m_faults.pause || self->m_faults.stall)
                 co_await standin_sleep(self->m_executor, load_retry);
-            read += static_cast<double>(piece.value().size());
+            bytes_read += static_cast<double>(piece.value().size());
             if (self->m_epoch == epoch && total_bytes > 0.0)
-                self->m_progress = std::min(1.0, read / total_bytes);
+                self->m_progress = std::min(1.0, bytes_read / total_bytes);
             loaded = piece.value().empty();
             if (loaded)
                 break;
--- a/standins/engine_standin_test.cc
+++ b/standins/engine_standin_test.cc
@@ -15,13 +15,13 @@
 constexpr const char* model = "router";
 constexpr const char* version = "v1";
 
-/// Everything a caller got of one stream.
+/// What a caller received from one stream.
 struct received_stream {
     http::status status = http::status::unknown;
     std::string ran; ///< the header jaynotch-ran
     std::string text;
-    bool done = false; ///< the terminal mark came
-    bool cut = false;
+    bool done = false; ///< received the terminal [DONE] event
+    bool cut = false;  ///< ended with an error
 };
 
 struct engine_group {
@@ -145,7 +145,7 @@
     action();
 }
 
-/// Does something while the test waits for something else.
+/// Runs `action` after a delay, while the test waits for something else.
 void run_after(engine_group& group, duration wait, std::function<void()> action)
 {
     const auto executor = group.runtime.executor();
@@ -162,7 +162,7 @@
     action();
 }
 
-/// Does something as soon as the first member runs a request that has produced `tokens`.
+/// Runs `action` once the first request on the member of rank 0 has sent `tokens` tokens.
 void when_produced(engine_group& group, std::uint32_t tokens, std::function<void()> action)
 {
     const auto running = [&group, tokens] {
@@ -205,8 +205,8 @@
     cr_assert(!group.fleet->engine(0).executions().at(0).partial);
 }
 
-// One of four members dies. The group must not answer on the other three: new requests are refused
-// as not run, and the stream in flight is cut without its terminal mark.
+// One of four members dies. The other three must not continue without it: the running stream is cut
+// without its terminal event, and new requests are rejected as not run.
 Test(engine, a_group_that_lost_a_member_cuts_its_stream_and_refuses)
 {
     engine_group group{4};
@@ -220,8 +220,8 @@
     cr_assert_eq(refused.ran, "no");
 }
 
-// A member is paused: nothing comes, nobody may take the silence for an end. It goes on when the
-// member returns, and the answer is whole.
+// While a member is paused, the group produces no tokens and does not end its streams. They
+// continue when the member resumes, and the response is complete.
 Test(engine, a_paused_member_stalls_its_group_until_it_returns)
 {
     engine_group group{2};
@@ -268,8 +268,8 @@
     cr_assert(refused.status == http::status::conflict);
 }
 
-// An engine that does not ask its members answers on a part of the group. The account must show
-// it, or no scenario could tell that a daemon let it happen.
+// An engine that ignores its members serves with a part of its group. The list of executions must
+// show that, or the scenarios' invariant checks would miss a daemon that allows it.
 Test(engine, executions_list_marks_an_answer_of_a_partial_group)
 {
     engine_group group{3};
@@ -281,8 +281,8 @@
     cr_assert(group.fleet->engine(0).executions().at(0).partial);
 }
 
-// A member was put into another group of the same name with other members. What it computes belongs
-// to those; rank 0 must not take it for its own member.
+// A member is assigned to a group of the same name but with another member list. It now computes
+// for those members, so rank 0 must not treat it as a member of its own group.
 Test(engine, a_member_with_another_member_list_breaks_the_group)
 {
     engine_group group{3};
@@ -297,7 +297,7 @@
     cr_assert(group.stream(group.request("c", 5)).done);
 }
 
-// A straggler slows its whole group, not only itself.
+// A straggler slows down all of its group, because each step waits for every member.
 Test(engine, a_straggler_slows_its_group)
 {
     engine_group group{2};
@@ -334,8 +334,8 @@
         [&] { return group.fleet->engine(0).report().state == engine_state::idle; }));
 }
 
-// Prompts that share a beginning are quicker the second time, and the engine says late, and not
-// always, what it holds.
+// Cache events become visible only after their delay, and a part of them is lost, so a router can't
+// rely on an exact view of an engine's prefix cache.
 Test(engine, cache_events_are_delayed_and_incomplete)
 {
     standin_fleet_settings settings;
--- a/standins/faults.h
+++ b/standins/faults.h
@@ -1,9 +1,9 @@
-// The ways in which stand-ins fail, switched on and off one by one:
+// Faults that stand-ins can simulate, each switched on and off separately:
 //
 //   engine.apply({.pause = true});            engine.apply({.pause = false});
-//   POST /fault {"cut_after_tokens": 5}       the same over HTTP, also while it is paused
+//   POST /fault {"cut_after": 5}              over HTTP, also while the stand-in is paused
 //
-// Only the switches that are named change.
+// A change affects only the faults it names.
 #pragma once
 
 #include "base/base.h"
@@ -16,27 +16,28 @@
 
 namespace jaynotch {
 
-/// A change of faults; what is empty stays as it is.
+/// A change of faults; empty fields leave a fault as it is.
 struct fault_change {
-    std::optional<bool> kill = {}; ///< refuse and cut connections; false: return with a new boot
-    std::optional<bool> pause =
-        {}; ///< answer nothing, work nothing; false: go on as if nothing was
-    std::optional<bool> stall = {};                 ///< accept requests but produce nothing
-    std::optional<bool> outage = {};                ///< answer 503 to everything, without effect
-    std::optional<duration> delay = {};             ///< before each answer
-    std::optional<std::uint32_t> lose_replies = {}; ///< so many next effects without a reply
-    std::optional<double> straggle = {};            ///< factor on the time of each step
-    std::optional<std::uint32_t> cut_after = {}; ///< cut each stream after so many tokens; 0: off
-    std::optional<bool> answer_twice = {};       ///< send each answer two times over
-    std::optional<bool> wrong_length = {};       ///< announce more bytes than are sent
-    std::optional<bool> garbage = {};            ///< answer with bytes that are no HTTP
-    std::optional<bool> claim_ready = {};        ///< report ready whatever is loaded
-    std::optional<bool> serve_partial = {};      ///< serve without asking the other members
-    std::optional<bool> leaving = {};            ///< say that it is leaving
-    std::optional<std::uint32_t> rate = {};      ///< calls, or bytes, a second; 0: no limit
+    std::optional<bool> kill = {};      ///< reset and refuse connections; false: restart
+    std::optional<bool> pause = {};     ///< suspend all work; false: continue where it stopped
+    std::optional<bool> stall = {};     ///< accept requests but make no progress
+    std::optional<bool> outage = {};    ///< answer 503 to each request without executing it
+    std::optional<duration> delay = {}; ///< before each response
+    std::optional<std::uint32_t> lose_replies = {}; ///< executed requests that get no reply
+    std::optional<double> straggle = {};            ///< factor on the duration of each step
+    std::optional<std::uint32_t> cut_after = {}; ///< tokens after which each stream is cut; 0: off
+    std::optional<bool> answer_twice = {};       ///< send each response twice
+    std::optional<bool> wrong_length = {};       ///< send a Content-Length above the body's size
+    std::optional<bool> garbage = {};            ///< answer with bytes that are not HTTP
+    std::optional<bool> claim_ready = {};        ///< report ready regardless of the actual state
+    std::optional<bool> serve_partial = {};      ///< serve without the other members
+    std::optional<bool> leaving = {};            ///< report that it is leaving
+    /// Key-value writes or bytes of weights per second. 0 lifts the limit of the key-value service
+    /// and leaves that of the weight store as it is.
+    std::optional<std::uint32_t> rate = {};
 };
 
-/// The switches as they stand.
+/// Current setting of each fault.
 struct fault_state {
     bool kill = false;
     bool pause = false;
@@ -55,25 +56,27 @@
     std::optional<std::uint32_t> rate;
 
     void apply(const fault_change& change);
-    /// Takes one lost reply out of the count; whether this reply is to be lost.
+    /// Whether this reply is to be lost; decrements `lose_replies` if so.
     bool consume_lost_reply();
 };
 
+/// Parses the body of POST /fault, whose members have the names of fault_change's fields and
+/// `delay_ms` for `delay`.
 result<fault_change> parse_fault(std::string_view body);
 
-/// Answers /fault once `apply` has made the change, so that who asked finds it in force. True if
-/// the exchange is dealt with.
+/// Handles a request for /fault. The response is sent after `apply` has made the change, so the
+/// fault is active when the client gets it. Returns true if the request was for /fault.
 awaitable<bool> handle_fault_request(standin_exchange& exchange,
                                      std::function<void(const fault_change&)> apply);
-/// What is common to all stand-ins: pauses, refuses, delays or garbles as the switches say. True if
-/// the exchange is dealt with and the stand-in must not look at it.
+/// Simulates the faults common to all stand-ins before a request is executed: pause, kill, delay,
+/// garbage and outage. Returns true if the request is done and must not be executed.
 awaitable<bool> apply_faults(boost::asio::any_io_executor executor, fault_state& faults,
                              standin_exchange& exchange);
-/// Answers, or loses or spoils the answer as the switches say.
+/// Sends the response, subject to the faults lose_replies, wrong_length and answer_twice.
 awaitable<void> answer_with_faults(fault_state& faults, standin_exchange& exchange,
                                    boost::beast::http::status status, std::string body);
 
-/// A JSON error body as the gateway and engines send it.
+/// A JSON error body as sent by etcd's gateway and by engines; `code` is a gRPC status code.
 std::string error_body(std::string_view message, int code);
 
 } // namespace jaynotch
--- a/standins/fleet.cc
+++ b/standins/fleet.cc
@@ -15,8 +15,9 @@
                      const standin_fleet_settings& settings)
 {
     if (settings.fabric_domains == 0 || settings.failure_domains.empty())
-        return error{error_kind::invalid_argument, "a fleet needs domains",
-                     "give at least one fabric domain and one failure domain"};
+        return error{error_kind::invalid_argument,
+                     "the fleet has no fabric domains or no failure domains",
+                     "give at least one of each"};
     std::shared_ptr<standin_fleet> fleet{new standin_fleet{executor, settings}};
     BOOST_OUTCOME_TRYV(fleet->start_platform());
     BOOST_OUTCOME_TRYV(fleet->start_backends());
@@ -41,11 +42,11 @@
 {
     std::vector<vm_entry> rows;
     for (std::size_t index = 0; index < m_settings.engines; ++index) {
-        engine_standin_settings one = m_settings.engine;
-        one.vm = vm_id{"vm-" + std::to_string(index)};
-        one.weight_store = m_weights->address();
-        BOOST_OUTCOME_TRY(auto engine, engine_standin::start(m_executor, one, m_directory));
-        rows.push_back({.vm = one.vm,
+        engine_standin_settings settings = m_settings.engine;
+        settings.vm = vm_id{"vm-" + std::to_string(index)};
+        settings.weight_store = m_weights->address();
+        BOOST_OUTCOME_TRY(auto engine, engine_standin::start(m_executor, settings, m_directory));
+        rows.push_back({.vm = settings.vm,
                         .address = engine->address(),
                         .fabric_domain = fabric_domain_of(index),
                         .failure_domain = failure_domain_of(index),
@@ -54,10 +55,10 @@
     }
     m_vms->put_all(std::move(rows));
     for (const auto& name : m_settings.plain) {
-        plain_standin_settings one;
-        one.name = name;
-        one.work = m_settings.plain_work;
-        BOOST_OUTCOME_TRY(auto plain, plain_standin::start(m_executor, one));
+        plain_standin_settings settings;
+        settings.name = name;
+        settings.work = m_settings.plain_work;
+        BOOST_OUTCOME_TRY(auto plain, plain_standin::start(m_executor, settings));
         m_plain.push_back(std::move(plain));
     }
     return success();
@@ -133,8 +134,8 @@
                                        {"fabric_domain", fabric_domain_of(index).value()},
                                        {"failure_domain", failure_domain_of(index).value()}});
     json::array plain;
-    for (const auto& one : m_plain)
-        plain.push_back(json::object{{"name", one->name()}, {"address", one->address()}});
+    for (const auto& service : m_plain)
+        plain.push_back(json::object{{"name", service->name()}, {"address", service->address()}});
     return json::serialize(json::object{{"kv", m_kv->address()},
                                         {"vms", m_vms->address()},
                                         {"weights", m_weights->address()},
@@ -156,8 +157,8 @@
         stale += engine->stale_orders_taken();
     }
     std::uint64_t plain = 0;
-    for (const auto& one : m_plain)
-        plain += one->executions().size();
+    for (const auto& service : m_plain)
+        plain += service->executions().size();
     return json::serialize(json::object{{"model_answers_finished", finished},
                                         {"model_answers_partial", partial},
                                         {"stale_orders_taken", stale},
--- a/standins/fleet.h
+++ b/standins/fleet.h
@@ -1,13 +1,15 @@
-// A whole platform in one process: key-value service, VM list, weight store, engines in fabric
-// domains over failure domains, and plain services, all on free loopback ports.
+// A complete platform of stand-ins in one process: key-value service, VM list, weight store,
+// engines in fabric domains and failure domains, and plain services, all on free loopback ports.
 //
 //   auto fleet = standin_fleet::start(executor, {.engines = 8, .fabric_domains = 2});
 //   fleet.value()->engine(3).apply({.kill = true});
-//   std::string where = fleet.value()->describe();     // addresses as JSON
+//   std::string addresses = fleet.value()->describe();     // as JSON
 //
-// Engine i is "vm-<i>"; engines are dealt out to fabric domains "fabric-<k>" in equal runs, and
-// fabric domains to failure domains in turn. The control address takes POST /fault/<name> for
-// kv, vms, weights, an engine's VM or a plain service, also while the target is dead.
+// Engine i has the VM name "vm-<i>". Engines are divided into equal contiguous ranges, one for each
+// fabric domain "fabric-<k>"; fabric domains are assigned to failure domains round-robin. The
+// control address accepts POST /fault/<name>, where the name is kv, vms, weights, an engine's VM or
+// a plain service; this works also while the target is killed. GET /fleet returns the addresses,
+// GET /account the counts of requests that the stand-ins ran.
 #pragma once
 
 #include "services/services.h"
@@ -27,13 +29,13 @@
     std::size_t engines = 8;
     std::size_t fabric_domains = 2;
     std::vector<std::string> failure_domains{"a"};
-    std::uint32_t accelerators = 2; ///< of each VM
+    std::uint32_t accelerators = 2; ///< per VM
     std::vector<std::string> plain; ///< names of plain services
-    engine_standin_settings engine; ///< for all; names and stores are filled in
+    engine_standin_settings engine; ///< for all engines; vm and weight_store are set for each
     kv_standin_settings kv;
     weight_standin_settings weights;
     vm_list_standin_settings vms;
-    duration plain_work{0};
+    duration plain_work{0}; ///< time that a plain service takes for a request
     std::string control_listen = "127.0.0.1:0";
 };
 
@@ -50,17 +52,16 @@
     [[nodiscard]] std::size_t plain_count() const { return m_plain.size(); }
     [[nodiscard]] plain_standin& plain(std::size_t index) { return *m_plain.at(index); }
     [[nodiscard]] const std::string& control_address() const { return m_control->address(); }
-    /// Makes the VM list show an engine at another address, one that leads to it.
+    /// Replaces an engine's address in the VM list, for example by that of a proxy in front of it.
     void advertise_engine_address(std::size_t index, const std::string& address);
-    /// Fabric domain of an engine.
     [[nodiscard]] fabric_domain_id fabric_domain_of(std::size_t index) const;
     [[nodiscard]] failure_domain_id failure_domain_of(std::size_t index) const;
 
-    /// Changes the faults of whatever has this name; not_found if nothing has.
+    /// Changes the faults of the stand-in with this name; not_found if there is none.
     result<void> apply(const std::string& name, const fault_change& change);
-    /// Changes the faults of every engine of a fabric domain, as a dark switch does.
+    /// Changes the faults of every engine of a fabric domain, as a failed switch would.
     void apply_to_fabric(const fabric_domain_id& domain, const fault_change& change);
-    /// {"kv","vms","weights","control","engines":[...],"plain":[...]}.
+    /// Addresses as a JSON object: {"kv","vms","weights","control","engines":[...],"plain":[...]}.
     [[nodiscard]] std::string describe() const;
 
 private:
@@ -69,6 +70,7 @@
     result<void> start_platform();
     result<void> start_backends();
     awaitable<void> handle(standin_exchange& exchange);
+    /// Counts over all engines and plain services, as JSON.
     [[nodiscard]] std::string render_totals() const;
 
     boost::asio::any_io_executor m_executor;
--- a/standins/kv_adapters_test.cc
+++ b/standins/kv_adapters_test.cc
@@ -63,8 +63,8 @@
     cr_assert_eq(range.value().entries[1].key, "a/2");
 }
 
-// A dealer's confirmation is claimed, the claim is written, and the reply is lost. The daemon must
-// not take that for "did not happen": it reads back and finds its own claim.
+// A claim is written, but the reply is lost. The client must report an unknown outcome, not a
+// failure; reading the key back then shows that the claim was written.
 Test(etcd_gateway, a_write_whose_reply_is_lost_is_unknown_and_can_be_resolved)
 {
     served_kv served;
@@ -75,8 +75,8 @@
     cr_assert_eq(read.value().entry->value, "mine");
 }
 
-// The service stops answering in the middle of everything. Reads say that time ran out, writes
-// that their outcome is unknown; both come back within their timeout.
+// The service accepts calls but stops answering. Reads must fail with a timeout, writes with an
+// unknown outcome, both within the client's timeout.
 Test(etcd_gateway, an_unresponsive_service_is_a_timeout_for_reads_and_unknown_for_writes)
 {
     served_kv served;
@@ -123,7 +123,8 @@
     cr_assert(served.put("a", "1").error().kind == error_kind::unknown_outcome);
 }
 
-// The service sends an answer twice. The second copy must not become the answer to the next call.
+// The service sends each response twice. The second copy must not be taken as the response to the
+// next call on the same connection.
 Test(etcd_gateway, an_answer_sent_twice_does_not_answer_the_next_call)
 {
     served_kv served;
@@ -185,8 +186,8 @@
     cr_assert(quiet.value().events.empty());
 }
 
-// The connection of a watch dies with the service. Its reader must hear it, not wait for ever, and
-// find all changes again by watching from where it stood.
+// The connection of a watch is reset when the service dies. The watch must report an error instead
+// of waiting forever, and a new watch from the same revision must deliver all changes.
 Test(etcd_gateway, a_cut_watch_is_detected_and_loses_no_change)
 {
     served_kv served;
@@ -216,8 +217,8 @@
     cr_assert(served.runtime.run_until([&] { return served.standin->waiting_watches() == 0; }));
 }
 
-// Both adapters must agree on what each operation means, or a test against one proves nothing for
-// the other: the same random transactions on both, compared step by step.
+// Tests with the in-memory adapter are only valid for the etcd gateway if both behave alike. The
+// same random transactions run on both, and their results are compared step by step.
 Test(kv_adapters, memory_and_gateway_behave_alike)
 {
     served_kv served;
@@ -245,7 +246,8 @@
     cr_assert_eq(served.kv.counts().of(kv_call::transact), 150U);
 }
 
-// A write gives up, then takes effect all the same: the caller heard "unknown", not "failed".
+// A write takes effect after its call timed out, so the call must report an unknown outcome, not a
+// failure.
 Test(memory_kv, a_delayed_write_takes_effect_after_the_timeout)
 {
     test_runtime runtime;
--- a/standins/kv_standin.cc
+++ b/standins/kv_standin.cc
@@ -5,8 +5,8 @@
 #include <boost/asio/redirect_error.hpp>
 #include <boost/asio/use_awaitable.hpp>
 
-// Leases end when a call or a watch next looks at the store, which is at most `max_watch_wait`
-// later: near enough for leases of seconds, and no timer for each lease.
+// Leases have no timers. Expired ones are removed before each call and by each open watch, which
+// wakes up at least every `max_watch_wait`; that is precise enough for leases of seconds.
 
 namespace jaynotch {
 
@@ -44,7 +44,7 @@
 
 struct watch_request {
     std::string prefix;
-    std::int64_t start_revision = 0; ///< 0 for from now
+    std::int64_t start_revision = 0; ///< 0: from the next change
 };
 
 result<watch_request> read_watch(const std::string& body)
--- a/standins/kv_standin.h
+++ b/standins/kv_standin.h
@@ -1,9 +1,10 @@
-// Stand-in of the key-value service: etcd v3's JSON gateway over one kv_store.
+// Stand-in for the key-value service: the JSON gateway of etcd v3 on top of a kv_store.
 //
 //   auto kv = kv_standin::start(executor, {});
 //   kv.value()->apply({.outage = true});
 //
-// GET /stats answers the calls so far by kind, with the watches that wait now.
+// GET /stats returns the number of calls by kind, of calls rejected by the rate limits and of open
+// watches.
 #pragma once
 
 #include "services/services.h"
@@ -19,15 +20,16 @@
 
 struct kv_standin_settings {
     std::string listen = "127.0.0.1:0";
-    std::uint32_t reads_per_second = 0;  ///< 0 for no limit
-    std::uint32_t writes_per_second = 0; ///< 0 for no limit
+    std::uint32_t reads_per_second = 0;  ///< 0: no limit
+    std::uint32_t writes_per_second = 0; ///< 0: no limit
 };
 
-/// Counts calls of one second and refuses those beyond the limit.
+/// Rate limit over fixed windows of one second.
 class call_rate_limiter {
 public:
     explicit call_rate_limiter(std::uint32_t per_second) : m_per_second{per_second} {}
     void set(std::uint32_t per_second) { m_per_second = per_second; }
+    /// Counts a call; false if it exceeds the limit.
     bool admit(time_point now);
 
 private:
@@ -46,7 +48,7 @@
     [[nodiscard]] const kv_call_counts& counts() const { return m_counts; }
     [[nodiscard]] std::size_t waiting_watches() const { return m_open_watches; }
     [[nodiscard]] kv_store& store() { return m_store; }
-    /// Ends a lease now; called after any change from outside as well, to wake the watches.
+    /// Expires a lease now and wakes the watches.
     void expire_lease(lease_id lease);
 
 private:
@@ -64,8 +66,10 @@
     call_answer keep_alive(const std::string& body);
     call_answer revoke(const std::string& body);
     awaitable<void> watch(standin_exchange& exchange);
+    /// First message of a watch.
     [[nodiscard]] std::string created_line() const;
-    /// Empty if nothing under `prefix` changed.
+    /// Watch message with the changes under `prefix` since `start_revision`; empty if there are
+    /// none.
     [[nodiscard]] std::string changes_line(const std::string& prefix,
                                            std::int64_t start_revision) const;
     [[nodiscard]] call_answer stats() const;
@@ -79,7 +83,7 @@
     kv_call_counts m_counts;
     call_rate_limiter m_reads;
     call_rate_limiter m_writes;
-    std::set<timer*> m_watch_timers; ///< cancelled on each change, which wakes the watches
+    std::set<timer*> m_watch_timers; ///< one per open watch; cancelled on each change to wake it
     std::size_t m_open_watches = 0;
     std::uint64_t m_refused = 0;
 };
--- a/standins/load_test.cc
+++ b/standins/load_test.cc
@@ -6,8 +6,8 @@
 
 using namespace jaynotch;
 
-// The load generator is what tells a whole answer from a broken one in every scenario, so its own
-// judgement is checked here against stand-ins that break answers in known ways.
+// Every scenario relies on the load generator to distinguish complete answers from damaged ones.
+// The tests check its classification against stand-ins with known faults.
 
 namespace {
 
--- a/standins/plain_standin.h
+++ b/standins/plain_standin.h
@@ -1,11 +1,12 @@
-// Stand-in of a plain service, such as the subscriber app or the duct registry: runs each request
-// once for each time that it arrives, records it, and answers what it was asked.
+// Stand-in for a plain service, such as the subscriber app or the duct registry. It executes every
+// request that arrives, without removing duplicates, records it and echoes its data.
 //
 //   auto orders = plain_standin::start(executor, {.name = "orders-1"});
-//   orders.value()->executions();       // the account that invariants are checked against
+//   orders.value()->executions();       // for the invariant checks
 //
-// The answer is {"service","method","target","digest","key","sequence"}: `digest` is that of the
-// request's body, so a caller sees whether the answer is to its own request.
+// The response is {"service","method","target","digest","key","sequence"}. `digest` is that of the
+// request body, so the caller can check that the response belongs to its request; `sequence` is the
+// number of requests executed so far. GET /executions lists them.
 #pragma once
 
 #include "services/services.h"
@@ -21,7 +22,7 @@
 struct plain_standin_settings {
     std::string name = "plain";
     std::string listen = "127.0.0.1:0";
-    duration work{0}; ///< how long each request takes
+    duration work{0}; ///< time taken by each request
 };
 
 struct plain_execution {
@@ -30,7 +31,7 @@
     std::string attempt;
     std::string key; ///< idempotency key
     std::string digest;
-    bool answered = false;
+    bool answered = false; ///< the response was sent completely
     time_point start_time;
 };
 
--- a/standins/platform_forms.h
+++ b/standins/platform_forms.h
@@ -1,12 +1,13 @@
-// What the users' platform, its operators and its callers write, for programs that stand in for
-// them.
+// Documents and requests of the users' platform, its operators and its callers, for programs that
+// replace them in tests.
 //
 //   put_config_version(*store, 7);                    // the operators' seventh configuration
 //   std::ofstream{path} << render_settings({...});    // a daemon's settings file
 //   client.call(caller_request({.id = "c1-7", .path = "/order/1", ...}), 7s);
 //
-// The configuration has three routes: /chat/ streams from the model service "llm" (one model of two
-// runners), /order/ runs once at most and /read/ may be repeated, both on the plain service "app".
+// The configuration has three routes: /chat/ streams from the model service "llm" (one model in
+// groups of two runners), /order/ is not idempotent and /read/ is; both use the plain service
+// "app".
 #pragma once
 
 #include "http/http_client.h"
@@ -18,34 +19,36 @@
 
 namespace jaynotch {
 
-/// Servers that a stream or a read of the configuration may run on.
+/// Maximum number of servers that a stream or a read may run on under this configuration.
 constexpr int repeatable_attempts = 2;
 
-/// Has the operators write a version. The keys of it and of the one before, "key-N", are in force.
+/// Writes a version of the operators' configuration. The API keys "key-N" of this version and the
+/// previous one are valid.
 void put_config_version(store_standin& store, std::int64_t version);
 
+/// Settings of one daemon that differ between daemons.
 struct daemon_site {
     std::string node;
     std::string failure_domain;
     bool first_start = true;
     std::vector<std::string> seeds; ///< "IP:port" of peers
-    std::string listen;             ///< for callers
+    std::string listen;             ///< address for callers
     std::string ready_listen;
     std::string peer_listen;
-    std::string store; ///< "IP:port"
+    std::string store; ///< "IP:port" of the platform's store
 };
-/// A daemon's settings file.
+/// Contents of a daemon's settings file.
 std::string render_settings(const daemon_site& site);
 
 struct caller_parameters {
-    std::string id; ///< of the request; comes back with its answer
+    std::string id; ///< attempt id; returned with the response
     std::string path;
-    std::string key;
-    std::string body; ///< empty: it reads
+    std::string key;  ///< API key
+    std::string body; ///< empty: a GET request
     bool streams = false;
 };
 http_request caller_request(const caller_parameters& form);
-/// Whose answer it is, by its own word.
+/// The attempt id that the response names.
 std::string answered_request_id(const http_response& answer);
 
 } // namespace jaynotch
--- a/standins/runner_standin.cc
+++ b/standins/runner_standin.cc
@@ -1,5 +1,9 @@
-// A runner that registers itself, forms groups as it is ordered, answers requests and, if a test
-// wants it, does each of them wrong.
+// A runner that registers itself, joins groups as ordered and answers requests, and simulates the
+// faults that a test switches on.
+//
+// Orders with a lower fencing number or epoch than the highest known one are rejected, so an
+// outdated manager can't undo a newer one's orders. A join is accepted at once and completes in
+// join() after the simulated load; a newer join in the meantime supersedes it.
 #include "standins/store_standin.h"
 
 #include <boost/asio/co_spawn.hpp>
@@ -205,7 +209,7 @@
     });
 }
 
-/// A head that misses a member stands still and then breaks.
+/// A head that misses a member pauses its streams and breaks after `stall`.
 awaitable<bool> runner_standin::wait_for_members()
 {
     constexpr duration poll_interval = 20ms;
@@ -291,7 +295,7 @@
         ++m_accepted_orders;
         m_group.clear();
         m_model.clear();
-        m_phase = member_phase::joining; // a head that has left serves nobody
+        m_phase = member_phase::joining; // a head that has left serves no requests
         publish();
         return http::status::ok;
     }
--- a/standins/standin_main.cc
+++ b/standins/standin_main.cc
@@ -1,9 +1,10 @@
-// jaynotch-standin: runs stand-ins until it is told to stop.
+// jaynotch-standin: runs a stand-in or a fleet of them until SIGTERM or SIGINT.
 //
 //   jaynotch-standin fleet --engines=8 --fabric_domains=2 --out=fleet.json
 //   jaynotch-standin kv --listen=127.0.0.1:2379
 //
-// Each flag can be given as JAYNOTCH_<FLAG> in the environment; the flag wins.
+// Each flag can also be set by the environment variable JAYNOTCH_<FLAG>; the command line takes
+// precedence.
 #include "absl/flags/flag.h"
 #include "absl/flags/parse.h"
 #include "absl/flags/usage.h"
@@ -16,27 +17,30 @@
 #include <fstream>
 #include <iostream>
 
-ABSL_FLAG(std::string, listen, "127.0.0.1:0", "address of a single stand-in; port 0 for any");
-ABSL_FLAG(std::string, out, "",
-          "file to write the addresses to, as JSON; empty for standard output");
-ABSL_FLAG(int, engines, 8, "fleet: engines, one a VM");
-ABSL_FLAG(int, fabric_domains, 2, "fleet: fabric domains, dealt over the failure domains in turn");
-ABSL_FLAG(std::string, failure_domains, "a", "fleet: failure domains, parted by commas");
-ABSL_FLAG(std::string, plain, "", "fleet: names of plain services, parted by commas");
-ABSL_FLAG(std::string, name, "plain-1", "plain: its name");
-ABSL_FLAG(std::string, vm, "vm-0", "engine: its VM");
+ABSL_FLAG(std::string, listen, "127.0.0.1:0",
+          "address to listen on (a fleet: its control address); port 0 chooses a free one");
+ABSL_FLAG(std::string, out, "", "file for the addresses, as JSON; empty for standard output");
+ABSL_FLAG(int, engines, 8, "fleet: number of engines, one per VM");
+ABSL_FLAG(int, fabric_domains, 2,
+          "fleet: number of fabric domains, assigned to failure domains round-robin");
+ABSL_FLAG(std::string, failure_domains, "a", "fleet: failure domains, comma-separated");
+ABSL_FLAG(std::string, plain, "", "fleet: names of plain services, comma-separated");
+ABSL_FLAG(std::string, name, "plain-1", "plain: name of the service");
+ABSL_FLAG(std::string, vm, "vm-0", "engine: name of the VM");
 ABSL_FLAG(std::string, weight_store, "", "engine: address of the weight store");
-ABSL_FLAG(bool, check_fencing, true, "engines refuse orders with an old fencing number");
-ABSL_FLAG(int, step_us, 4000, "engines: time of a step, without its sequences, in microseconds");
-ABSL_FLAG(int, step_per_sequence_us, 100, "engines: time added by each sequence, in microseconds");
-ABSL_FLAG(int, prefill_per_token_us, 20, "engines: time for each prompt token, in microseconds");
-ABSL_FLAG(int, max_batch, 32, "engines: sequences that run at once");
-ABSL_FLAG(int, vm_list_lag_ms, 0, "VM list: how far it lags behind, in milliseconds");
-ABSL_FLAG(int, weight_rate, 50000000, "weight store: bytes a second over all readers");
-ABSL_FLAG(int, weight_bytes, 4000000, "weight store: bytes of a model");
-ABSL_FLAG(int, kv_reads, 0, "key-value service: reads a second; 0 for no limit");
-ABSL_FLAG(int, kv_writes, 0, "key-value service: writes a second; 0 for no limit");
-ABSL_FLAG(int, plain_work_ms, 0, "plain services: time for each request, in milliseconds");
+ABSL_FLAG(bool, check_fencing, true, "engines: reject orders with an old fencing number");
+ABSL_FLAG(int, step_us, 4000, "engines: duration of a step without sequences, in microseconds");
+ABSL_FLAG(int, step_per_sequence_us, 100,
+          "engines: time that each sequence adds to a step, in microseconds");
+ABSL_FLAG(int, prefill_per_token_us, 20,
+          "engines: time per uncached prompt token, in microseconds");
+ABSL_FLAG(int, max_batch, 32, "engines: maximum number of sequences in a batch");
+ABSL_FLAG(int, vm_list_lag_ms, 0, "VM list: age of the list that is served, in milliseconds");
+ABSL_FLAG(int, weight_rate, 50000000, "weight store: bytes per second for all readers together");
+ABSL_FLAG(int, weight_bytes, 4000000, "weight store: size of a model in bytes");
+ABSL_FLAG(int, kv_reads, 0, "key-value service: reads per second; 0 for no limit");
+ABSL_FLAG(int, kv_writes, 0, "key-value service: writes per second; 0 for no limit");
+ABSL_FLAG(int, plain_work_ms, 0, "plain services: time per request, in milliseconds");
 
 namespace jaynotch {
 namespace {
@@ -44,7 +48,8 @@
 constexpr const char* usage =
     "runs stand-ins until SIGTERM or SIGINT.\n\n"
     "usage: jaynotch-standin {kv|vms|weights|engine|plain|fleet} [flags]\n\n"
-    "Every stand-in takes POST /fault; a fleet takes POST /fault/<name> at its control address.";
+    "Each stand-in accepts POST /fault; a fleet also accepts POST /fault/<name> at its control "
+    "address.";
 
 std::vector<std::string> split_list(const std::string& joined)
 {
@@ -120,7 +125,7 @@
     return settings;
 }
 
-/// What keeps a stand-in alive, and where it listens, as JSON.
+/// Owner of a running stand-in, and its addresses as JSON.
 struct running_standin {
     std::shared_ptr<void> owner;
     std::string addresses;
@@ -151,7 +156,7 @@
         return running_standin{fleet, fleet->describe()};
     }
     return error{error_kind::invalid_argument, "unknown stand-in \"" + what + "\"",
-                 "write kv, vms, weights, engine, plain or fleet"};
+                 "use kv, vms, weights, engine, plain or fleet"};
 }
 
 void write_addresses(const std::string& addresses)
@@ -161,7 +166,7 @@
         std::cout << addresses << std::endl;
         return;
     }
-    // Renamed into place, so that a reader waiting for the file never sees half of it.
+    // The file is renamed into place, so a process waiting for it never reads an incomplete one.
     const std::string temporary = out + ".part";
     std::ofstream file{temporary};
     file << addresses << "\n";
@@ -173,8 +178,8 @@
 int run(const std::vector<char*>& arguments)
 {
     if (arguments.size() != 2)
-        throw exception{{error_kind::invalid_argument, "no stand-in named",
-                         "write kv, vms, weights, engine, plain or fleet"}};
+        throw exception{{error_kind::invalid_argument, "missing stand-in: give exactly one",
+                         "use kv, vms, weights, engine, plain or fleet"}};
     boost::asio::io_context io{1};
     const running_standin standin = start(io.get_executor(), arguments[1]).value();
     write_addresses(standin.addresses);
--- a/standins/standin_server.cc
+++ b/standins/standin_server.cc
@@ -196,7 +196,7 @@
     error_code ignored;
     m_acceptor.close(ignored);
     for (const auto& client : m_connections) {
-        // A reset, as from a machine that lost its process: the peer's reads fail at once.
+        // Zero linger sends a reset, as for a killed process, so the peer's reads fail at once.
         client->socket.set_option(asio::socket_base::linger{true, 0}, ignored);
         client->socket.close(ignored);
     }
--- a/standins/standin_server.h
+++ b/standins/standin_server.h
@@ -1,5 +1,5 @@
-// A small HTTP/1.1 server for stand-ins: a coroutine for each connection, one handler for all
-// requests, and the ways to fail that real servers have.
+// A small HTTP/1.1 server for stand-ins, with a coroutine per connection and one handler for all
+// requests. It can also send malformed responses, cut connections, stop and restart.
 //
 //   auto server = standin_server::listen(executor, "127.0.0.1:0", [](standin_exchange& exchange) {
 //       return exchange.answer(http::status::ok, "hello");
@@ -24,10 +24,10 @@
 
 namespace jaynotch {
 
-/// Waits on the runtime's clock.
+/// Waits for `step` on the runtime clock.
 awaitable<void> standin_sleep(boost::asio::any_io_executor executor, duration step);
 
-/// One request and the answering of it.
+/// A request and its response.
 class standin_exchange {
 public:
     using socket_type = boost::asio::ip::tcp::socket;
@@ -39,24 +39,25 @@
     [[nodiscard]] boost::beast::http::verb method() const { return m_request.method(); }
     /// The target without its query.
     [[nodiscard]] std::string_view path() const;
-    /// A value of the query, empty if missing.
+    /// A query parameter; empty if missing.
     [[nodiscard]] std::string query(std::string_view name) const;
     [[nodiscard]] std::string_view header(std::string_view name) const;
     [[nodiscard]] const std::string& body() const { return m_request.body(); }
 
-    /// Adds a header to the answer.
+    /// Adds a header to the response.
     void set(std::string name, std::string value);
+    /// Sends a complete response.
     awaitable<void> answer(boost::beast::http::status status, std::string body,
                            std::string content_type = "application/json");
-    /// Writes bytes as they are.
+    /// Writes bytes to the connection unchanged; false if that failed.
     awaitable<bool> write_raw(std::string bytes);
-    /// Starts an answer in chunks; each of these returns false once the client is gone.
+    /// Starts a chunked response. This and the two functions below return false if writing failed.
     awaitable<bool> begin_chunks(boost::beast::http::status status, std::string content_type);
     awaitable<bool> write_chunk(std::string bytes);
     awaitable<bool> finish_chunks();
-    /// Closes the connection without ending the answer.
+    /// Closes the connection without completing the response.
     void cut();
-    /// Whether the client has closed its side.
+    /// Whether the client has closed the connection.
     bool client_disconnected();
     [[nodiscard]] bool is_cut() const { return m_cut; }
 
@@ -69,7 +70,7 @@
 
 using standin_handler = std::function<awaitable<void>(standin_exchange&)>;
 
-/// A handler that hands requests to a member function while the stand-in lives.
+/// A handler that calls a member function for each request, as long as the stand-in exists.
 template <class Standin>
 standin_handler forward_to(const std::shared_ptr<Standin>& standin,
                            awaitable<void> (Standin::*handle)(standin_exchange&))
@@ -82,17 +83,17 @@
 
 class standin_server : public std::enable_shared_from_this<standin_server> {
 public:
-    /// Port 0 takes any free port.
+    /// Listens on "IP:port"; port 0 chooses a free port.
     static result<std::shared_ptr<standin_server>>
     listen(const boost::asio::any_io_executor& executor, const std::string& address,
            standin_handler handler);
 
     [[nodiscard]] const std::string& address() const { return m_address; }
-    /// Refuses connections and cuts all that are open, as the death of its process would.
+    /// Resets all connections and refuses new ones, like a killed process.
     void stop();
-    /// Listens again, on the same port.
+    /// Listens again on the same port.
     result<void> restart();
-    /// stop() or restart(), whichever leads there; throws if the port can't be had again.
+    /// Calls restart() or stop(); throws if the port is no longer available.
     void set_running(bool should_run);
     [[nodiscard]] bool running() const { return m_acceptor.is_open(); }
 
--- a/standins/standin_testing.h
+++ b/standins/standin_testing.h
@@ -1,4 +1,4 @@
-// For tests: runs coroutines on an io_context until they are done.
+// Runs coroutines to completion in tests.
 //
 //   test_runtime runtime;
 //   result<kv_read> read = runtime.run(kv.get("a"));
@@ -20,7 +20,7 @@
 public:
     boost::asio::any_io_executor executor() { return m_io.get_executor(); }
 
-    /// Runs until `work` is done and returns its result.
+    /// Runs the io_context until `work` is done and returns its result.
     template <class T>
     T run(awaitable<T> work)
     {
@@ -35,7 +35,7 @@
         return std::move(*answer);
     }
 
-    /// Runs until `holds` does; false if it has not after `longest`.
+    /// Runs the io_context until `condition` holds; false if it doesn't within `timeout`.
     bool run_until(const std::function<bool()>& condition,
                    std::chrono::milliseconds timeout = std::chrono::seconds{10})
     {
--- a/standins/standins.h
+++ b/standins/standins.h
@@ -1,13 +1,12 @@
-// Public header of the stand-ins: small servers on loopback that take the place of the platform,
-// of model engines and of plain services in tests, demos and benchmarks, and that can be made to
-// fail in every way the real ones do.
+// Public header of the stand-ins: small servers on loopback that replace the platform, model
+// engines and plain services in tests, demos and benchmarks, and that can simulate their faults.
 //
 //   boost::asio::io_context io;
 //   auto fleet = standin_fleet::start(io.get_executor(), {.engines = 8, .fabric_domains = 2});
 //   fleet.value()->engine(3).apply({.pause = true});
 //
-// Each also answers POST /fault with the same switches as JSON (faults.h), and the program
-// jaynotch-standin runs any of them alone or a whole fleet in one process.
+// Each stand-in also accepts faults as JSON in POST /fault (faults.h). The program jaynotch-standin
+// runs a single stand-in or a complete fleet.
 #pragma once
 
 #include "standins/engine_standin.h"
--- a/standins/store_standin.cc
+++ b/standins/store_standin.cc
@@ -4,6 +4,10 @@
 #include <boost/asio/detached.hpp>
 #include <boost/json.hpp>
 
+// A watch is a request that stays open until something under its prefix changes or its waiting time
+// ends. It polls the store every `poll_step` instead of being woken by changes, because tests also
+// change `store` directly.
+
 namespace jaynotch {
 
 namespace http = boost::beast::http;
--- a/standins/store_standin.h
+++ b/standins/store_standin.h
@@ -1,12 +1,12 @@
-// Stand-in of the users' platform: its store with the operators' configuration and the registry,
-// over HTTP, and runners that register there, form groups and answer requests.
+// Stand-ins for the users' platform: its store over HTTP, which holds the operators' configuration
+// and the registry of servers, and runners that register there, form groups and answer requests.
 //
 //   auto store = store_standin::start(executor).value();
 //   store->put("op/config", document);
 //   auto runner = runner_standin::start(executor, store, {.id = "i-1", .domain = "d0"}).value();
 //   runner->faults.mute = true;
 //
-// It speaks the platform's published forms. Runners' times are short: a load takes 40 ms.
+// They use the platform's published wire formats. Loading a model takes a runner only 40 ms.
 #pragma once
 
 #include "outside/outside.h"
@@ -22,6 +22,7 @@
 
 namespace jaynotch {
 
+/// The platform's store.
 class store_standin : public std::enable_shared_from_this<store_standin> {
 public:
     static result<std::shared_ptr<store_standin>>
@@ -30,14 +31,16 @@
     [[nodiscard]] const std::string& address() const { return m_server->address(); }
     void put(const std::string& key, const std::string& value);
     void remove(const std::string& key);
-    /// Forgets all changes so far and cuts the watches that wait. As the platform's store does, it
-    /// tells a later watch from a forgotten revision so only when that call's waiting time is over.
+    /// Drops the history of changes and cuts the open watches. A later watch that starts at a
+    /// dropped revision gets 410 (Gone) only at the end of its waiting time, as from the platform's
+    /// store.
     void drop_history();
-    /// The watches that wait now are never answered, and their connections stay open.
+    /// Stops answering the watches that are open now, also when their waiting time ends; their
+    /// connections stay open. Later watches are answered.
     void stall_watches() { ++m_watch_stalls; }
-    bool is_unavailable = false;    ///< answers every call with 503 and does nothing
-    bool withholds_changes = false; ///< watches hear of no change
-    std::size_t calls = 0;
+    bool is_unavailable = false;    ///< answer each call with 503 without executing it
+    bool withholds_changes = false; ///< report no changes to watches
+    std::size_t calls = 0;          ///< calls received, of any kind
     kv_store store;
 
 private:
@@ -51,52 +54,55 @@
 
     boost::asio::any_io_executor m_executor;
     std::shared_ptr<standin_server> m_server;
-    std::int64_t m_dropped_revision = 0; ///< changes up to this revision are no longer told
-    std::size_t m_history_drops = 0;     ///< how often the history was dropped
-    std::size_t m_watch_stalls = 0;      ///< how often the waiting watches were silenced
+    std::int64_t m_dropped_revision = 0; ///< changes up to this revision are dropped
+    std::size_t m_history_drops = 0;     ///< number of drop_history() calls
+    std::size_t m_watch_stalls = 0;      ///< number of stall_watches() calls
 };
 
 class runner_standin;
 
-/// Runners that look at one another, as members of a group do, and check each order and request
-/// against what must never be: a runner in two groups, a group that serves though it isn't whole.
+/// The runners that can form groups with each other. Each runner checks the state of its group's
+/// other members here and, on each order and request, two invariants: a runner joins no second
+/// group while the first still serves, and only complete groups serve.
 struct runner_fabric {
     std::map<std::string, std::weak_ptr<runner_standin>> runners;
     std::size_t group_size = 2;
-    duration stall = std::chrono::seconds{1}; ///< a head that misses a member breaks after this
-    std::vector<std::string> broken;          ///< what must never be, as it happened
+    duration stall =
+        std::chrono::seconds{1};     ///< a head without one of its members breaks after this time
+    std::vector<std::string> broken; ///< descriptions of violated invariants, in order
 };
 
 struct runner_standin_settings {
     std::string id;
     std::string service = "llm";
     std::string zone = "zone-a";
-    std::string domain;     ///< empty for a plain server
-    std::size_t events = 6; ///< of a stream
-    std::chrono::milliseconds gap{10};
-    std::shared_ptr<runner_fabric> fabric; ///< null: it looks at nobody
+    std::string domain;                    ///< fabric domain; empty for a plain server
+    std::size_t events = 6;                ///< events in a stream
+    std::chrono::milliseconds gap{10};     ///< time between the events of a stream
+    std::shared_ptr<runner_fabric> fabric; ///< null: doesn't check other runners
 };
 
-/// What a runner is made to do wrong.
+/// Faults that a runner simulates.
 struct runner_faults {
-    bool mute = false;         ///< takes requests and orders and never answers
-    bool refuse = false;       ///< says that it did not run the request
-    bool fail = false;         ///< answers 500
-    bool cut = false;          ///< ends the connection after it ran the request
-    bool foreign = false;      ///< first sends the answer of another request
-    std::size_t cut_after = 0; ///< events of a stream; 0: none
-    std::string limit;         ///< that its answers name, requests a second of all nodes together
+    bool mute = false;         ///< accept requests and orders but never answer
+    bool refuse = false;       ///< answer that the request was not run
+    bool fail = false;         ///< answer 500 after running the request
+    bool cut = false;          ///< close the connection after running the request
+    bool foreign = false;      ///< send the response to another request first
+    std::size_t cut_after = 0; ///< events after which a stream is cut; 0: off
+    std::string limit;         ///< header Server-Limit: requests per second from all nodes together
 };
 
-/// One request as a runner saw it.
+/// A request as received by a runner.
 struct received_request {
     std::string attempt;
     std::string target;
     std::string body;
     std::map<std::string, std::string> headers;
-    time_point at; ///< when it arrived
+    time_point at; ///< time of arrival
 };
 
+/// A server of the platform: a plain one, or a member of groups that serve a model.
 class runner_standin : public std::enable_shared_from_this<runner_standin> {
 public:
     static result<std::shared_ptr<runner_standin>>
@@ -104,18 +110,19 @@
           runner_standin_settings settings);
 
     runner_faults faults;
-    std::vector<received_request> ran;
-    std::vector<std::string> orders; ///< their bodies
+    std::vector<received_request> ran; ///< requests run, including those answered by a fault
+    std::vector<std::string> orders;   ///< bodies of the orders received
     [[nodiscard]] bool open() const { return m_phase == member_phase::open; }
     [[nodiscard]] const std::string& id() const { return m_settings.id; }
     [[nodiscard]] const runner_standin_settings& settings() const { return m_settings; }
     [[nodiscard]] const std::string& address() const { return m_server->address(); }
-    /// Registers another address, which leads here.
+    /// Changes the address in its registry entry, for example to that of a proxy in front of it.
     void advertise_address(std::string address);
+    /// Changes its state in the registry to draining.
     void drain();
-    /// Its process is gone: connections are cut and its entry goes.
+    /// Simulates the end of its process: cuts all connections and removes its registry entry.
     void stop();
-    /// The same, but its entry stays until somebody takes it away.
+    /// Like stop(), but its registry entry stays.
     void crash();
     [[nodiscard]] bool alive() const { return m_alive; }
 
@@ -128,32 +135,42 @@
 
     awaitable<void> handle(standin_exchange& exchange);
     awaitable<void> handle_order(standin_exchange& exchange);
+    /// Loads the model and becomes ready, unless a newer order arrives meanwhile.
     awaitable<void> join(std::string group, std::int64_t epoch, std::string model);
-    /// Sets the headers that every answer bears; gives the attempt that it names.
+    /// Sets the headers common to all responses; returns the attempt id.
     std::string set_answer_headers(standin_exchange& exchange) const;
     awaitable<void> fail(standin_exchange& exchange);
+    /// Answers as a plain server.
     awaitable<void> answer(standin_exchange& exchange);
+    /// Streams the events that follow Last-Event-Id.
     awaitable<void> stream(standin_exchange& exchange);
+    /// Waits until the group is complete; false if this runner left it or it broke.
     awaitable<bool> wait_for_members();
     boost::beast::http::status execute_order(const std::string& op,
                                              const boost::json::object& order);
     boost::beast::http::status execute_join(const boost::json::object& order);
+    /// Whether all members are alive and in this group.
     [[nodiscard]] bool group_complete() const;
+    /// Records a violation if the current group still serves.
     void check_join(const std::string& group) const;
+    /// Records a violation if the group has the wrong size or a member was never ready in it.
     void check_serving() const;
+    /// Its registry entry.
     [[nodiscard]] boost::json::object description() const;
+    /// Writes its registry entry.
     void publish();
 
     boost::asio::any_io_executor m_executor;
     std::shared_ptr<store_standin> m_store;
     runner_standin_settings m_settings;
     std::shared_ptr<standin_server> m_server;
-    std::string m_advertised_address;
+    std::string m_advertised_address; ///< empty: that of m_server
     bool m_alive = true;
     std::int64_t m_highest_fence = 0;
     std::int64_t m_highest_epoch = 0;
-    std::int64_t m_accepted_orders = 0;
+    std::int64_t m_accepted_orders = 0; ///< reported as "seq"
     std::vector<std::string> m_members;
+    /// Groups and epochs in which this runner became ready.
     std::set<std::pair<std::string, std::int64_t>> m_ready_groups;
     std::string m_state = "ready";
     std::string m_group;
--- a/standins/weight_standin.cc
+++ b/standins/weight_standin.cc
@@ -2,8 +2,9 @@
 
 #include <charconv>
 
-// All readers book their next piece on one line of time, so the sum of their rates is the store's
-// rate however many they are, and each gets its turn.
+// Each reader reserves the send time of its next piece on one timeline shared by all readers. The
+// sum of their rates therefore equals the store's rate for any number of readers, and readers
+// alternate.
 
 namespace jaynotch {
 
--- a/standins/weight_standin.h
+++ b/standins/weight_standin.h
@@ -1,10 +1,10 @@
-// Stand-in of the weight store: answers bytes of a model's version at a rate that all readers
-// share.
+// Stand-in for the weight store: serves the bytes of a model version at a rate shared by all
+// readers.
 //
 //   auto weights = weight_standin::start(executor, {.bytes_per_second = 50'000'000});
 //
-// GET /v1/weights/<model>/<version>?parts=N answers one of N equal parts, as each member of a
-// group of N reads.
+// GET /v1/weights/<model>/<version>?parts=N returns one of N equal parts, as read by each member of
+// a group of N.
 #pragma once
 
 #include "services/services.h"
@@ -18,8 +18,8 @@
 
 struct weight_standin_settings {
     std::string listen = "127.0.0.1:0";
-    std::uint64_t bytes_per_second = 50'000'000; ///< over all readers
-    std::uint64_t model_bytes = 4'000'000;       ///< of a whole model
+    std::uint64_t bytes_per_second = 50'000'000; ///< of all readers together
+    std::uint64_t model_bytes = 4'000'000;       ///< size of a complete model
 };
 
 class weight_standin : public std::enable_shared_from_this<weight_standin> {
@@ -36,7 +36,7 @@
                    const weight_standin_settings& settings);
     awaitable<void> handle(standin_exchange& exchange);
     awaitable<void> send(standin_exchange& exchange, std::uint64_t bytes);
-    /// Books bytes on the shared rate; returns when they may be sent.
+    /// Reserves bytes on the shared rate; returns the time at which they may be sent.
     time_point reserve_send_time(std::uint64_t bytes);
 
     boost::asio::any_io_executor m_executor;
