--- a/standins/kv_adapters_test.cc
+++ b/standins/kv_adapters_test.cc
@@ -227,10 +227,10 @@
     random_source random{11};
     for (int step = 0; step < 150; ++step) {
         const std::string key = "k" + std::to_string(random.index(5));
-        const auto there = served.runtime.run(served.kv.get(key));
+        const auto current = served.runtime.run(served.kv.get(key));
         kv_transaction transaction;
         transaction.compares.push_back(
-            {key, random.chance(0.7) ? there.value().mod_revision() : random.between(0, 20)});
+            {key, random.chance(0.7) ? current.value().mod_revision() : random.between(0, 20)});
         if (random.chance(0.3))
             transaction.then.push_back(kv_delete{key});
         else
--- a/standins/kv_standin.cc
+++ b/standins/kv_standin.cc
@@ -147,9 +147,9 @@
         co_await watch(exchange);
         co_return;
     }
-    call_answer done = call(exchange);
+    call_answer response = call(exchange);
     wake_watches();
-    co_await answer_with_faults(m_faults, exchange, done.status, std::move(done.body));
+    co_await answer_with_faults(m_faults, exchange, response.status, std::move(response.body));
 }
 
 kv_standin::call_answer kv_standin::call(standin_exchange& exchange)
--- a/standins/load_test.cc
+++ b/standins/load_test.cc
@@ -11,11 +11,11 @@
 
 namespace {
 
-struct served {
+struct test_servers {
     test_runtime runtime;
     std::shared_ptr<standin_fleet> fleet;
 
-    served()
+    test_servers()
     {
         standin_fleet_settings settings;
         settings.engines = 1;
@@ -38,7 +38,7 @@
     engine_standin& engine() { return fleet->engine(0); }
     plain_standin& orders() { return fleet->plain(0); }
 
-    call_result ask(bool stream)
+    call_result call_model(bool stream)
     {
         http_client client{runtime.executor(), engine().address(), http_limits{}};
         return runtime.run(send_model_call(
@@ -46,7 +46,7 @@
             model_call{.model = "router", .prompt = "trench", .tokens = 12, .stream = stream},
             std::chrono::seconds{5}));
     }
-    call_result order(const std::string& key)
+    call_result call_plain(const std::string& key)
     {
         http_client client{runtime.executor(), orders().address(), http_limits{}};
         return runtime.run(send_plain_call(
@@ -59,46 +59,47 @@
 
 Test(load, complete_answers_are_recognised)
 {
-    served all;
-    cr_assert(all.ask(true).outcome == call_outcome::whole);
-    cr_assert(all.ask(false).outcome == call_outcome::whole);
-    cr_assert(all.order("k1").outcome == call_outcome::whole);
+    test_servers servers;
+    cr_assert(servers.call_model(true).outcome == call_outcome::whole);
+    cr_assert(servers.call_model(false).outcome == call_outcome::whole);
+    cr_assert(servers.call_plain("k1").outcome == call_outcome::whole);
 }
 
 Test(load, a_cut_stream_is_never_complete)
 {
-    served all;
+    test_servers servers;
     for (const std::uint32_t after : {1U, 5U, 11U, 12U}) {
-        all.engine().apply({.cut_after = after});
-        cr_assert(all.ask(true).outcome == call_outcome::cut);
+        servers.engine().apply({.cut_after = after});
+        cr_assert(servers.call_model(true).outcome == call_outcome::cut);
     }
-    all.engine().apply({.cut_after = 0, .wrong_length = true});
-    cr_assert(all.ask(false).outcome == call_outcome::cut);
+    servers.engine().apply({.cut_after = 0, .wrong_length = true});
+    cr_assert(servers.call_model(false).outcome == call_outcome::cut);
 }
 
 Test(load, each_failure_has_its_outcome)
 {
-    served all;
-    all.engine().apply({.outage = true});
-    cr_assert(all.ask(true).outcome == call_outcome::refused_not_run);
-    all.orders().apply({.lose_replies = 1});
-    cr_assert(all.order("k2").outcome == call_outcome::unanswered);
-    cr_assert_eq(all.orders().executions().size(), 1U);
-    all.orders().apply({.kill = true});
-    cr_assert(all.order("k3").outcome == call_outcome::unreachable);
+    test_servers servers;
+    servers.engine().apply({.outage = true});
+    cr_assert(servers.call_model(true).outcome == call_outcome::refused_not_run);
+    servers.orders().apply({.lose_replies = 1});
+    cr_assert(servers.call_plain("k2").outcome == call_outcome::unanswered);
+    cr_assert_eq(servers.orders().executions().size(), 1U);
+    servers.orders().apply({.kill = true});
+    cr_assert(servers.call_plain("k3").outcome == call_outcome::unreachable);
 }
 
 Test(load, a_load_run_counts_every_call)
 {
-    served all;
+    test_servers servers;
     load_settings run_settings;
-    run_settings.targets = {all.engine().address()};
+    run_settings.targets = {servers.engine().address()};
     run_settings.model = "router";
     run_settings.rate = 300.0;
     run_settings.length = std::chrono::milliseconds{700};
     run_settings.tokens = 5;
     run_settings.stream_share = 0.5;
-    const load_report report = all.runtime.run(run_load(all.runtime.executor(), run_settings));
+    const load_report report =
+        servers.runtime.run(run_load(servers.runtime.executor(), run_settings));
     std::uint64_t sum = 0;
     for (const std::uint64_t count : report.outcomes)
         sum += count;
--- a/standins/standin_main.cc
+++ b/standins/standin_main.cc
@@ -135,8 +135,8 @@
 result<running_standin> describe_single(result<std::shared_ptr<Standin>> start_result)
 {
     BOOST_OUTCOME_TRY(auto standin, std::move(start_result));
-    const boost::json::object where{{"address", standin->address()}};
-    return running_standin{standin, boost::json::serialize(where)};
+    const boost::json::object address{{"address", standin->address()}};
+    return running_standin{standin, boost::json::serialize(address)};
 }
 
 result<running_standin> start(const boost::asio::any_io_executor& executor, const std::string& what)
--- a/standins/standin_testing.h
+++ b/standins/standin_testing.h
@@ -26,9 +26,9 @@
     {
         std::optional<T> answer;
         boost::asio::co_spawn(m_io, store_result(std::move(work), answer),
-                              [](std::exception_ptr failed) {
-                                  if (failed)
-                                      std::rethrow_exception(failed);
+                              [](std::exception_ptr failure) {
+                                  if (failure)
+                                      std::rethrow_exception(failure);
                               });
         while (!answer)
             run_once();
