--- a/standins/engine_standin.cc
+++ b/standins/engine_standin.cc
@@ -354,6 +354,7 @@
     const auto keep = shared_from_this();
     const std::string_view path = exchange.path();
     if (path == "/fault") {
+        // The response is sent first because `kill` resets this connection.
         const result<fault_change> change = parse_fault(exchange.body());
         co_await exchange.answer(change ? http::status::ok : http::status::bad_request, "{}");
         if (change)
--- a/standins/engine_standin.h
+++ b/standins/engine_standin.h
@@ -67,8 +67,8 @@
 /// State of a group as seen by its member of rank 0; larger values are worse.
 enum class group_health {
     complete, ///< every member is ready in this group with the same member list
-    stalled,  ///< a member does not answer
-    broken,   ///< a member is dead or in another group
+    stalled,  ///< a member is paused or does not answer
+    broken,   ///< a member is dead, not ready or in another group
 };
 
 class engine_standin : public std::enable_shared_from_this<engine_standin> {
@@ -99,16 +99,20 @@
     awaitable<bool> handle_control(standin_exchange& exchange);
     awaitable<void> handle_assign(standin_exchange& exchange);
     awaitable<void> handle_release(standin_exchange& exchange);
+    /// Copies a block of the prefix cache from another engine.
     awaitable<void> import_kv(standin_exchange& exchange);
     /// Applies an assignment; starts loading unless this engine already serves the same one.
     void join(const engine_order_assign& order);
     /// Aborts all responses and returns to idle.
     void leave();
+    /// Reads this member's part of the weights, with retries, and becomes ready.
     static awaitable<void> load(std::shared_ptr<engine_standin> self, std::uint64_t epoch);
     /// Waits until the batch is empty, then leaves the group.
     static awaitable<void> drain(std::shared_ptr<engine_standin> self, std::uint64_t epoch);
+    /// Whether a newer fencing number than the order's is known.
     [[nodiscard]] bool stale(fencing_number order) const;
     [[nodiscard]] std::string render_executions() const;
+    /// Load in Prometheus text format.
     [[nodiscard]] std::string render_metrics();
     /// Ends like a killed process: connections are reset, the batch is lost.
     void die();
@@ -121,6 +125,7 @@
     static result<completion_call> read_call(standin_exchange& exchange, bool chat);
     /// Adds the request to the batch and to the list of executions.
     result<void> begin(standin_exchange& exchange, completion_call& call);
+    /// Whether it serves this model or adapter.
     [[nodiscard]] bool has_model(const std::string& name) const;
     /// Answers an error with the header that states that the request did not run.
     awaitable<void> refuse(standin_exchange& exchange, boost::beast::http::status status,
@@ -135,8 +140,10 @@
                                     std::uint32_t above);
     /// Runs steps until the batch is empty or the group is broken.
     static awaitable<void> run_steps(std::shared_ptr<engine_standin> self);
-    /// The worst health of all members.
+    /// The worst health of all members. That of members in other processes is queried over the
+    /// network and reused for members_health_ttl.
     awaitable<group_health> check_members();
+    /// Whether a member's report matches this engine's group.
     [[nodiscard]] group_health check_report(const engine_report& member) const;
     [[nodiscard]] group_health check_local_member(const engine_standin& member) const;
     /// The largest `straggle` factor of the members in this process.
@@ -151,7 +158,7 @@
     prefix_cache m_cache;
     std::vector<engine_execution> m_executions;
 
-    std::string m_boot_id;
+    std::string m_boot_id; ///< differs after each simulated restart
     std::uint64_t m_boot_count = 0;
     std::uint64_t m_epoch = 0; ///< incremented on each change of assignment; older coroutines stop
     group_id m_group;
@@ -163,13 +170,13 @@
     std::vector<std::string> m_adapters;
     engine_state m_state = engine_state::idle;
     double m_progress = 0.0;
-    double m_step_ms = 0.0;
-    bool m_stepping = false;
+    double m_step_ms = 0.0;  ///< moving average of the duration of a step; 0: no step yet
+    bool m_stepping = false; ///< run_steps() is running
     std::uint64_t m_stale_orders_taken = 0;
-    engine_load m_sampled_load;
+    engine_load m_sampled_load; ///< values of /metrics; refreshed after load_lag
     time_point m_load_sampled_at;
     time_point m_members_checked_at;
-    group_health m_members_health = group_health::complete;
+    group_health m_members_health = group_health::complete; ///< of members in other processes
 };
 
 } // namespace jaynotch
--- a/standins/faults.h
+++ b/standins/faults.h
@@ -65,7 +65,8 @@
 result<fault_change> parse_fault(std::string_view body);
 
 /// Handles a request for /fault. The response is sent after `apply` has made the change, so the
-/// fault is active when the client gets it. Returns true if the request was for /fault.
+/// fault is active when the client gets it; after `kill` the client gets a reset instead. Returns
+/// true if the request was for /fault.
 awaitable<bool> handle_fault_request(standin_exchange& exchange,
                                      std::function<void(const fault_change&)> apply);
 /// Simulates the faults common to all stand-ins before a request is executed: pause, kill, delay,
--- a/standins/fleet.h
+++ b/standins/fleet.h
@@ -9,7 +9,7 @@
 // fabric domain "fabric-<k>"; fabric domains are assigned to failure domains round-robin. The
 // control address accepts POST /fault/<name>, where the name is kv, vms, weights, an engine's VM or
 // a plain service; this works also while the target is killed. GET /fleet returns the addresses,
-// GET /account the counts of requests that the stand-ins ran.
+// GET /account the counts of executed requests and of outdated orders that engines executed.
 #pragma once
 
 #include "services/services.h"
--- a/standins/kv_standin.h
+++ b/standins/kv_standin.h
@@ -46,6 +46,7 @@
     [[nodiscard]] const std::string& address() const { return m_server->address(); }
     void apply(const fault_change& change);
     [[nodiscard]] const kv_call_counts& counts() const { return m_counts; }
+    /// Number of open watches.
     [[nodiscard]] std::size_t waiting_watches() const { return m_open_watches; }
     [[nodiscard]] kv_store& store() { return m_store; }
     /// Expires a lease now and wakes the watches.
@@ -73,6 +74,7 @@
     [[nodiscard]] std::string changes_line(const std::string& prefix,
                                            std::int64_t start_revision) const;
     [[nodiscard]] call_answer stats() const;
+    /// The `header` member of each response, with the current revision.
     [[nodiscard]] boost::json::object header() const;
     void wake_watches();
 
@@ -85,7 +87,7 @@
     call_rate_limiter m_writes;
     std::set<timer*> m_watch_timers; ///< one per open watch; cancelled on each change to wake it
     std::size_t m_open_watches = 0;
-    std::uint64_t m_refused = 0;
+    std::uint64_t m_refused = 0; ///< calls rejected by the rate limits
 };
 
 } // namespace jaynotch
--- a/standins/plain_standin.h
+++ b/standins/plain_standin.h
@@ -25,12 +25,13 @@
     duration work{0}; ///< time taken by each request
 };
 
+/// A request that a plain service executed.
 struct plain_execution {
     std::string method;
     std::string target;
     std::string attempt;
-    std::string key; ///< idempotency key
-    std::string digest;
+    std::string key;       ///< idempotency key
+    std::string digest;    ///< of the request body
     bool answered = false; ///< the response was sent completely
     time_point start_time;
 };
@@ -44,6 +45,7 @@
     [[nodiscard]] const std::string& name() const { return m_settings.name; }
     void apply(const fault_change& change);
     [[nodiscard]] const std::vector<plain_execution>& executions() const { return m_executions; }
+    /// Number of requests in progress.
     [[nodiscard]] std::size_t running() const { return m_running; }
 
 private:
--- a/standins/platform_forms.h
+++ b/standins/platform_forms.h
@@ -40,12 +40,13 @@
 /// Contents of a daemon's settings file.
 std::string render_settings(const daemon_site& site);
 
+/// A caller's request.
 struct caller_parameters {
     std::string id; ///< attempt id; returned with the response
     std::string path;
-    std::string key;  ///< API key
-    std::string body; ///< empty: a GET request
-    bool streams = false;
+    std::string key;      ///< API key
+    std::string body;     ///< empty: a GET request
+    bool streams = false; ///< for the model service
 };
 http_request caller_request(const caller_parameters& form);
 /// The attempt id that the response names.
--- a/standins/prefix_cache.h
+++ b/standins/prefix_cache.h
@@ -1,6 +1,6 @@
 // Model of an engine's prefix cache with LRU eviction. It caches blocks of 256 bytes of prompt
 // text, identified by chained XXH3 hashes. Events for stored and evicted blocks become visible
-// after a delay, and some are lost, as with real engines.
+// after a delay, and some are lost.
 //
 //   prefix_cache cache{{.blocks = 512}, seed};
 //   std::size_t hits = cache.use(prompt_blocks(prompt), now);
--- a/standins/store_standin.cc
+++ b/standins/store_standin.cc
@@ -5,8 +5,8 @@
 #include <boost/json.hpp>
 
 // A watch is a request that stays open until something under its prefix changes or its waiting time
-// ends. It polls the store every `poll_step` instead of being woken by changes, because tests also
-// change `store` directly.
+// ends. It polls the store and the fault flags every `poll_step`, because tests set the flags
+// without a notification.
 
 namespace jaynotch {
 
--- a/standins/store_standin.h
+++ b/standins/store_standin.h
@@ -67,15 +67,14 @@
 struct runner_fabric {
     std::map<std::string, std::weak_ptr<runner_standin>> runners;
     std::size_t group_size = 2;
-    duration stall =
-        std::chrono::seconds{1};     ///< a head without one of its members breaks after this time
-    std::vector<std::string> broken; ///< descriptions of violated invariants, in order
+    duration stall = std::chrono::seconds{1}; ///< time after which an incomplete group breaks
+    std::vector<std::string> broken;          ///< descriptions of violated invariants, in order
 };
 
 struct runner_standin_settings {
     std::string id;
     std::string service = "llm";
-    std::string zone = "zone-a";
+    std::string zone = "zone-a";           ///< failure domain
     std::string domain;                    ///< fabric domain; empty for a plain server
     std::size_t events = 6;                ///< events in a stream
     std::chrono::milliseconds gap{10};     ///< time between the events of a stream
@@ -110,7 +109,7 @@
           runner_standin_settings settings);
 
     runner_faults faults;
-    std::vector<received_request> ran; ///< requests run, including those answered by a fault
+    std::vector<received_request> ran; ///< requests run, whatever response was sent
     std::vector<std::string> orders;   ///< bodies of the orders received
     [[nodiscard]] bool open() const { return m_phase == member_phase::open; }
     [[nodiscard]] const std::string& id() const { return m_settings.id; }
@@ -151,9 +150,9 @@
     boost::beast::http::status execute_join(const boost::json::object& order);
     /// Whether all members are alive and in this group.
     [[nodiscard]] bool group_complete() const;
-    /// Records a violation if the current group still serves.
+    /// Records a violation if the group that this runner leaves still serves.
     void check_join(const std::string& group) const;
-    /// Records a violation if the group has the wrong size or a member was never ready in it.
+    /// Records a violation if the group has the wrong size or a live member was never ready in it.
     void check_serving() const;
     /// Its registry entry.
     [[nodiscard]] boost::json::object description() const;
@@ -177,7 +176,7 @@
     std::int64_t m_epoch = 0;
     std::int64_t m_rank = 0;
     std::string m_model;
-    std::string m_staged;
+    std::string m_staged; ///< model whose weights are staged
     member_phase m_phase = member_phase::joining;
 };
 
