--- a/standins/engine_serving.cc
+++ b/standins/engine_serving.cc
@@ -247,14 +247,14 @@
     return call;
 }
 
-result<void> engine_standin::begin(standin_exchange& exchange, completion_call& call)
+result<void> engine_standin::add_to_batch(standin_exchange& exchange, completion_call& call)
 {
     call.text.emplace(call.model, m_version, call.prompt);
-    const std::optional<std::size_t> resumed = call.text->tokens_in(call.resume_text);
-    if (!resumed)
+    const std::optional<std::size_t> resume_count = call.text->tokens_in(call.resume_text);
+    if (!resume_count)
         return error{error_kind::invalid_argument, "the text to resume is not this model's answer",
                      ""};
-    call.resumed_tokens = static_cast<std::uint32_t>(*resumed);
+    call.resumed_tokens = static_cast<std::uint32_t>(*resume_count);
     call.sequence = std::make_shared<batch_sequence>(m_executor, call.attempt);
     batch_sequence& sequence = *call.sequence;
     const std::size_t hits = m_cache.use(prompt_blocks(call.prompt), runtime_clock::now());
@@ -313,9 +313,9 @@
         co_await refuse(exchange, http::status::not_found, "the model is not here");
         co_return;
     }
-    const result<void> begun = begin(exchange, call.value());
-    if (!begun) {
-        co_await refuse(exchange, http::status::unprocessable_entity, begun.error().message);
+    const result<void> added = add_to_batch(exchange, call.value());
+    if (!added) {
+        co_await refuse(exchange, http::status::unprocessable_entity, added.error().message);
         co_return;
     }
     exchange.set("jaynotch-group", m_group.value());
--- a/standins/engine_standin.cc
+++ b/standins/engine_standin.cc
@@ -150,7 +150,7 @@
     return current;
 }
 
-bool engine_standin::stale(fencing_number order) const
+bool engine_standin::is_stale(fencing_number order) const
 {
     return order < m_fencing;
 }
@@ -248,12 +248,12 @@
         co_await exchange.answer(http::status::bad_request, error_body(order.error().message, 3));
         co_return;
     }
-    if (stale(order.value().fencing) && m_settings.check_fencing) {
+    if (is_stale(order.value().fencing) && m_settings.check_fencing) {
         co_await exchange.answer(http::status::conflict,
                                  error_body("a newer fencing number is known", 9));
         co_return;
     }
-    if (stale(order.value().fencing))
+    if (is_stale(order.value().fencing))
         ++m_stale_orders_taken;
     join(order.value());
     co_await answer_with_faults(m_faults, exchange, http::status::accepted, "{}");
@@ -266,12 +266,12 @@
         co_await exchange.answer(http::status::bad_request, error_body(order.error().message, 3));
         co_return;
     }
-    if (stale(order.value().fencing) && m_settings.check_fencing) {
+    if (is_stale(order.value().fencing) && m_settings.check_fencing) {
         co_await exchange.answer(http::status::conflict,
                                  error_body("a newer fencing number is known", 9));
         co_return;
     }
-    if (stale(order.value().fencing))
+    if (is_stale(order.value().fencing))
         ++m_stale_orders_taken;
     m_fencing = std::max(m_fencing, order.value().fencing);
     if (m_group == order.value().group && m_state != engine_state::idle &&
--- a/standins/engine_standin.h
+++ b/standins/engine_standin.h
@@ -110,7 +110,7 @@
     /// Waits until the batch is empty, then leaves the group.
     static awaitable<void> drain(std::shared_ptr<engine_standin> self, std::uint64_t epoch);
     /// Whether a newer fencing number than the order's is known.
-    [[nodiscard]] bool stale(fencing_number order) const;
+    [[nodiscard]] bool is_stale(fencing_number order) const;
     [[nodiscard]] std::string render_executions() const;
     /// Load in Prometheus text format.
     [[nodiscard]] std::string render_metrics();
@@ -124,7 +124,7 @@
     /// Parses the request body; fails on malformed input.
     static result<completion_call> read_call(standin_exchange& exchange, bool chat);
     /// Adds the request to the batch and to the list of executions.
-    result<void> begin(standin_exchange& exchange, completion_call& call);
+    result<void> add_to_batch(standin_exchange& exchange, completion_call& call);
     /// Whether it serves this model or adapter.
     [[nodiscard]] bool has_model(const std::string& name) const;
     /// Answers an error with the header that states that the request did not run.
