--- a/daemon/registry_daemon_test.cc
+++ b/daemon/registry_daemon_test.cc
@@ -218,7 +218,7 @@
     cr_assert_eq(answer.status, 200);
     cr_assert_eq(total_executions(fleet.apps), 1U);
     const auto& server = fleet.apps[0]->ran.empty() ? fleet.apps[1] : fleet.apps[0];
-    const seen_request& seen = server->ran.front();
+    const received_request& seen = server->ran.front();
     cr_assert_eq(seen.target, "/order/1?x=y");
     cr_assert_eq(seen.body, "body");
     cr_assert_eq(seen.attempt, fleet.last_id());
@@ -373,10 +373,10 @@
     cr_assert(fleet.run_until([&] { return fleet.ask("/order/1").status == 200; }));
     const duration start = 7s; // changes are batched differently while a fleet starts
     fleet.time_until([] { return false; }, start);
-    fleet.store().withholds_news = true;
+    fleet.store().withholds_changes = true;
     fleet.store().put("op/config", document(2, R"(["key-2"])"));
     inject_fault(fleet.store());
-    fleet.store().withholds_news = false;
+    fleet.store().withholds_changes = false;
     const auto in_force = [&] { return fleet.daemons[0]->tables_revision().value() == 2; };
     return fleet.time_until(in_force, 2 * site_bounds{}.config_apply);
 }
@@ -393,7 +393,7 @@
 // Guards against a node that waits too long on a watch connection that stopped responding.
 Test(registry_daemon, a_change_is_in_force_in_time_after_the_watch_stopped_responding)
 {
-    const duration took = time_to_revoke([](store_standin& store) { store.silence_watches(); });
+    const duration took = time_to_revoke([](store_standin& store) { store.stall_watches(); });
     cr_assert_lt(took, site_bounds{}.config_apply);
 }
 
@@ -438,11 +438,11 @@
 {
     registry_fleet fleet;
     fleet.settle();
-    fleet.store().refuses = true;
+    fleet.store().is_unavailable = true;
     fleet.run(1500ms);
     cr_assert_eq(fleet.ask("/chat/1").body, complete_stream);
     cr_assert_eq(fleet.ask("/order/1").status, 200);
-    fleet.store().refuses = false;
+    fleet.store().is_unavailable = false;
     fleet.store().put("op/config", document(5, R"(["key-5"])"));
     fleet.run(2500ms);
     cr_assert_eq(fleet.ask("/order/1").status, 401, "the watch must continue after the outage");
--- a/standins/fleet.cc
+++ b/standins/fleet.cc
@@ -15,8 +15,9 @@
                      const standin_fleet_settings& settings)
 {
     if (settings.fabric_domains == 0 || settings.failure_domains.empty())
-        return error{error_kind::invalid_argument, "a fleet needs domains",
-                     "give at least one fabric domain and one failure domain"};
+        return error{error_kind::invalid_argument,
+                     "the fleet has no fabric domains or no failure domains",
+                     "give at least one of each"};
     std::shared_ptr<standin_fleet> fleet{new standin_fleet{executor, settings}};
     BOOST_OUTCOME_TRYV(fleet->start_platform());
     BOOST_OUTCOME_TRYV(fleet->start_backends());
@@ -41,29 +42,29 @@
 {
     std::vector<vm_entry> rows;
     for (std::size_t index = 0; index < m_settings.engines; ++index) {
-        engine_standin_settings one = m_settings.engine;
-        one.vm = vm_id{"vm-" + std::to_string(index)};
-        one.weight_store = m_weights->address();
-        BOOST_OUTCOME_TRY(auto engine, engine_standin::start(m_executor, one, m_directory));
-        rows.push_back({.vm = one.vm,
+        engine_standin_settings settings = m_settings.engine;
+        settings.vm = vm_id{"vm-" + std::to_string(index)};
+        settings.weight_store = m_weights->address();
+        BOOST_OUTCOME_TRY(auto engine, engine_standin::start(m_executor, settings, m_directory));
+        rows.push_back({.vm = settings.vm,
                         .address = engine->address(),
-                        .fabric_domain = fabric_of(index),
+                        .fabric_domain = fabric_domain_of(index),
                         .failure_domain = failure_domain_of(index),
                         .accelerators = m_settings.accelerators});
         m_engines.push_back(std::move(engine));
     }
     m_vms->put_all(std::move(rows));
     for (const auto& name : m_settings.plain) {
-        plain_standin_settings one;
-        one.name = name;
-        one.work = m_settings.plain_work;
-        BOOST_OUTCOME_TRY(auto plain, plain_standin::start(m_executor, one));
+        plain_standin_settings settings;
+        settings.name = name;
+        settings.work = m_settings.plain_work;
+        BOOST_OUTCOME_TRY(auto plain, plain_standin::start(m_executor, settings));
         m_plain.push_back(std::move(plain));
     }
     return success();
 }
 
-void standin_fleet::show_engine_at(std::size_t index, const std::string& address)
+void standin_fleet::advertise_engine_address(std::size_t index, const std::string& address)
 {
     m_directory->add_alias(address, m_engines.at(index));
     vm_entry row = m_vms->vms().at(index);
@@ -73,7 +74,7 @@
     m_vms->put_all(std::move(rows));
 }
 
-fabric_domain_id standin_fleet::fabric_of(std::size_t index) const
+fabric_domain_id standin_fleet::fabric_domain_of(std::size_t index) const
 {
     const std::size_t domain = index * m_settings.fabric_domains / m_settings.engines;
     return fabric_domain_id{"fabric-" + std::to_string(domain)};
@@ -119,7 +120,7 @@
 void standin_fleet::apply_to_fabric(const fabric_domain_id& domain, const fault_change& change)
 {
     for (std::size_t index = 0; index < m_engines.size(); ++index) {
-        if (fabric_of(index) == domain)
+        if (fabric_domain_of(index) == domain)
             m_engines[index]->apply(change);
     }
 }
@@ -130,11 +131,11 @@
     for (std::size_t index = 0; index < m_engines.size(); ++index)
         engines.push_back(json::object{{"vm", m_engines[index]->vm().value()},
                                        {"address", m_engines[index]->address()},
-                                       {"fabric_domain", fabric_of(index).value()},
+                                       {"fabric_domain", fabric_domain_of(index).value()},
                                        {"failure_domain", failure_domain_of(index).value()}});
     json::array plain;
-    for (const auto& one : m_plain)
-        plain.push_back(json::object{{"name", one->name()}, {"address", one->address()}});
+    for (const auto& service : m_plain)
+        plain.push_back(json::object{{"name", service->name()}, {"address", service->address()}});
     return json::serialize(json::object{{"kv", m_kv->address()},
                                         {"vms", m_vms->address()},
                                         {"weights", m_weights->address()},
@@ -143,7 +144,7 @@
                                         {"plain", std::move(plain)}});
 }
 
-std::string standin_fleet::account() const
+std::string standin_fleet::render_totals() const
 {
     std::uint64_t finished = 0;
     std::uint64_t partial = 0;
@@ -156,8 +157,8 @@
         stale += engine->stale_orders_taken();
     }
     std::uint64_t plain = 0;
-    for (const auto& one : m_plain)
-        plain += one->executions().size();
+    for (const auto& service : m_plain)
+        plain += service->executions().size();
     return json::serialize(json::object{{"model_answers_finished", finished},
                                         {"model_answers_partial", partial},
                                         {"stale_orders_taken", stale},
@@ -173,7 +174,7 @@
         co_return;
     }
     if (exchange.path() == "/account") {
-        co_await exchange.answer(http::status::ok, account());
+        co_await exchange.answer(http::status::ok, render_totals());
         co_return;
     }
     if (!exchange.path().starts_with(fault_path)) {
@@ -183,8 +184,8 @@
     const std::string name{exchange.path().substr(fault_path.size())};
     const result<fault_change> change = parse_fault(exchange.body());
     const result<void> done = change ? apply(name, change.value()) : result<void>{change.error()};
-    const std::string said = done ? "{}" : error_body(to_string(done.error()), 3);
-    co_await exchange.answer(done ? http::status::ok : http::status::bad_request, said);
+    const std::string response_body = done ? "{}" : error_body(to_string(done.error()), 3);
+    co_await exchange.answer(done ? http::status::ok : http::status::bad_request, response_body);
 }
 
 } // namespace jaynotch
