--- a/scenarios/child_process.cc
+++ b/scenarios/child_process.cc
@@ -10,11 +10,11 @@
 
 namespace jaynotch {
 
-result<child_process> child_process::start(const std::vector<std::string>& words,
+result<child_process> child_process::start(const std::vector<std::string>& arguments,
                                            const std::string& log_file)
 {
     std::vector<char*> argv;
-    for (const auto& word : words)
+    for (const auto& word : arguments)
         argv.push_back(const_cast<char*>(word.c_str()));
     argv.push_back(nullptr);
     posix_spawn_file_actions_t actions;
@@ -31,7 +31,7 @@
     posix_spawn_file_actions_destroy(&actions);
     if (failed != 0)
         return error{error_kind::invalid_argument,
-                     "can't start " + words.front() + ": " + std::strerror(failed),
+                     "can't start " + arguments.front() + ": " + std::strerror(failed),
                      "build it first, and give its folder by --programs"};
     return child_process{pid};
 }
@@ -63,10 +63,10 @@
 
 std::optional<int> child_process::poll()
 {
-    constexpr int by_signal = 128;
+    constexpr int signal_code_base = 128;
     int status = 0;
     if (!m_code && waitpid(m_pid, &status, WNOHANG) == m_pid)
-        m_code = WIFEXITED(status) ? WEXITSTATUS(status) : by_signal + WTERMSIG(status);
+        m_code = WIFEXITED(status) ? WEXITSTATUS(status) : signal_code_base + WTERMSIG(status);
     return m_code;
 }
 
--- a/scenarios/child_process.h
+++ b/scenarios/child_process.h
@@ -17,7 +17,7 @@
 class child_process {
 public:
     /// Starts a program; its output goes to `log_file`.
-    static result<child_process> start(const std::vector<std::string>& words,
+    static result<child_process> start(const std::vector<std::string>& arguments,
                                        const std::string& log_file);
     child_process(child_process&& other) noexcept;
     child_process& operator=(child_process&& other) noexcept;
--- a/scenarios/forwarder.cc
+++ b/scenarios/forwarder.cc
@@ -24,7 +24,7 @@
 
 namespace {
 
-constexpr duration cut_poll = std::chrono::milliseconds{5};
+constexpr duration cut_poll_interval = std::chrono::milliseconds{5};
 constexpr std::size_t copy_bytes = 16 * 1024;
 
 /// A forwarder that failed would look like a partition, so its failure ends the scenario.
@@ -68,7 +68,7 @@
     return {};
 }
 
-bool holds_inode(int pid, const std::string& inode)
+bool owns_inode(int pid, const std::string& inode)
 {
     const std::string wanted = "socket:[" + inode + "]";
     std::error_code ec;
@@ -114,23 +114,23 @@
     }
 }
 
-bool loopback_network::is_cut(const tunnel& through) const
+bool loopback_network::is_cut(const tunnel& connection) const
 {
-    return m_cuts.contains({through.from, through.to});
+    return m_cuts.contains({connection.from, connection.to});
 }
 
-std::string loopback_network::source_of(const tcp::socket& client) const
+std::string loopback_network::find_source(const tcp::socket& client) const
 {
     error_code ec;
-    const auto far = client.remote_endpoint(ec);
-    const auto near = client.local_endpoint(ec);
+    const auto client_end = client.remote_endpoint(ec);
+    const auto server_end = client.local_endpoint(ec);
     if (ec)
         return {};
-    const std::string inode = inode_of(far.port(), near.port());
+    const std::string inode = inode_of(client_end.port(), server_end.port());
     if (inode.empty())
         return {};
     for (const auto& [name, pid] : m_processes) {
-        if (holds_inode(pid, inode))
+        if (owns_inode(pid, inode))
             return name;
     }
     return {};
@@ -147,48 +147,49 @@
             co_return;
         if (ec)
             continue;
-        std::string from = self->source_of(client);
-        auto through = std::make_shared<tunnel>(
+        std::string from = self->find_source(client);
+        auto connection = std::make_shared<tunnel>(
             tunnel{std::move(client), tcp::socket{self->m_executor}, std::move(from), at->name});
-        asio::co_spawn(self->m_executor, connect(self, through, at->target), asio::detached);
+        asio::co_spawn(self->m_executor, connect(self, connection, at->target), asio::detached);
     }
 }
 
 awaitable<void> loopback_network::connect(std::shared_ptr<loopback_network> self,
-                                          std::shared_ptr<tunnel> through, tcp::endpoint target)
+                                          std::shared_ptr<tunnel> connection, tcp::endpoint target)
 {
-    while (self->is_cut(*through))
-        co_await standin_sleep(self->m_executor, cut_poll);
+    while (self->is_cut(*connection))
+        co_await standin_sleep(self->m_executor, cut_poll_interval);
     error_code ec;
-    co_await through->server.async_connect(target, asio::redirect_error(asio::use_awaitable, ec));
+    co_await connection->server.async_connect(target,
+                                              asio::redirect_error(asio::use_awaitable, ec));
     if (ec) {
         error_code ignored;
-        through->client.close(ignored);
+        connection->client.close(ignored);
         co_return;
     }
     error_code ignored;
-    through->client.set_option(tcp::no_delay{true}, ignored);
-    through->server.set_option(tcp::no_delay{true}, ignored);
-    asio::co_spawn(self->m_executor, copy(self, through, through->client, through->server),
+    connection->client.set_option(tcp::no_delay{true}, ignored);
+    connection->server.set_option(tcp::no_delay{true}, ignored);
+    asio::co_spawn(self->m_executor, copy(self, connection, connection->client, connection->server),
                    asio::detached);
-    asio::co_spawn(self->m_executor, copy(self, through, through->server, through->client),
+    asio::co_spawn(self->m_executor, copy(self, connection, connection->server, connection->client),
                    asio::detached);
 }
 
 awaitable<void> loopback_network::copy(std::shared_ptr<loopback_network> self,
-                                       std::shared_ptr<tunnel> through, tcp::socket& from,
+                                       std::shared_ptr<tunnel> connection, tcp::socket& from,
                                        tcp::socket& to)
 {
     std::vector<char> bytes(copy_bytes);
     for (;;) {
         error_code ec;
-        const std::size_t got = co_await from.async_read_some(
+        const std::size_t bytes_read = co_await from.async_read_some(
             asio::buffer(bytes), asio::redirect_error(asio::use_awaitable, ec));
-        while (self->is_cut(*through))
-            co_await standin_sleep(self->m_executor, cut_poll);
+        while (self->is_cut(*connection))
+            co_await standin_sleep(self->m_executor, cut_poll_interval);
         if (ec)
             break;
-        co_await asio::async_write(to, asio::buffer(bytes.data(), got),
+        co_await asio::async_write(to, asio::buffer(bytes.data(), bytes_read),
                                    asio::redirect_error(asio::use_awaitable, ec));
         if (ec)
             break;
--- a/scenarios/forwarder.h
+++ b/scenarios/forwarder.h
@@ -55,14 +55,15 @@
     static awaitable<void> accept_loop(std::shared_ptr<loopback_network> self,
                                        std::shared_ptr<forwarder> at);
     static awaitable<void> connect(std::shared_ptr<loopback_network> self,
-                                   std::shared_ptr<tunnel> through,
+                                   std::shared_ptr<tunnel> connection,
                                    boost::asio::ip::tcp::endpoint target);
     static awaitable<void> copy(std::shared_ptr<loopback_network> self,
-                                std::shared_ptr<tunnel> through, boost::asio::ip::tcp::socket& from,
+                                std::shared_ptr<tunnel> connection,
+                                boost::asio::ip::tcp::socket& from,
                                 boost::asio::ip::tcp::socket& to);
-    [[nodiscard]] bool is_cut(const tunnel& through) const;
+    [[nodiscard]] bool is_cut(const tunnel& connection) const;
     /// Name of the process at the other end of an accepted connection; empty if it is not known.
-    [[nodiscard]] std::string source_of(const boost::asio::ip::tcp::socket& client) const;
+    [[nodiscard]] std::string find_source(const boost::asio::ip::tcp::socket& client) const;
 
     boost::asio::any_io_executor m_executor;
     std::vector<std::shared_ptr<forwarder>> m_forwarders;
--- a/scenarios/invariants.cc
+++ b/scenarios/invariants.cc
@@ -10,7 +10,7 @@
 
 namespace {
 
-struct call_row {
+struct call_counts {
     std::uint64_t calls = 0;
     std::uint64_t refused_not_run = 0;
     std::uint64_t whole = 0;
@@ -24,44 +24,44 @@
 
 } // namespace
 
-scenario_accounts accounts_of(standin_fleet& fleet, std::vector<plain_record> calls,
-                              std::uint64_t wrong_answers)
+scenario_records collect_records(standin_fleet& fleet, std::vector<plain_record> calls,
+                                 std::uint64_t wrong_answers)
 {
-    scenario_accounts accounts;
-    accounts.calls = std::move(calls);
-    accounts.wrong_answers = wrong_answers;
+    scenario_records records;
+    records.calls = std::move(calls);
+    records.wrong_answers = wrong_answers;
     for (std::size_t index = 0; index < fleet.engine_count(); ++index) {
         for (const auto& run : fleet.engine(index).executions())
-            accounts.partial_answers += run.partial ? 1 : 0;
+            records.partial_answers += run.partial ? 1 : 0;
     }
     for (std::size_t index = 0; index < fleet.plain_count(); ++index) {
         for (const auto& run : fleet.plain(index).executions()) {
             if (run.method != "GET" && run.method != "HEAD")
-                accounts.runs.push_back({run.key, run.digest});
+                records.runs.push_back({run.key, run.digest});
         }
     }
-    return accounts;
+    return records;
 }
 
-std::vector<std::string> violated(const scenario_accounts& accounts)
+std::vector<std::string> find_violations(const scenario_records& records)
 {
     std::vector<std::string> problems;
-    if (accounts.partial_answers > 0)
-        problems.push_back(std::to_string(accounts.partial_answers) +
+    if (records.partial_answers > 0)
+        problems.push_back(std::to_string(records.partial_answers) +
                            " answers came from a group that was not whole");
-    if (accounts.wrong_answers > 0)
-        problems.push_back(std::to_string(accounts.wrong_answers) +
+    if (records.wrong_answers > 0)
+        problems.push_back(std::to_string(records.wrong_answers) +
                            " answers looked whole and were not the caller's");
-    std::map<std::string, call_row> rows;
-    for (const auto& made : accounts.calls) {
-        if (made.call.method == "GET" || made.call.method == "HEAD")
+    std::map<std::string, call_counts> rows;
+    for (const auto& record : records.calls) {
+        if (record.call.method == "GET" || record.call.method == "HEAD")
             continue;
-        call_row& row = rows[identity(made.call.key, content_digest(made.call.body))];
+        call_counts& row = rows[identity(record.call.key, content_digest(record.call.body))];
         ++row.calls;
-        row.refused_not_run += made.result.outcome == call_outcome::refused_not_run ? 1 : 0;
-        row.whole += made.result.outcome == call_outcome::whole ? 1 : 0;
+        row.refused_not_run += record.result.outcome == call_outcome::refused_not_run ? 1 : 0;
+        row.whole += record.result.outcome == call_outcome::whole ? 1 : 0;
     }
-    for (const auto& run : accounts.runs)
+    for (const auto& run : records.runs)
         ++rows[identity(run.key, run.digest)].runs;
     for (const auto& [name, row] : rows) {
         if (row.runs > 1)
--- a/scenarios/invariants.h
+++ b/scenarios/invariants.h
@@ -17,15 +17,15 @@
 };
 
 /// The accounts of both sides.
-struct scenario_accounts {
+struct scenario_records {
     std::vector<plain_record> calls; ///< by callers
     std::vector<plain_run> runs;     ///< by plain services, of requests other than GET and HEAD
     std::uint64_t partial_answers = 0;
     std::uint64_t wrong_answers = 0;
 };
 
-scenario_accounts accounts_of(standin_fleet& fleet, std::vector<plain_record> calls,
-                              std::uint64_t wrong_answers);
+scenario_records collect_records(standin_fleet& fleet, std::vector<plain_record> calls,
+                                 std::uint64_t wrong_answers);
 
 /// What is violated, in words; empty if all holds:
 /// - no answer was finished by a group that was not whole;
@@ -33,6 +33,6 @@
 /// - no call that may not be repeated ran twice;
 /// - no call that was told "did not run" ran;
 /// - every call that got its answer ran.
-std::vector<std::string> violated(const scenario_accounts& accounts);
+std::vector<std::string> find_violations(const scenario_records& records);
 
 } // namespace jaynotch
--- a/scenarios/lua_host.cc
+++ b/scenarios/lua_host.cc
@@ -13,7 +13,7 @@
 
 namespace {
 
-constexpr int deepest_table = 16;
+constexpr int max_table_depth = 16;
 
 json::value to_json(lua_State* lua, int index, int depth);
 
@@ -43,7 +43,7 @@
 
 json::value to_json(lua_State* lua, int index, int depth)
 {
-    if (depth > deepest_table)
+    if (depth > max_table_depth)
         throw exception{{error_kind::invalid_argument, "a table is nested too deep", ""}};
     switch (lua_type(lua, index)) {
     case LUA_TBOOLEAN:
@@ -100,7 +100,7 @@
 }
 
 /// Pushes the result of a call or the message of its failure; whether it went well.
-bool carry_out(lua_State* lua, const lua_host::operation& call)
+bool call_and_push(lua_State* lua, const lua_host::operation& call)
 {
     try {
         const std::string name = luaL_optstring(lua, 1, "");
@@ -139,7 +139,7 @@
 int lua_host::call_operation(lua_State* lua)
 {
     const auto* self = static_cast<const lua_host*>(lua_touserdata(lua, lua_upvalueindex(1)));
-    if (!carry_out(lua, self->m_call))
+    if (!call_and_push(lua, self->m_call))
         return lua_error(lua);
     return 1;
 }
@@ -152,8 +152,8 @@
         failed = lua_pcall(m_lua, 0, 0, 0);
     if (failed == LUA_OK)
         return success();
-    const char* said = lua_tostring(m_lua, -1);
-    const std::string message = said == nullptr ? "unknown failure" : said;
+    const char* message_text = lua_tostring(m_lua, -1);
+    const std::string message = message_text == nullptr ? "unknown failure" : message_text;
     lua_pop(m_lua, 1);
     return error{error_kind::internal, message, ""};
 }
--- a/scenarios/scenario_main.cc
+++ b/scenarios/scenario_main.cc
@@ -18,32 +18,33 @@
 namespace jaynotch {
 namespace {
 
-bool play(const std::string& path, const scenario_options& options)
+bool run_file(const std::string& path, const scenario_options& options)
 {
-    const scenario_outcome seen = run_scenario(path, options);
-    std::printf("%s %-32s %5.1f s %3llu checks\n", seen.problems.empty() ? "ok  " : "FAIL",
-                seen.name.c_str(), seen.seconds, static_cast<unsigned long long>(seen.checks));
-    if (!seen.problems.empty())
-        std::printf("%s", seen.story.c_str());
-    for (const auto& problem : seen.problems)
+    const scenario_outcome outcome = run_scenario(path, options);
+    std::printf("%s %-32s %5.1f s %3llu checks\n", outcome.problems.empty() ? "ok  " : "FAIL",
+                outcome.name.c_str(), outcome.seconds,
+                static_cast<unsigned long long>(outcome.checks));
+    if (!outcome.problems.empty())
+        std::printf("%s", outcome.description.c_str());
+    for (const auto& problem : outcome.problems)
         std::printf("     %s\n", problem.c_str());
     std::fflush(stdout);
-    return seen.problems.empty();
+    return outcome.problems.empty();
 }
 
-int play_all(const std::vector<char*>& words)
+int run_files(const std::vector<char*>& arguments)
 {
-    if (words.size() < 2) {
+    if (arguments.size() < 2) {
         std::fprintf(stderr, "jaynotch-scenario: name the scenarios' files\n");
         return 2;
     }
     const scenario_options options{absl::GetFlag(FLAGS_programs), absl::GetFlag(FLAGS_logs),
                                    absl::GetFlag(FLAGS_notes)};
     std::size_t failed = 0;
-    for (std::size_t index = 1; index < words.size(); ++index)
-        failed += play(words[index], options) ? 0 : 1;
-    if (words.size() > 2)
-        std::printf("%zu scenarios, %zu failed\n", words.size() - 1, failed);
+    for (std::size_t index = 1; index < arguments.size(); ++index)
+        failed += run_file(arguments[index], options) ? 0 : 1;
+    if (arguments.size() > 2)
+        std::printf("%zu scenarios, %zu failed\n", arguments.size() - 1, failed);
     return failed == 0 ? 0 : 1;
 }
 
@@ -58,5 +59,5 @@
         std::fprintf(stderr, "jaynotch-scenario: %s\n", to_string(set.error()).c_str());
         return 2;
     }
-    return jaynotch::play_all(absl::ParseCommandLine(argc, argv));
+    return jaynotch::run_files(absl::ParseCommandLine(argc, argv));
 }
--- a/scenarios/scenarios.cc
+++ b/scenarios/scenarios.cc
@@ -24,25 +24,25 @@
 }
 
 /// The comment at the top of a scenario.
-std::string story_of(const std::string& script)
+std::string read_head_comment(const std::string& script)
 {
     std::istringstream lines{script};
-    std::string story;
+    std::string description;
     std::string line;
     while (std::getline(lines, line) && line.starts_with("--"))
-        story += line.substr(std::min<std::size_t>(line.size(), 3)) + "\n";
-    return story;
+        description += line.substr(std::min<std::size_t>(line.size(), 3)) + "\n";
+    return description;
 }
 
-void judge(scenario_world& world)
+void check_invariants(scenario_world& world)
 {
-    for (const auto& name : world.unexpected_ends())
+    for (const auto& name : world.unexpected_exits())
         world.add_problem(name + " ended by itself");
     auto* fleet = const_cast<standin_fleet*>(world.fleet());
     if (fleet == nullptr)
         return;
     for (const auto& problem :
-         violated(accounts_of(*fleet, world.plain_calls(), world.wrong_answers())))
+         find_violations(collect_records(*fleet, world.plain_calls(), world.wrong_answers())))
         world.add_problem(problem);
     if (world.wrong_answers() > 0) {
         for (const auto& detail : world.wrong_details())
@@ -57,11 +57,11 @@
     const std::filesystem::path file{path};
     scenario_outcome outcome;
     outcome.name = file.stem().string();
-    const auto began = std::chrono::steady_clock::now();
+    const auto start_time = std::chrono::steady_clock::now();
     try {
         std::filesystem::create_directories(options.logs);
         const std::string script = read_file(file);
-        outcome.story = story_of(script);
+        outcome.description = read_head_comment(script);
         scenario_world world{outcome.name, options};
         lua_host lua{[&](std::string_view name, const boost::json::object& arguments) {
             return world.call(name, arguments);
@@ -71,7 +71,7 @@
             ran = lua.run(script, file.filename().string());
         if (!ran)
             world.add_problem(ran.error().message);
-        judge(world);
+        check_invariants(world);
         outcome.checks = world.checks();
         outcome.problems = world.problems();
     }
@@ -79,7 +79,7 @@
         outcome.problems.emplace_back(failed.what());
     }
     outcome.seconds =
-        std::chrono::duration<double>{std::chrono::steady_clock::now() - began}.count();
+        std::chrono::duration<double>{std::chrono::steady_clock::now() - start_time}.count();
     return outcome;
 }
 
--- a/scenarios/scenarios.h
+++ b/scenarios/scenarios.h
@@ -25,7 +25,7 @@
 
 struct scenario_outcome {
     std::string name;
-    std::string story; ///< the comment at the top of the file
+    std::string description; ///< the comment at the top of the file
     double seconds = 0.0;
     std::uint64_t checks = 0;
     std::vector<std::string> problems; ///< empty if all went well
--- a/scenarios/scenarios_test.cc
+++ b/scenarios/scenarios_test.cc
@@ -12,7 +12,7 @@
 
 namespace {
 
-plain_record made(const std::string& key, call_outcome outcome)
+plain_record make_record(const std::string& key, call_outcome outcome)
 {
     plain_record record;
     record.call.key = key;
@@ -23,45 +23,47 @@
 
 } // namespace
 
-Test(invariants, a_clean_account_has_no_violation)
+Test(invariants, clean_records_have_no_violation)
 {
-    scenario_accounts accounts;
-    accounts.calls = {made("a", call_outcome::whole), made("b", call_outcome::refused_not_run),
-                      made("c", call_outcome::refused_unknown), made("d", call_outcome::cut)};
-    accounts.runs = {{"a", "x"}, {"c", "x"}};
-    cr_assert(violated(accounts).empty());
+    scenario_records records;
+    records.calls = {
+        make_record("a", call_outcome::whole), make_record("b", call_outcome::refused_not_run),
+        make_record("c", call_outcome::refused_unknown), make_record("d", call_outcome::cut)};
+    records.runs = {{"a", "x"}, {"c", "x"}};
+    cr_assert(find_violations(records).empty());
 }
 
-Test(invariants, each_violation_is_seen)
+Test(invariants, each_violation_is_reported)
 {
-    scenario_accounts twice;
-    twice.calls = {made("a", call_outcome::whole)};
+    scenario_records twice;
+    twice.calls = {make_record("a", call_outcome::whole)};
     twice.runs = {{"a", "x"}, {"a", "x"}};
-    cr_assert_eq(violated(twice).size(), 1U);
-    scenario_accounts lied;
-    lied.calls = {made("a", call_outcome::refused_not_run)};
+    cr_assert_eq(find_violations(twice).size(), 1U);
+    scenario_records lied;
+    lied.calls = {make_record("a", call_outcome::refused_not_run)};
     lied.runs = {{"a", "x"}};
-    cr_assert_eq(violated(lied).size(), 1U);
-    scenario_accounts invented;
-    invented.calls = {made("a", call_outcome::whole)};
-    cr_assert_eq(violated(invented).size(), 1U);
-    scenario_accounts partial;
+    cr_assert_eq(find_violations(lied).size(), 1U);
+    scenario_records invented;
+    invented.calls = {make_record("a", call_outcome::whole)};
+    cr_assert_eq(find_violations(invented).size(), 1U);
+    scenario_records partial;
     partial.partial_answers = 1;
-    cr_assert_eq(violated(partial).size(), 1U);
-    scenario_accounts wrong;
+    cr_assert_eq(find_violations(partial).size(), 1U);
+    scenario_records wrong;
     wrong.wrong_answers = 1;
-    cr_assert_eq(violated(wrong).size(), 1U);
+    cr_assert_eq(find_violations(wrong).size(), 1U);
 }
 
-Test(invariants, a_key_used_twice_is_judged_as_one)
+Test(invariants, calls_with_one_key_are_checked_together)
 {
-    scenario_accounts accounts;
-    accounts.calls = {made("a", call_outcome::whole), made("a", call_outcome::refused_not_run)};
-    accounts.runs = {{"a", "x"}};
-    cr_assert(violated(accounts).empty());
+    scenario_records records;
+    records.calls = {make_record("a", call_outcome::whole),
+                     make_record("a", call_outcome::refused_not_run)};
+    records.runs = {{"a", "x"}};
+    cr_assert(find_violations(records).empty());
 }
 
-Test(lua, values_go_both_ways_and_failures_name_their_line)
+Test(lua, values_convert_both_ways_and_errors_name_their_line)
 {
     json::value seen;
     lua_host host{[&](std::string_view name, const json::object& arguments) -> json::value {
@@ -88,7 +90,7 @@
 
 // A cut between two names must hold bytes back without closing anything, and let them through once
 // healed; others are not touched.
-Test(network, a_cut_holds_back_and_healing_lets_through)
+Test(network, a_cut_blocks_bytes_until_it_is_healed)
 {
     test_runtime runtime;
     auto plain = plain_standin::start(runtime.executor(), {}).value();
@@ -112,7 +114,7 @@
 
 // A service behind the network dies and comes back. Connections must fail at once meanwhile, as
 // they do without the network, and work again afterwards.
-Test(network, a_dead_service_is_refused_and_its_return_is_seen)
+Test(network, connections_to_a_stopped_service_fail_until_it_restarts)
 {
     test_runtime runtime;
     auto plain = plain_standin::start(runtime.executor(), {}).value();
--- a/scenarios/world.cc
+++ b/scenarios/world.cc
@@ -48,7 +48,7 @@
 {
     for (const auto& row : operations()) {
         if (row.name == name)
-            return (this->*row.carry_out)(arguments);
+            return (this->*row.handler)(arguments);
     }
     throw exception{{error_kind::invalid_argument, "no operation " + std::string{name},
                      "see scenarios/prelude.lua"}};
@@ -72,7 +72,8 @@
 {
     json_fields fields{arguments, "note"};
     if (m_options.show_notes) {
-        const double at = std::chrono::duration<double>{runtime_clock::now() - m_began}.count();
+        const double at =
+            std::chrono::duration<double>{runtime_clock::now() - m_start_time}.count();
         std::printf("    %6.2f s  %s\n", at, fields.text("text").c_str());
     }
     return nullptr;
@@ -88,7 +89,7 @@
 
 json::value scenario_world::now(const arguments_type& /*arguments*/)
 {
-    return std::chrono::duration<double>{runtime_clock::now() - m_began}.count();
+    return std::chrono::duration<double>{runtime_clock::now() - m_start_time}.count();
 }
 
 json::value scenario_world::account(const arguments_type& /*arguments*/)
@@ -133,7 +134,7 @@
     return rows;
 }
 
-std::vector<std::string> scenario_world::unexpected_ends()
+std::vector<std::string> scenario_world::unexpected_exits()
 {
     std::vector<std::string> names;
     for (auto& [name, daemon] : m_daemons) {
--- a/scenarios/world.h
+++ b/scenarios/world.h
@@ -27,7 +27,7 @@
     std::string peer_listen;
     std::string admin_listen;
     std::string peer_advertise; ///< its forwarder
-    std::vector<std::string> words;
+    std::vector<std::string> command_line;
     std::optional<child_process> process;
     bool end_expected = false; ///< the scenario stopped or killed it
 };
@@ -55,14 +55,14 @@
     [[nodiscard]] const std::vector<std::string>& wrong_details() const { return m_wrong_details; }
     [[nodiscard]] const standin_fleet* fleet() const { return m_fleet.get(); }
     /// Names of daemons that ended although the scenario did not end them.
-    std::vector<std::string> unexpected_ends();
+    std::vector<std::string> unexpected_exits();
 
 private:
     using arguments_type = boost::json::object;
     using operation = boost::json::value (scenario_world::*)(const arguments_type&);
     struct operation_row {
         std::string_view name;
-        operation carry_out;
+        operation handler;
     };
     static const std::vector<operation_row>& operations();
 
@@ -83,7 +83,7 @@
     boost::json::value await_exit(const arguments_type& arguments);
     boost::json::value http(const arguments_type& arguments);
     void launch(scenario_daemon& daemon);
-    scenario_daemon& daemon_called(const std::string& name);
+    scenario_daemon& find_daemon(const std::string& name);
 
     // Faults (world_faults.cc).
     boost::json::value fault(const arguments_type& arguments);
@@ -92,15 +92,15 @@
     boost::json::value cut(const arguments_type& arguments);
     boost::json::value heal(const arguments_type& arguments);
     boost::json::value lapse(const arguments_type& arguments);
-    std::vector<std::string> expand(const std::vector<std::string>& names) const;
+    std::vector<std::string> expand_names(const std::vector<std::string>& names) const;
 
     // Load (world_load.cc).
     boost::json::value ask(const arguments_type& arguments);
     boost::json::value order(const arguments_type& arguments);
     boost::json::value start_load(const arguments_type& arguments);
     boost::json::value finish_load(const arguments_type& arguments);
-    void keep(const call_result& result, std::string_view what);
-    std::string listen_of(const std::string& name);
+    void record_wrong_answer(const call_result& result, std::string_view what);
+    std::string listen_address_of(const std::string& name);
 
     std::string m_name;
     scenario_options m_options;
@@ -116,7 +116,7 @@
     std::vector<std::string> m_wrong_details;
     std::uint64_t m_checks = 0;
     std::vector<std::string> m_problems;
-    time_point m_began = runtime_clock::now();
+    time_point m_start_time = runtime_clock::now();
 };
 
 } // namespace jaynotch
--- a/scenarios/world_daemons.cc
+++ b/scenarios/world_daemons.cc
@@ -18,13 +18,14 @@
 
 constexpr const char* deployment = "test";
 constexpr duration http_timeout = std::chrono::seconds{5};
-constexpr std::chrono::seconds longest_start{15};
+constexpr std::chrono::seconds max_start_time{15};
 
 std::uint32_t count_or(json_fields& fields, const json::object& object, std::string_view name,
-                       std::uint32_t otherwise)
+                       std::uint32_t default_value)
 {
-    constexpr std::uint64_t most = 1'000'000'000;
-    return object.contains(name) ? static_cast<std::uint32_t>(fields.count(name, most)) : otherwise;
+    constexpr std::uint64_t max_count = 1'000'000'000;
+    return object.contains(name) ? static_cast<std::uint32_t>(fields.count(name, max_count))
+                                 : default_value;
 }
 
 standin_fleet_settings fleet_settings(const json::object& arguments)
@@ -95,7 +96,7 @@
     return json::object{{"plain", std::move(plain)}, {"kv", m_kv_address}};
 }
 
-scenario_daemon& scenario_world::daemon_called(const std::string& name)
+scenario_daemon& scenario_world::find_daemon(const std::string& name)
 {
     const auto found = m_daemons.find(name);
     if (found == m_daemons.end())
@@ -103,27 +104,27 @@
     return found->second;
 }
 
-std::string scenario_world::listen_of(const std::string& name)
+std::string scenario_world::listen_address_of(const std::string& name)
 {
-    return daemon_called(name).listen;
+    return find_daemon(name).listen;
 }
 
 void scenario_world::launch(scenario_daemon& daemon)
 {
     daemon.process.reset();
-    daemon.process.emplace(child_process::start(daemon.words, m_options.logs + "/" + m_name + "-" +
-                                                                  daemon.name + ".log")
+    daemon.process.emplace(child_process::start(daemon.command_line, m_options.logs + "/" + m_name +
+                                                                         "-" + daemon.name + ".log")
                                .value());
     daemon.end_expected = false;
     m_network->add_process(daemon.name, daemon.process->pid());
-    const auto ends = std::chrono::steady_clock::now() + longest_start;
+    const auto deadline = std::chrono::steady_clock::now() + max_start_time;
     for (;;) {
         http_request request;
         request.target = "/admin/v1/status";
         request.repeatable = true;
         if (m_runtime.run(send(m_runtime.executor(), daemon.admin_listen, request)))
             return;
-        if (daemon.process->poll() || std::chrono::steady_clock::now() > ends)
+        if (daemon.process->poll() || std::chrono::steady_clock::now() > deadline)
             throw exception{{error_kind::unavailable, daemon.name + " did not start",
                              "read its log in " + m_options.logs}};
         m_runtime.run_for(std::chrono::milliseconds{20});
@@ -143,9 +144,9 @@
     std::string seeds;
     for (const auto& [name, other] : m_daemons)
         seeds += (seeds.empty() ? "" : ",") + other.peer_advertise;
-    daemon.words.push_back(m_options.programs + "/jaynotchd");
+    daemon.command_line.push_back(m_options.programs + "/jaynotchd");
     const auto set = [&](const std::string& flag, const std::string& value) {
-        daemon.words.push_back("--" + flag + "=" + value);
+        daemon.command_line.push_back("--" + flag + "=" + value);
     };
     set("node", daemon.name);
     set("failure_domain", daemon.failure_domain);
@@ -159,26 +160,26 @@
     set("weight_store", m_fleet->weights().address());
     set("seed_peers", seeds);
     for (const auto& flag : fields.texts("flags"))
-        daemon.words.push_back(flag);
+        daemon.command_line.push_back(flag);
     if (fields.failure())
         throw exception{*fields.failure()};
     const std::string name = daemon.name;
-    scenario_daemon& kept = m_daemons.insert_or_assign(name, std::move(daemon)).first->second;
-    launch(kept);
+    scenario_daemon& added = m_daemons.insert_or_assign(name, std::move(daemon)).first->second;
+    launch(added);
     return json::value(json::string(name));
 }
 
 json::value scenario_world::restart(const arguments_type& arguments)
 {
     json_fields fields{arguments, "restart"};
-    launch(daemon_called(fields.text("name")));
+    launch(find_daemon(fields.text("name")));
     return nullptr;
 }
 
 json::value scenario_world::signal(const arguments_type& arguments)
 {
     json_fields fields{arguments, "signal"};
-    scenario_daemon& daemon = daemon_called(fields.text("name"));
+    scenario_daemon& daemon = find_daemon(fields.text("name"));
     const int number = signal_number(fields.text("signal"));
     daemon.end_expected = daemon.end_expected || number == SIGTERM || number == SIGKILL;
     daemon.process->signal(number);
@@ -188,11 +189,11 @@
 json::value scenario_world::await_exit(const arguments_type& arguments)
 {
     json_fields fields{arguments, "await_exit"};
-    scenario_daemon& daemon = daemon_called(fields.text("name"));
-    const auto longest = std::chrono::duration_cast<std::chrono::milliseconds>(
+    scenario_daemon& daemon = find_daemon(fields.text("name"));
+    const auto timeout = std::chrono::duration_cast<std::chrono::milliseconds>(
         std::chrono::duration<double>{fields.real("seconds")});
     const auto ended = [&] { return daemon.process->poll().has_value(); };
-    if (!m_runtime.run_until(ended, longest))
+    if (!m_runtime.run_until(ended, timeout))
         throw exception{{error_kind::deadline_exceeded, daemon.name + " did not end in time",
                          "read its log in " + m_options.logs}};
     return *daemon.process->poll();
@@ -201,7 +202,7 @@
 json::value scenario_world::http(const arguments_type& arguments)
 {
     json_fields fields{arguments, "http"};
-    const scenario_daemon& daemon = daemon_called(fields.text("to"));
+    const scenario_daemon& daemon = find_daemon(fields.text("to"));
     http_request request;
     const std::string method = fields.text("method");
     request.method = method.empty() ? http_ns::verb::get : http_ns::string_to_verb(method);
--- a/scenarios/world_faults.cc
+++ b/scenarios/world_faults.cc
@@ -7,7 +7,7 @@
 
 namespace {
 
-fault_change change_of(json_fields& fields)
+fault_change parse_change(json_fields& fields)
 {
     const json::object* change = fields.object("change");
     if (change == nullptr)
@@ -20,7 +20,7 @@
 json::value scenario_world::fault(const arguments_type& arguments)
 {
     json_fields fields{arguments, "fault"};
-    const fault_change change = change_of(fields);
+    const fault_change change = parse_change(fields);
     m_fleet->apply(fields.text("target"), change).value();
     return nullptr;
 }
@@ -28,7 +28,7 @@
 json::value scenario_world::fault_fabric(const arguments_type& arguments)
 {
     json_fields fields{arguments, "fault_fabric"};
-    const fault_change change = change_of(fields);
+    const fault_change change = parse_change(fields);
     m_fleet->apply_to_fabric(fabric_domain_id{fields.text("domain")}, change);
     return nullptr;
 }
@@ -47,7 +47,7 @@
     return nullptr;
 }
 
-std::vector<std::string> scenario_world::expand(const std::vector<std::string>& names) const
+std::vector<std::string> scenario_world::expand_names(const std::vector<std::string>& names) const
 {
     std::vector<std::string> all;
     for (const auto& name : names) {
@@ -71,8 +71,8 @@
 json::value scenario_world::cut(const arguments_type& arguments)
 {
     json_fields fields{arguments, "cut"};
-    for (const auto& one : expand(fields.texts("one"))) {
-        for (const auto& other : expand(fields.texts("other")))
+    for (const auto& one : expand_names(fields.texts("one"))) {
+        for (const auto& other : expand_names(fields.texts("other")))
             m_network->cut(one, other);
     }
     return nullptr;
--- a/scenarios/world_load.cc
+++ b/scenarios/world_load.cc
@@ -10,7 +10,7 @@
 namespace {
 
 constexpr duration call_timeout = std::chrono::seconds{20};
-constexpr std::size_t most_details = 20;
+constexpr std::size_t max_wrong_details = 20;
 
 double milliseconds(duration value)
 {
@@ -42,8 +42,8 @@
     co_return co_await send_plain_call(client, std::move(call), call_timeout);
 }
 
-awaitable<void> run_beside(boost::asio::any_io_executor executor, load_settings settings,
-                           std::shared_ptr<running_load> load)
+awaitable<void> run_in_background(boost::asio::any_io_executor executor, load_settings settings,
+                                  std::shared_ptr<running_load> load)
 {
     load->report = co_await run_load(executor, std::move(settings));
 }
@@ -62,39 +62,40 @@
         target = fields.text(name);
 }
 
-load_settings settings_of(const json::object& arguments)
+load_settings parse_load_settings(const json::object& arguments)
 {
     json_fields fields{arguments, "load"};
-    load_settings wanted;
-    wanted.model = fields.text("model");
+    load_settings parameters;
+    parameters.model = fields.text("model");
     if (arguments.contains("workspaces"))
-        wanted.workspaces = fields.texts("workspaces");
-    set_real(fields, arguments, "rate", wanted.rate);
+        parameters.workspaces = fields.texts("workspaces");
+    set_real(fields, arguments, "rate", parameters.rate);
     double seconds = 3.0;
     set_real(fields, arguments, "seconds", seconds);
-    wanted.length = std::chrono::duration_cast<duration>(std::chrono::duration<double>{seconds});
-    constexpr std::uint64_t most = 100'000;
-    wanted.tokens = static_cast<std::uint32_t>(fields.count("tokens", most));
-    set_real(fields, arguments, "stream_share", wanted.stream_share);
-    set_real(fields, arguments, "plain_share", wanted.plain_share);
-    set_text(fields, arguments, "plain_path", wanted.plain_path);
-    set_text(fields, arguments, "plain_method", wanted.plain_method);
-    wanted.keyed = !arguments.contains("keyed") || fields.flag("keyed");
+    parameters.length =
+        std::chrono::duration_cast<duration>(std::chrono::duration<double>{seconds});
+    constexpr std::uint64_t max_count = 100'000;
+    parameters.tokens = static_cast<std::uint32_t>(fields.count("tokens", max_count));
+    set_real(fields, arguments, "stream_share", parameters.stream_share);
+    set_real(fields, arguments, "plain_share", parameters.plain_share);
+    set_text(fields, arguments, "plain_path", parameters.plain_path);
+    set_text(fields, arguments, "plain_method", parameters.plain_method);
+    parameters.keyed = !arguments.contains("keyed") || fields.flag("keyed");
     if (arguments.contains("seed"))
-        wanted.seed = fields.count("seed", most);
+        parameters.seed = fields.count("seed", max_count);
     if (fields.failure())
         throw exception{*fields.failure()};
-    return wanted;
+    return parameters;
 }
 
 } // namespace
 
-void scenario_world::keep(const call_result& result, std::string_view what)
+void scenario_world::record_wrong_answer(const call_result& result, std::string_view what)
 {
     if (result.outcome != call_outcome::wrong)
         return;
     ++m_wrong_answers;
-    if (m_wrong_details.size() < most_details)
+    if (m_wrong_details.size() < max_wrong_details)
         m_wrong_details.push_back(std::string{what} + ": " + result.detail);
 }
 
@@ -102,17 +103,17 @@
 {
     json_fields fields{arguments, "ask"};
     model_call call;
-    call.target = listen_of(fields.text("to"));
+    call.target = listen_address_of(fields.text("to"));
     call.model = fields.text("model");
     call.workspace = fields.text("workspace");
     call.prompt = fields.text("prompt");
-    constexpr std::uint64_t most = 100'000;
-    call.tokens = static_cast<std::uint32_t>(fields.count("tokens", most));
+    constexpr std::uint64_t max_count = 100'000;
+    call.tokens = static_cast<std::uint32_t>(fields.count("tokens", max_count));
     call.stream = !arguments.contains("stream") || fields.flag("stream");
     if (fields.failure())
         throw exception{*fields.failure()};
     const call_result result = m_runtime.run(ask_once(m_runtime.executor(), std::move(call)));
-    keep(result, "a model call");
+    record_wrong_answer(result, "a model call");
     return render_call(result);
 }
 
@@ -120,7 +121,7 @@
 {
     json_fields fields{arguments, "order"};
     plain_call call;
-    call.target = listen_of(fields.text("to"));
+    call.target = listen_address_of(fields.text("to"));
     set_text(fields, arguments, "method", call.method);
     call.path = "/orders";
     set_text(fields, arguments, "path", call.path);
@@ -130,21 +131,21 @@
     if (fields.failure())
         throw exception{*fields.failure()};
     plain_record record{call, m_runtime.run(order_once(m_runtime.executor(), call))};
-    keep(record.result, "a plain call");
+    record_wrong_answer(record.result, "a plain call");
     m_plain_calls.push_back(record);
     return render_call(record.result);
 }
 
 json::value scenario_world::start_load(const arguments_type& arguments)
 {
-    load_settings wanted = settings_of(arguments);
+    load_settings parameters = parse_load_settings(arguments);
     json_fields fields{arguments, "load"};
     for (const auto& name : fields.texts("to"))
-        wanted.targets.push_back(listen_of(name));
+        parameters.targets.push_back(listen_address_of(name));
     auto load = std::make_shared<running_load>();
     m_loads.push_back(load);
     boost::asio::co_spawn(m_runtime.executor(),
-                          run_beside(m_runtime.executor(), std::move(wanted), load),
+                          run_in_background(m_runtime.executor(), std::move(parameters), load),
                           [](std::exception_ptr failed) {
                               if (failed)
                                   std::rethrow_exception(failed);
@@ -156,8 +157,8 @@
 {
     json_fields fields{arguments, "load"};
     const auto load = m_loads.at(fields.count("id", m_loads.size()));
-    constexpr std::chrono::seconds longest{60};
-    if (!m_runtime.run_until([&] { return load->report.has_value(); }, longest))
+    constexpr std::chrono::seconds timeout{60};
+    if (!m_runtime.run_until([&] { return load->report.has_value(); }, timeout))
         throw exception{{error_kind::deadline_exceeded, "the load did not end", ""}};
     const load_report& report = *load->report;
     m_wrong_answers += report.of(call_outcome::wrong);
--- a/soak/fault_plan.h
+++ b/soak/fault_plan.h
@@ -55,32 +55,34 @@
                                         named{link_end::runner, "runner"}};
 };
 
-struct harm_daemon {
+struct planned_daemon_fault {
     daemon_fault fault = daemon_fault::kill;
     std::size_t daemon = 0;
 };
-struct harm_runner {
+struct planned_runner_fault {
     runner_fault fault = runner_fault::crash;
     std::size_t runner = 0;
 };
 /// The link of a daemon to the store or from its peers, or that of all daemons to a runner.
-struct harm_link {
+struct planned_link_fault {
     link_end end = link_end::store;
     std::size_t index = 0;
     link_fault fault = link_fault::silence;
     std::chrono::milliseconds delay{0};
 };
 /// The store answers 503 to everybody, or its links to all daemons fail alike.
-struct harm_store {
+struct planned_store_fault {
     link_fault fault = link_fault::none; ///< none: it refuses
 };
 /// The operators change the configuration.
-struct change_configuration {};
+struct configuration_change {};
 
 struct planned_fault {
     std::chrono::milliseconds at{0};
-    std::chrono::milliseconds lasts{0};
-    std::variant<harm_daemon, harm_runner, harm_link, harm_store, change_configuration> what;
+    std::chrono::milliseconds active_for{0};
+    std::variant<planned_daemon_fault, planned_runner_fault, planned_link_fault,
+                 planned_store_fault, configuration_change>
+        action;
 };
 
 struct fault_plan_settings {
@@ -92,6 +94,6 @@
 };
 
 std::vector<planned_fault> draw_plan(const fault_plan_settings& settings);
-std::string to_string(const planned_fault& one);
+std::string to_string(const planned_fault& planned);
 
 } // namespace jaynotch
--- a/soak/fault_proxy.cc
+++ b/soak/fault_proxy.cc
@@ -23,38 +23,38 @@
 
 namespace {
 
-constexpr duration hold_poll = std::chrono::milliseconds{5};
-constexpr std::size_t piece_bytes = 16 * 1024;
+constexpr duration block_poll_interval = std::chrono::milliseconds{5};
+constexpr std::size_t chunk_bytes = 16 * 1024;
 
 } // namespace
 
 result<std::shared_ptr<fault_proxy>> fault_proxy::open(const asio::any_io_executor& executor,
                                                        const std::string& target)
 {
-    std::shared_ptr<fault_proxy> made{new fault_proxy{executor}};
-    BOOST_OUTCOME_TRY(made->m_target, parse_endpoint(target));
+    std::shared_ptr<fault_proxy> proxy{new fault_proxy{executor}};
+    BOOST_OUTCOME_TRY(proxy->m_target, parse_endpoint(target));
     error_code ec;
-    const tcp::endpoint any{asio::ip::address_v4::loopback(), 0};
-    made->m_acceptor.open(any.protocol(), ec);
-    made->m_acceptor.bind(any, ec);
-    made->m_acceptor.listen(asio::socket_base::max_listen_connections, ec);
+    const tcp::endpoint listen_endpoint{asio::ip::address_v4::loopback(), 0};
+    proxy->m_acceptor.open(listen_endpoint.protocol(), ec);
+    proxy->m_acceptor.bind(listen_endpoint, ec);
+    proxy->m_acceptor.listen(asio::socket_base::max_listen_connections, ec);
     if (ec)
         return error{error_kind::unavailable, "a proxy can't listen: " + ec.message(),
                      "run fewer soaks at once"};
-    made->m_address = "127.0.0.1:" + std::to_string(made->m_acceptor.local_endpoint().port());
-    asio::co_spawn(executor, accept_loop(made), asio::detached);
-    return made;
+    proxy->m_address = "127.0.0.1:" + std::to_string(proxy->m_acceptor.local_endpoint().port());
+    asio::co_spawn(executor, accept_loop(proxy), asio::detached);
+    return proxy;
 }
 
 void fault_proxy::set(link_fault fault, duration delay)
 {
     m_fault = fault;
     m_delay = delay;
-    for (const auto& through : m_tunnels) {
+    for (const auto& connection : m_tunnels) {
         if (fault == link_fault::reset)
-            reset(*through);
+            reset(*connection);
         if (fault == link_fault::drop_quiet)
-            through->quiet = true;
+            connection->blackholed = true;
     }
 }
 
@@ -65,36 +65,37 @@
     set(link_fault::reset);
 }
 
-void fault_proxy::reset(tunnel& through)
+void fault_proxy::reset(tunnel& connection)
 {
     error_code ignored;
-    for (tcp::socket* end : {&through.near, &through.far}) {
+    for (tcp::socket* end : {&connection.client, &connection.upstream}) {
         end->set_option(asio::socket_base::linger{true, 0}, ignored);
         end->close(ignored);
     }
 }
 
-bool fault_proxy::holds(direction way) const
+bool fault_proxy::is_blocked(direction dir) const
 {
     switch (m_fault) {
     case link_fault::silence:
         return true;
     case link_fault::cut_there:
-        return way == direction::there;
+        return dir == direction::to_upstream;
     case link_fault::cut_back:
-        return way == direction::back;
+        return dir == direction::to_client;
     default:
         return false;
     }
 }
 
-asio::awaitable<bool> fault_proxy::let_through(std::shared_ptr<tunnel> through, direction way)
+asio::awaitable<bool> fault_proxy::wait_until_allowed(std::shared_ptr<tunnel> connection,
+                                                      direction dir)
 {
     if (m_fault == link_fault::delay)
         co_await standin_sleep(m_executor, m_delay);
-    while (holds(way) || through->quiet) {
-        co_await standin_sleep(m_executor, hold_poll);
-        if (!through->near.is_open() || !m_acceptor.is_open())
+    while (is_blocked(dir) || connection->blackholed) {
+        co_await standin_sleep(m_executor, block_poll_interval);
+        if (!connection->client.is_open() || !m_acceptor.is_open())
             co_return false;
     }
     co_return true;
@@ -104,54 +105,55 @@
 {
     for (;;) {
         error_code ec;
-        tcp::socket near =
+        tcp::socket client =
             co_await self->m_acceptor.async_accept(asio::redirect_error(asio::use_awaitable, ec));
         if (!self->m_acceptor.is_open())
             co_return;
         if (ec)
             continue;
-        auto through =
-            std::make_shared<tunnel>(tunnel{std::move(near), tcp::socket{self->m_executor}});
-        asio::co_spawn(self->m_executor, connect(self, std::move(through)), asio::detached);
+        auto connection =
+            std::make_shared<tunnel>(tunnel{std::move(client), tcp::socket{self->m_executor}});
+        asio::co_spawn(self->m_executor, connect(self, std::move(connection)), asio::detached);
     }
 }
 
 asio::awaitable<void> fault_proxy::connect(std::shared_ptr<fault_proxy> self,
-                                           std::shared_ptr<tunnel> through)
+                                           std::shared_ptr<tunnel> connection)
 {
     if (self->m_fault == link_fault::reset) {
-        reset(*through);
+        reset(*connection);
         co_return;
     }
     error_code ec;
-    co_await through->far.async_connect(self->m_target,
-                                        asio::redirect_error(asio::use_awaitable, ec));
+    co_await connection->upstream.async_connect(self->m_target,
+                                                asio::redirect_error(asio::use_awaitable, ec));
     if (ec) {
-        reset(*through);
+        reset(*connection);
         co_return;
     }
     error_code ignored;
-    through->near.set_option(tcp::no_delay{true}, ignored);
-    through->far.set_option(tcp::no_delay{true}, ignored);
-    self->m_tunnels.insert(through);
-    asio::co_spawn(self->m_executor, copy(self, through, direction::there), asio::detached);
-    asio::co_spawn(self->m_executor, copy(self, through, direction::back), asio::detached);
+    connection->client.set_option(tcp::no_delay{true}, ignored);
+    connection->upstream.set_option(tcp::no_delay{true}, ignored);
+    self->m_tunnels.insert(connection);
+    asio::co_spawn(self->m_executor, copy(self, connection, direction::to_upstream),
+                   asio::detached);
+    asio::co_spawn(self->m_executor, copy(self, connection, direction::to_client), asio::detached);
 }
 
 asio::awaitable<void> fault_proxy::copy(std::shared_ptr<fault_proxy> self,
-                                        std::shared_ptr<tunnel> through, direction way)
+                                        std::shared_ptr<tunnel> connection, direction dir)
 {
-    const bool there = way == direction::there;
-    tcp::socket& from = there ? through->near : through->far;
-    tcp::socket& to = there ? through->far : through->near;
-    std::array<char, piece_bytes> piece{};
+    const bool to_upstream = dir == direction::to_upstream;
+    tcp::socket& from = to_upstream ? connection->client : connection->upstream;
+    tcp::socket& to = to_upstream ? connection->upstream : connection->client;
+    std::array<char, chunk_bytes> chunk{};
     for (;;) {
         error_code ec;
-        const std::size_t got = co_await from.async_read_some(
-            asio::buffer(piece), asio::redirect_error(asio::use_awaitable, ec));
-        if (!co_await self->let_through(through, way) || ec)
+        const std::size_t bytes_read = co_await from.async_read_some(
+            asio::buffer(chunk), asio::redirect_error(asio::use_awaitable, ec));
+        if (!co_await self->wait_until_allowed(connection, dir) || ec)
             break;
-        co_await asio::async_write(to, asio::buffer(piece.data(), got),
+        co_await asio::async_write(to, asio::buffer(chunk.data(), bytes_read),
                                    asio::redirect_error(asio::use_awaitable, ec));
         if (ec)
             break;
@@ -159,7 +161,7 @@
     error_code ignored;
     from.close(ignored);
     to.close(ignored);
-    self->m_tunnels.erase(through);
+    self->m_tunnels.erase(connection);
 }
 
 } // namespace jaynotch
--- a/soak/fault_proxy.h
+++ b/soak/fault_proxy.h
@@ -54,11 +54,11 @@
 
 private:
     struct tunnel {
-        boost::asio::ip::tcp::socket near;
-        boost::asio::ip::tcp::socket far;
-        bool quiet = false; ///< passes nothing any more
+        boost::asio::ip::tcp::socket client;
+        boost::asio::ip::tcp::socket upstream;
+        bool blackholed = false; ///< passes nothing any more
     };
-    enum class direction { there, back };
+    enum class direction { to_upstream, to_client };
 
     explicit fault_proxy(const boost::asio::any_io_executor& executor)
         : m_executor{executor}, m_acceptor{executor}
@@ -66,13 +66,14 @@
 
     static boost::asio::awaitable<void> accept_loop(std::shared_ptr<fault_proxy> self);
     static boost::asio::awaitable<void> connect(std::shared_ptr<fault_proxy> self,
-                                                std::shared_ptr<tunnel> through);
+                                                std::shared_ptr<tunnel> connection);
     static boost::asio::awaitable<void> copy(std::shared_ptr<fault_proxy> self,
-                                             std::shared_ptr<tunnel> through, direction way);
+                                             std::shared_ptr<tunnel> connection, direction dir);
     /// Waits until a piece may go on; false if it never may.
-    boost::asio::awaitable<bool> let_through(std::shared_ptr<tunnel> through, direction way);
-    [[nodiscard]] bool holds(direction way) const;
-    static void reset(tunnel& through);
+    boost::asio::awaitable<bool> wait_until_allowed(std::shared_ptr<tunnel> connection,
+                                                    direction dir);
+    [[nodiscard]] bool is_blocked(direction dir) const;
+    static void reset(tunnel& connection);
 
     boost::asio::any_io_executor m_executor;
     boost::asio::ip::tcp::acceptor m_acceptor;
--- a/soak/fault_soak_main.cc
+++ b/soak/fault_soak_main.cc
@@ -28,33 +28,33 @@
 namespace jaynotch {
 namespace {
 
-bool play(std::uint64_t seed)
+bool run_seed(std::uint64_t seed)
 {
-    soak_settings chosen;
-    chosen.seed = seed;
-    chosen.callers = absl::GetFlag(FLAGS_callers);
-    chosen.length = std::chrono::seconds{absl::GetFlag(FLAGS_seconds)};
-    chosen.faults_per_s = absl::GetFlag(FLAGS_faults);
-    chosen.site.program = absl::GetFlag(FLAGS_programs) + "/jaynotchd";
-    chosen.site.folder = absl::GetFlag(FLAGS_logs) + "/" + std::to_string(seed);
-    chosen.site.daemons = absl::GetFlag(FLAGS_daemons);
-    chosen.site.runners = absl::GetFlag(FLAGS_runners);
-    const soak_outcome seen = run_soak(chosen);
+    soak_settings settings;
+    settings.seed = seed;
+    settings.callers = absl::GetFlag(FLAGS_callers);
+    settings.length = std::chrono::seconds{absl::GetFlag(FLAGS_seconds)};
+    settings.faults_per_s = absl::GetFlag(FLAGS_faults);
+    settings.site.program = absl::GetFlag(FLAGS_programs) + "/jaynotchd";
+    settings.site.folder = absl::GetFlag(FLAGS_logs) + "/" + std::to_string(seed);
+    settings.site.daemons = absl::GetFlag(FLAGS_daemons);
+    settings.site.runners = absl::GetFlag(FLAGS_runners);
+    const soak_outcome outcome = run_soak(settings);
     std::printf("%s seed %llu: %zu requests, %zu served, %zu faults\n",
-                seen.problems.empty() ? "ok  " : "FAIL", static_cast<unsigned long long>(seed),
-                seen.requests, seen.whole, seen.story.size());
-    if (!seen.problems.empty() || absl::GetFlag(FLAGS_story)) {
-        for (const std::string& fault : seen.story)
+                outcome.problems.empty() ? "ok  " : "FAIL", static_cast<unsigned long long>(seed),
+                outcome.requests, outcome.successes, outcome.faults.size());
+    if (!outcome.problems.empty() || absl::GetFlag(FLAGS_story)) {
+        for (const std::string& fault : outcome.faults)
             std::printf("     %s\n", fault.c_str());
     }
-    for (const std::string& problem : seen.problems)
+    for (const std::string& problem : outcome.problems)
         std::printf("  !! %s\n", problem.c_str());
     std::fflush(stdout);
-    return seen.problems.empty();
+    return outcome.problems.empty();
 }
 
 /// Seeds to play; empty if one is no number.
-std::vector<std::uint64_t> wanted_seeds()
+std::vector<std::uint64_t> parse_seeds()
 {
     std::vector<std::uint64_t> seeds;
     for (const std::string& word : absl::GetFlag(FLAGS_seeds)) {
@@ -74,14 +74,14 @@
     return seeds;
 }
 
-int play_all()
+int run_seeds()
 {
-    const std::vector<std::uint64_t> seeds = wanted_seeds();
+    const std::vector<std::uint64_t> seeds = parse_seeds();
     if (seeds.empty())
         return 2;
     std::size_t failed = 0;
     for (const std::uint64_t seed : seeds)
-        failed += play(seed) ? 0 : 1;
+        failed += run_seed(seed) ? 0 : 1;
     std::printf("%zu seeds, %zu failed\n", seeds.size(), failed);
     return failed == 0 ? 0 : 1;
 }
@@ -98,5 +98,5 @@
         return 2;
     }
     absl::ParseCommandLine(argc, argv);
-    return jaynotch::play_all();
+    return jaynotch::run_seeds();
 }
--- a/soak/soak_callers.cc
+++ b/soak/soak_callers.cc
@@ -13,39 +13,39 @@
 namespace {
 
 /// Beyond the route's timeout, so that a request that is never answered shows.
-constexpr duration patience = std::chrono::seconds{7};
-constexpr std::int64_t longest_pause_ms = 120; ///< of a caller between two requests
+constexpr duration caller_timeout = std::chrono::seconds{7};
+constexpr std::int64_t max_pause_ms = 120; ///< of a caller between two requests
 
-asked_kind draw_kind(random_source& random)
+caller_request_kind draw_kind(random_source& random)
 {
     constexpr double streams = 0.5;
     constexpr double orders = 0.25;
     const double drawn = random.unit();
     if (drawn < streams)
-        return asked_kind::stream;
-    return drawn < streams + orders ? asked_kind::order : asked_kind::read;
+        return caller_request_kind::stream;
+    return drawn < streams + orders ? caller_request_kind::order : caller_request_kind::read;
 }
 
-std::string_view path_of(asked_kind kind)
+std::string_view path_of(caller_request_kind kind)
 {
     switch (kind) {
-    case asked_kind::stream:
+    case caller_request_kind::stream:
         return "/chat/1";
-    case asked_kind::order:
+    case caller_request_kind::order:
         return "/order/1";
-    case asked_kind::read:
+    case caller_request_kind::read:
         break;
     }
     return "/read/1";
 }
 
-http_request to_http(const asked_request& asked)
+http_request to_http(const request_record& request)
 {
-    const bool reads = asked.kind == asked_kind::read;
-    const bool streams = asked.kind == asked_kind::stream;
-    return caller_request({asked.id, std::string{path_of(asked.kind)},
-                           "key-" + std::to_string(asked.key_version),
-                           reads ? std::string{} : "body of " + asked.id, streams});
+    const bool reads = request.kind == caller_request_kind::read;
+    const bool streams = request.kind == caller_request_kind::stream;
+    return caller_request({request.id, std::string{path_of(request.kind)},
+                           "key-" + std::to_string(request.key_version),
+                           reads ? std::string{} : "body of " + request.id, streams});
 }
 
 } // namespace
@@ -69,35 +69,37 @@
         clients.emplace_back(m_io.get_executor(), one.listen, http_limits{});
     while (!m_stopped) {
         const std::size_t daemon = m_random.index(clients.size());
-        co_await ask(caller, daemon, clients[daemon]);
-        const std::chrono::milliseconds pause{m_random.between(1, longest_pause_ms)};
+        co_await send_request(caller, daemon, clients[daemon]);
+        const std::chrono::milliseconds pause{m_random.between(1, max_pause_ms)};
         co_await standin_sleep(m_io.get_executor(), pause);
     }
 }
 
-asio::awaitable<void> soak_callers::ask(std::size_t caller, std::size_t daemon, http_client& client)
+asio::awaitable<void> soak_callers::send_request(std::size_t caller, std::size_t daemon,
+                                                 http_client& client)
 {
-    asked_request asked;
-    asked.id = "c" + std::to_string(caller) + "-" + std::to_string(++m_last);
-    asked.kind = draw_kind(m_random);
-    asked.node = m_site.daemons()[daemon].name;
+    request_record request;
+    request.id = "c" + std::to_string(caller) + "-" + std::to_string(++m_last_request);
+    request.kind = draw_kind(m_random);
+    request.node = m_site.daemons()[daemon].name;
     // Mostly the newest key; sometimes one that has ended or is about to.
-    constexpr double old_key = 0.15;
+    constexpr double old_key_probability = 0.15;
     const std::int64_t newest = m_site.version();
-    const std::int64_t back = m_random.chance(old_key) ? m_random.between(1, 3) : 0;
-    asked.key_version = std::max<std::int64_t>(1, newest - back);
-    asked.most_servers = asked.kind == asked_kind::order ? 1 : repeatable_attempts;
-    asked.sent = runtime_clock::now();
-    m_book.asked(asked);
-    const result<http_response> got = co_await client.call(to_http(asked), patience);
-    m_site.note_runs();
-    seen_answer answer;
-    if (got) {
-        answer.status = static_cast<std::uint32_t>(got.value().status);
-        answer.id = answered_request(got.value());
-        answer.body = got.value().body;
+    const std::int64_t versions_back =
+        m_random.chance(old_key_probability) ? m_random.between(1, 3) : 0;
+    request.key_version = std::max<std::int64_t>(1, newest - versions_back);
+    request.max_servers = request.kind == caller_request_kind::order ? 1 : repeatable_attempts;
+    request.sent = runtime_clock::now();
+    m_checker.record_request(request);
+    const result<http_response> response = co_await client.call(to_http(request), caller_timeout);
+    m_site.record_runs();
+    received_answer answer;
+    if (response) {
+        answer.status = static_cast<std::uint32_t>(response.value().status);
+        answer.id = answered_request(response.value());
+        answer.body = response.value().body;
     }
-    m_book.answered(asked.id, std::move(answer), runtime_clock::now());
+    m_checker.record_answer(request.id, std::move(answer), runtime_clock::now());
 }
 
 } // namespace jaynotch
--- a/soak/soak_callers.h
+++ b/soak/soak_callers.h
@@ -14,9 +14,9 @@
 
 class soak_callers {
 public:
-    soak_callers(boost::asio::io_context& io, soak_site& site, promise_book& book,
+    soak_callers(boost::asio::io_context& io, soak_site& site, promise_checker& checker,
                  random_source random)
-        : m_io{io}, m_site{site}, m_book{book}, m_random{random}
+        : m_io{io}, m_site{site}, m_checker{checker}, m_random{random}
     {}
 
     void start(std::size_t count);
@@ -26,14 +26,15 @@
 
 private:
     boost::asio::awaitable<void> run(std::size_t caller);
-    boost::asio::awaitable<void> ask(std::size_t caller, std::size_t daemon, http_client& client);
+    boost::asio::awaitable<void> send_request(std::size_t caller, std::size_t daemon,
+                                              http_client& client);
 
     boost::asio::io_context& m_io;
     soak_site& m_site;
-    promise_book& m_book;
+    promise_checker& m_checker;
     random_source m_random;
     std::size_t m_running = 0;
-    std::size_t m_last = 0;
+    std::size_t m_last_request = 0;
     bool m_stopped = false;
 };
 
--- a/soak/soak_run.cc
+++ b/soak/soak_run.cc
@@ -17,63 +17,63 @@
 
 namespace {
 
-constexpr duration longest_start = std::chrono::seconds{20};
-constexpr duration longest_stop = std::chrono::seconds{12};
-constexpr duration entry_lapse = std::chrono::milliseconds{1'500}; ///< three heartbeats
-constexpr duration drained_for = std::chrono::milliseconds{4'000}; ///< then the server ends
-constexpr duration restart_after = std::chrono::milliseconds{150};
-constexpr duration healing = std::chrono::seconds{6};
-constexpr duration last_asking = std::chrono::seconds{2};
-constexpr duration look = std::chrono::milliseconds{20};
+constexpr duration max_start_time = std::chrono::seconds{20};
+constexpr duration max_stop_time = std::chrono::seconds{12};
+constexpr duration entry_lifetime = std::chrono::milliseconds{1'500}; ///< three heartbeats
+constexpr duration drain_time = std::chrono::milliseconds{4'000};     ///< then the server ends
+constexpr duration restart_delay = std::chrono::milliseconds{150};
+constexpr duration recovery_time = std::chrono::seconds{6};
+constexpr duration final_load_time = std::chrono::seconds{2};
+constexpr duration poll_interval = std::chrono::milliseconds{20};
 
 class soak_driver {
 public:
     explicit soak_driver(const soak_settings& settings)
-        : m_settings{settings}, m_book{settings.site.stream_events},
-          m_site{m_io, settings.site, m_book}, m_callers{m_io, m_site, m_book,
-                                                         random_source{settings.seed ^ 0x5eedULL}}
+        : m_settings{settings}, m_checker{settings.site.stream_events}, m_site{m_io, settings.site,
+                                                                               m_checker},
+          m_callers{m_io, m_site, m_checker, random_source{settings.seed ^ 0x5eedULL}}
     {}
 
     soak_outcome run()
     {
         m_site.start();
-        if (!run_until([&] { return serving(); }, longest_start))
-            return {{"no group serves " + std::to_string(longest_start / look) +
+        if (!run_until([&] { return serving(); }, max_start_time))
+            return {{"no group serves " + std::to_string(max_start_time / poll_interval) +
                      " looks after the start"},
                     {},
                     0,
                     0};
         m_callers.start(m_settings.callers);
-        soak_outcome seen;
+        soak_outcome outcome;
         for (const planned_fault& one : plan()) {
-            seen.story.push_back(to_string(one));
-            ++m_under_way;
-            asio::co_spawn(m_io, play(one), [this](std::exception_ptr failed) {
-                --m_under_way;
+            outcome.faults.push_back(to_string(one));
+            ++m_active_faults;
+            asio::co_spawn(m_io, inject_planned(one), [this](std::exception_ptr failed) {
+                --m_active_faults;
                 if (failed)
                     std::rethrow_exception(failed);
             });
         }
         run_for(m_settings.length);
-        run_until([&] { return m_under_way == 0; }, longest_start);
-        if (m_under_way != 0)
-            seen.problems.push_back("a fault did not come to its end: a process did not stop");
-        run_for(healing);
-        const std::size_t before = m_book.whole();
-        run_for(last_asking);
-        if (m_book.whole() == before)
-            seen.problems.push_back("nothing serves after everything was healed");
+        run_until([&] { return m_active_faults == 0; }, max_start_time);
+        if (m_active_faults != 0)
+            outcome.problems.push_back("a fault did not come to its end: a process did not stop");
+        run_for(recovery_time);
+        const std::size_t before = m_checker.successes();
+        run_for(final_load_time);
+        if (m_checker.successes() == before)
+            outcome.problems.push_back("nothing serves after everything was healed");
         m_callers.stop();
-        if (!run_until([&] { return m_callers.idle(); }, longest_start))
-            seen.problems.push_back("callers still wait for answers");
-        m_site.note_runs();
-        for (std::string& end : m_site.unexpected_ends())
-            seen.problems.push_back(std::move(end));
-        for (const auto& list : {m_site.fabric().broken, m_book.broken(), m_problems})
-            seen.problems.insert(seen.problems.end(), list.begin(), list.end());
-        seen.requests = m_book.requests();
-        seen.whole = m_book.whole();
-        return seen;
+        if (!run_until([&] { return m_callers.idle(); }, max_start_time))
+            outcome.problems.push_back("callers still wait for answers");
+        m_site.record_runs();
+        for (std::string& end : m_site.unexpected_exits())
+            outcome.problems.push_back(std::move(end));
+        for (const auto& list : {m_site.fabric().broken, m_checker.violations(), m_problems})
+            outcome.problems.insert(outcome.problems.end(), list.begin(), list.end());
+        outcome.requests = m_checker.requests();
+        outcome.successes = m_checker.successes();
+        return outcome;
     }
 
 private:
@@ -89,9 +89,9 @@
     }
 
     template <class Done>
-    bool run_until(Done done, duration longest)
+    bool run_until(Done done, duration timeout)
     {
-        const time_point until = runtime_clock::now() + longest;
+        const time_point until = runtime_clock::now() + timeout;
         m_io.restart();
         while (!done() && runtime_clock::now() < until)
             m_io.run_one_for(std::chrono::milliseconds{20});
@@ -114,35 +114,39 @@
 
     asio::awaitable<void> pause(duration time) { return standin_sleep(m_io.get_executor(), time); }
 
-    asio::awaitable<void> play(planned_fault one)
+    asio::awaitable<void> inject_planned(planned_fault one)
     {
         co_await pause(one.at);
-        co_await std::visit([&](const auto& what) { return harm_it(what, one.lasts); }, one.what);
+        co_await std::visit([&](const auto& spec) { return inject(spec, one.active_for); },
+                            one.action);
     }
 
-    std::size_t harm_begins(const std::string& node, bool planned)
+    std::size_t begin_fault(const std::string& node, bool planned)
     {
-        return m_book.harmed({node, runtime_clock::now(), time_point::max(), planned});
+        return m_checker.record_fault({node, runtime_clock::now(), time_point::max(), planned});
+    }
+    void end_fault(std::size_t fault_index)
+    {
+        m_checker.record_fault_end(fault_index, runtime_clock::now());
     }
-    void harm_ends(std::size_t number) { m_book.healed(number, runtime_clock::now()); }
 
-    asio::awaitable<void> harm_it(harm_daemon what, duration lasts)
+    asio::awaitable<void> inject(planned_daemon_fault spec, duration active_for)
     {
-        soak_daemon& one = m_site.daemons()[what.daemon];
+        soak_daemon& one = m_site.daemons()[spec.daemon];
         // One that is being stopped or restarted is left to that.
         if (!one.process || one.stopping)
             co_return;
-        const bool planned = what.fault == daemon_fault::stop || what.fault == daemon_fault::reload;
-        const std::size_t number = harm_begins(one.name, planned);
-        switch (what.fault) {
+        const bool planned = spec.fault == daemon_fault::stop || spec.fault == daemon_fault::reload;
+        const std::size_t fault_index = begin_fault(one.name, planned);
+        switch (spec.fault) {
         case daemon_fault::kill:
             one.stopping = true;
             one.process->signal(SIGKILL);
-            co_await end_and_restart(what.daemon, false);
+            co_await end_and_restart(spec.daemon, false);
             break;
         case daemon_fault::pause:
             one.process->signal(SIGSTOP);
-            co_await pause(lasts);
+            co_await pause(active_for);
             if (one.process)
                 one.process->signal(SIGCONT);
             break;
@@ -150,23 +154,23 @@
             one.stopping = true;
             one.process->signal(SIGTERM);
             one.process->signal(SIGCONT); // one that was paused goes on, and ends
-            co_await end_and_restart(what.daemon, true);
+            co_await end_and_restart(spec.daemon, true);
             break;
         case daemon_fault::reload:
             m_site.write_settings(one);
             one.process->signal(SIGHUP);
             break;
         }
-        harm_ends(number);
+        end_fault(fault_index);
     }
 
     asio::awaitable<void> end_and_restart(std::size_t index, bool graceful)
     {
         soak_daemon& one = m_site.daemons()[index];
-        const time_point until = runtime_clock::now() + longest_stop;
+        const time_point until = runtime_clock::now() + max_stop_time;
         std::optional<int> code;
         while (!(code = one.process->poll()) && runtime_clock::now() < until)
-            co_await pause(look);
+            co_await pause(poll_interval);
         if (!code) {
             m_problems.push_back(one.name + " did not end within the time of a planned stop");
             one.process->signal(SIGKILL);
@@ -174,26 +178,26 @@
         else if (graceful && *code != 0)
             m_problems.push_back(one.name + " ended a planned stop with code " +
                                  std::to_string(*code));
-        co_await pause(restart_after);
+        co_await pause(restart_delay);
         m_site.launch(index);
     }
 
-    asio::awaitable<void> harm_it(harm_runner what, duration lasts)
+    asio::awaitable<void> inject(planned_runner_fault spec, duration active_for)
     {
-        const std::shared_ptr<runner_standin> server = m_site.runners()[what.runner].server;
+        const std::shared_ptr<runner_standin> server = m_site.runners()[spec.runner].server;
         if (!server->alive())
             co_return;
-        if (what.fault == runner_fault::drain) {
+        if (spec.fault == runner_fault::drain) {
             co_await drain(*server);
             co_return;
         }
-        const std::size_t number = harm_begins({}, false);
+        const std::size_t fault_index = begin_fault({}, false);
         runner_faults& faults = server->faults;
-        const runner_faults sound;
-        switch (what.fault) {
+        const runner_faults no_faults;
+        switch (spec.fault) {
         case runner_fault::crash:
             server->crash();
-            co_await pause(entry_lapse);
+            co_await pause(entry_lifetime);
             server->stop();
             replace(*server);
             break;
@@ -218,73 +222,73 @@
         case runner_fault::drain:
             break;
         }
-        if (what.fault != runner_fault::crash)
-            co_await pause(lasts);
-        faults = sound;
-        harm_ends(number);
+        if (spec.fault != runner_fault::crash)
+            co_await pause(active_for);
+        faults = no_faults;
+        end_fault(fault_index);
     }
 
     asio::awaitable<void> drain(runner_standin& server)
     {
         server.drain();
-        m_book.draining(server.id(), runtime_clock::now());
-        co_await pause(drained_for);
+        m_checker.record_drain(server.id(), runtime_clock::now());
+        co_await pause(drain_time);
         server.stop();
         replace(server);
     }
 
     /// Another of its kind comes, with nothing on its host.
-    void replace(const runner_standin& gone)
+    void replace(const runner_standin& replaced)
     {
-        const runner_standin_settings& was = gone.settings();
-        m_site.add_runner(was.service, was.zone, was.domain);
+        const runner_standin_settings& old_settings = replaced.settings();
+        m_site.add_runner(old_settings.service, old_settings.zone, old_settings.domain);
     }
 
-    asio::awaitable<void> harm_it(harm_link what, duration lasts)
+    asio::awaitable<void> inject(planned_link_fault spec, duration active_for)
     {
         soak_site& site = m_site;
-        const bool of_runner = what.end == link_end::runner;
+        const bool of_runner = spec.end == link_end::runner;
         std::shared_ptr<fault_proxy> link;
         if (of_runner)
-            link = site.runners()[what.index].link;
-        else if (what.end == link_end::store)
-            link = site.daemons()[what.index].store_link;
+            link = site.runners()[spec.index].link;
+        else if (spec.end == link_end::store)
+            link = site.daemons()[spec.index].store_link;
         else
-            link = site.daemons()[what.index].peer_link;
-        const std::size_t number =
-            harm_begins(of_runner ? std::string{} : site.daemons()[what.index].name, false);
-        link->set(what.fault, what.delay);
-        co_await pause(lasts);
+            link = site.daemons()[spec.index].peer_link;
+        const std::size_t fault_index =
+            begin_fault(of_runner ? std::string{} : site.daemons()[spec.index].name, false);
+        link->set(spec.fault, spec.delay);
+        co_await pause(active_for);
         link->set(link_fault::none);
-        harm_ends(number);
+        end_fault(fault_index);
     }
 
-    asio::awaitable<void> harm_it(harm_store what, duration lasts)
+    asio::awaitable<void> inject(planned_store_fault spec, duration active_for)
     {
-        const std::size_t number = harm_begins({}, false);
-        if (what.fault == link_fault::none)
+        const std::size_t fault_index = begin_fault({}, false);
+        if (spec.fault == link_fault::none)
             m_site.store().refuses = true;
         for (soak_daemon& one : m_site.daemons())
-            one.store_link->set(what.fault, std::chrono::milliseconds{300});
-        co_await pause(lasts);
+            one.store_link->set(spec.fault, std::chrono::milliseconds{300});
+        co_await pause(active_for);
         m_site.store().refuses = false;
         for (soak_daemon& one : m_site.daemons())
             one.store_link->set(link_fault::none);
-        harm_ends(number);
+        end_fault(fault_index);
     }
 
-    asio::awaitable<void> harm_it(change_configuration /*what*/, duration /*lasts*/)
+    asio::awaitable<void> inject(configuration_change /*what*/, duration /*lasts*/)
     {
-        m_site.next_version();
+        m_site.publish_version();
         co_return;
     }
 
     const soak_settings& m_settings;
     asio::io_context m_io;
-    promise_book m_book;
+    promise_checker m_checker;
     soak_site m_site;
     soak_callers m_callers;
-    std::size_t m_under_way = 0;
+    std::size_t m_active_faults = 0;
     std::vector<std::string> m_problems;
 };
 
--- a/soak/soak_run.h
+++ b/soak/soak_run.h
@@ -22,9 +22,9 @@
 
 struct soak_outcome {
     std::vector<std::string> problems;
-    std::vector<std::string> story; ///< the faults, in order
+    std::vector<std::string> faults; ///< the faults, in order
     std::size_t requests = 0;
-    std::size_t whole = 0; ///< answered with success
+    std::size_t successes = 0; ///< answered with success
 };
 
 soak_outcome run_soak(const soak_settings& settings);
--- a/soak/soak_site.cc
+++ b/soak/soak_site.cc
@@ -16,7 +16,7 @@
 
 namespace {
 
-constexpr std::size_t most_seeds = 3; ///< as the platform gives
+constexpr std::size_t max_seeds = 3; ///< as the platform gives
 
 std::string zone_of(std::size_t index)
 {
@@ -25,15 +25,15 @@
 
 } // namespace
 
-soak_site::soak_site(asio::io_context& io, soak_site_settings settings, promise_book& book)
-    : m_io{io}, m_settings{std::move(settings)}, m_book{book}
+soak_site::soak_site(asio::io_context& io, soak_site_settings settings, promise_checker& checker)
+    : m_io{io}, m_settings{std::move(settings)}, m_checker{checker}
 {}
 
 void soak_site::start()
 {
     std::filesystem::create_directories(m_settings.folder);
     m_store = store_standin::start(m_io.get_executor()).value();
-    next_version();
+    publish_version();
     for (std::size_t index = 0; index < m_settings.runners; ++index) {
         const std::string zone = zone_of(index);
         add_runner("llm", zone, "d-" + zone);
@@ -49,23 +49,23 @@
 
 void soak_site::add_daemon(std::size_t index)
 {
-    soak_daemon& made = m_daemons.emplace_back();
-    made.name = "entry-" + std::to_string(index);
-    made.domain = zone_of(index);
-    made.listen = free_address();
-    made.ready_listen = free_address();
-    made.peer_listen = free_address();
-    made.admin_listen = free_address();
-    made.settings_file = m_settings.folder + "/" + made.name + ".toml";
-    made.store_link = fault_proxy::open(m_io.get_executor(), m_store->address()).value();
-    made.peer_link = fault_proxy::open(m_io.get_executor(), made.peer_listen).value();
+    soak_daemon& daemon = m_daemons.emplace_back();
+    daemon.name = "entry-" + std::to_string(index);
+    daemon.domain = zone_of(index);
+    daemon.listen = free_address();
+    daemon.ready_listen = free_address();
+    daemon.peer_listen = free_address();
+    daemon.admin_listen = free_address();
+    daemon.settings_file = m_settings.folder + "/" + daemon.name + ".toml";
+    daemon.store_link = fault_proxy::open(m_io.get_executor(), m_store->address()).value();
+    daemon.peer_link = fault_proxy::open(m_io.get_executor(), daemon.peer_listen).value();
 }
 
 void soak_site::write_settings(const soak_daemon& one) const
 {
     std::vector<std::string> seeds;
     for (const soak_daemon& seed : m_daemons) {
-        if (seeds.size() < most_seeds)
+        if (seeds.size() < max_seeds)
             seeds.push_back(seed.peer_link->address());
     }
     std::ofstream file{one.settings_file};
@@ -85,7 +85,7 @@
             .value();
     one.first_start = false;
     one.stopping = false;
-    m_book.restarted(one.name, runtime_clock::now());
+    m_checker.record_start(one.name, runtime_clock::now());
 }
 
 void soak_site::add_runner(const std::string& service, const std::string& zone,
@@ -98,29 +98,30 @@
     chosen.domain = domain;
     chosen.events = m_settings.stream_events;
     chosen.fabric = m_fabric;
-    soak_runner made;
-    made.server = runner_standin::start(m_io.get_executor(), m_store, chosen).value();
-    made.link = fault_proxy::open(m_io.get_executor(), made.server->address()).value();
-    made.server->show_at(made.link->address());
-    m_runners.push_back(std::move(made));
+    soak_runner runner;
+    runner.server = runner_standin::start(m_io.get_executor(), m_store, chosen).value();
+    runner.link = fault_proxy::open(m_io.get_executor(), runner.server->address()).value();
+    runner.server->show_at(runner.link->address());
+    m_runners.push_back(std::move(runner));
 }
 
-void soak_site::next_version()
+void soak_site::publish_version()
 {
     ++m_version;
     put_version(*m_store, m_version);
-    m_book.accepted(m_version, runtime_clock::now());
+    m_checker.record_version(m_version, runtime_clock::now());
 }
 
-void soak_site::note_runs()
+void soak_site::record_runs()
 {
     for (soak_runner& one : m_runners) {
-        for (; one.noted < one.server->ran.size(); ++one.noted)
-            m_book.ran(one.server->ran[one.noted].attempt, one.server->id(), runtime_clock::now());
+        for (; one.recorded_runs < one.server->ran.size(); ++one.recorded_runs)
+            m_checker.record_run(one.server->ran[one.recorded_runs].attempt, one.server->id(),
+                                 runtime_clock::now());
     }
 }
 
-std::vector<std::string> soak_site::unexpected_ends()
+std::vector<std::string> soak_site::unexpected_exits()
 {
     std::vector<std::string> found;
     for (soak_daemon& one : m_daemons) {
--- a/soak/soak_site.h
+++ b/soak/soak_site.h
@@ -50,12 +50,12 @@
 struct soak_runner {
     std::shared_ptr<runner_standin> server;
     std::shared_ptr<fault_proxy> link;
-    std::size_t noted = 0; ///< of what it ran, requests that are in the book
+    std::size_t recorded_runs = 0; ///< of what it ran, requests that are in the book
 };
 
 class soak_site {
 public:
-    soak_site(boost::asio::io_context& io, soak_site_settings settings, promise_book& book);
+    soak_site(boost::asio::io_context& io, soak_site_settings settings, promise_checker& checker);
 
     /// Starts everything; daemons of the first start.
     void start();
@@ -65,12 +65,12 @@
     void write_settings(const soak_daemon& one) const;
     void add_runner(const std::string& service, const std::string& zone, const std::string& domain);
     /// The operators' next version; the key of two versions ago ends with it.
-    void next_version();
+    void publish_version();
     [[nodiscard]] std::int64_t version() const { return m_version; }
     /// Takes over what runners ran since the last call.
-    void note_runs();
+    void record_runs();
     /// Daemons that ended though nobody ended them.
-    [[nodiscard]] std::vector<std::string> unexpected_ends();
+    [[nodiscard]] std::vector<std::string> unexpected_exits();
 
     [[nodiscard]] std::vector<soak_daemon>& daemons() { return m_daemons; }
     [[nodiscard]] std::vector<soak_runner>& runners() { return m_runners; }
@@ -83,7 +83,7 @@
 
     boost::asio::io_context& m_io;
     soak_site_settings m_settings;
-    promise_book& m_book;
+    promise_checker& m_checker;
     std::shared_ptr<store_standin> m_store;
     std::shared_ptr<runner_fabric> m_fabric = std::make_shared<runner_fabric>();
     std::vector<soak_daemon> m_daemons;
