--- a/soak/fault_plan.cc
+++ b/soak/fault_plan.cc
@@ -2,8 +2,9 @@
 
 #include "base/random.h"
 
-// Times between faults are exponential, so that some come together and some alone. A third of the
-// seeds draw planned work only: what is promised for calm times can't be checked between failures.
+// The intervals between faults are exponentially distributed, so some faults overlap and others
+// occur alone. Every third seed has planned maintenance only (graceful stops, reloads, drains and
+// configuration changes): guarantees for operation without failures can be checked only there.
 
 namespace jaynotch {
 
--- a/soak/fault_plan.h
+++ b/soak/fault_plan.h
@@ -1,9 +1,10 @@
-// What a soak does to its processes and links, drawn from a seed: series of faults that overlap.
+// Generates the fault schedule of a soak run from a seed: process, link, store and configuration
+// faults that may overlap in time.
 //
-//   for (const planned_fault& one : draw_plan({.seed = 7, .daemons = 4, .runners = 13}))
-//       std::printf("%s\n", to_string(one).c_str());
+//   for (const planned_fault& planned : draw_plan({.seed = 7, .daemons = 4, .runners = 13}))
+//       std::printf("%s\n", to_string(planned).c_str());
 //
-// A pure function of its settings: the same seed is the same plan.
+// draw_plan() is deterministic: equal settings give equal plans.
 #pragma once
 
 #include "base/base.h"
@@ -16,10 +17,10 @@
 namespace jaynotch {
 
 enum class daemon_fault {
-    kill,   ///< SIGKILL, and a new start
-    pause,  ///< SIGSTOP, and SIGCONT: its clocks stand still, those of the others go on
-    stop,   ///< SIGTERM, and a new start once it has ended
-    reload, ///< its settings file written anew, and SIGHUP
+    kill,   ///< SIGKILL, followed by a restart
+    pause,  ///< SIGSTOP, later SIGCONT: the daemon misses time that the other nodes see pass
+    stop,   ///< SIGTERM, followed by a restart after the process has exited
+    reload, ///< rewrites the settings file and sends SIGHUP
 };
 template <>
 struct enum_names<daemon_fault> {
@@ -29,14 +30,14 @@
 };
 
 enum class runner_fault {
-    crash, ///< gone without a word; its entry goes later, and a new runner comes
-    drain, ///< tells that it leaves, and leaves
-    mute,  ///< takes everything and answers nothing
+    crash, ///< exits without deregistering; its entry expires later and a new runner is added
+    drain, ///< announces that it is draining, then exits
+    mute,  ///< accepts requests and sends no answer
     refuse,
     fail,
-    cut,     ///< ends its connections after it ran a request
-    forge,   ///< sends answers that belong to others before its own
-    cut_mid, ///< ends streams in their middle
+    cut,     ///< closes the connection after running a request
+    forge,   ///< sends answers to other requests before the right one
+    cut_mid, ///< closes the connection in the middle of a stream
 };
 template <>
 struct enum_names<runner_fault> {
@@ -63,18 +64,19 @@
     runner_fault fault = runner_fault::crash;
     std::size_t runner = 0;
 };
-/// The link of a daemon to the store or from its peers, or that of all daemons to a runner.
+/// A fault on one daemon's link to the store, on the link from its peers, or on the link of all
+/// daemons to one runner.
 struct planned_link_fault {
     link_end end = link_end::store;
     std::size_t index = 0;
     link_fault fault = link_fault::silence;
     std::chrono::milliseconds delay{0};
 };
-/// The store answers 503 to everybody, or its links to all daemons fail alike.
+/// The store answers every request with 503, or all daemons' links to it have the same fault.
 struct planned_store_fault {
-    link_fault fault = link_fault::none; ///< none: it refuses
+    link_fault fault = link_fault::none; ///< none: the store answers 503
 };
-/// The operators change the configuration.
+/// An operator publishes a new configuration version.
 struct configuration_change {};
 
 struct planned_fault {
--- a/soak/fault_proxy.cc
+++ b/soak/fault_proxy.cc
@@ -11,9 +11,9 @@
 
 #include <array>
 
-// Each direction of a connection is a loop: read a piece, wait until it may go on, write it. The
-// end of one side is a piece like any other, so a cut also holds up the word that a connection
-// ended.
+// Each direction of a tunnel is a loop: read a chunk, wait until the current fault lets it pass,
+// write it. End of file waits like a chunk, so a blocked direction also delays the notice that the
+// connection was closed.
 
 namespace jaynotch {
 
@@ -39,7 +39,7 @@
     proxy->m_acceptor.bind(listen_endpoint, ec);
     proxy->m_acceptor.listen(asio::socket_base::max_listen_connections, ec);
     if (ec)
-        return error{error_kind::unavailable, "a proxy can't listen: " + ec.message(),
+        return error{error_kind::unavailable, "fault proxy cannot listen: " + ec.message(),
                      "run fewer soaks at once"};
     proxy->m_address = "127.0.0.1:" + std::to_string(proxy->m_acceptor.local_endpoint().port());
     asio::co_spawn(executor, accept_loop(proxy), asio::detached);
--- a/soak/fault_proxy.h
+++ b/soak/fault_proxy.h
@@ -1,11 +1,12 @@
-// A loopback proxy that harms what goes through it, from outside both ends.
+// A TCP proxy on the loopback interface that injects network faults into the connections it
+// forwards. Neither end needs to cooperate.
 //
 //   auto link = fault_proxy::open(executor, store_address).value();
-//   give(link->address());                  // to the process that is to reach the store through it
-//   link->set({.kind = link_fault::silence});
-//   link->set({});                          // sound again; what was held up goes on
+//   configure_daemon(link->address());      // the daemon reaches the store through the proxy
+//   link->set(link_fault::silence);
+//   link->set(link_fault::none);            // ends the fault; blocked data is forwarded
 //
-// One link of one process each, so that every link fails by itself.
+// Use one proxy for each link of each process, so that each link can fail independently.
 #pragma once
 
 #include "base/base.h"
@@ -21,12 +22,12 @@
 
 enum class link_fault {
     none,
-    delay,      ///< every piece comes later
-    reset,      ///< connections are reset, those open and those that come
-    cut_there,  ///< what the near end sends is held up, the rest goes through
-    cut_back,   ///< what the far end sends is held up
-    silence,    ///< both are held up, and nothing is closed
-    drop_quiet, ///< what is open goes silent for good, what comes later works
+    delay,      ///< each chunk is forwarded after a delay
+    reset,      ///< open and new connections are reset
+    cut_there,  ///< data from the client is blocked, data from the target passes
+    cut_back,   ///< data from the target is blocked, data from the client passes
+    silence,    ///< both directions are blocked, and no connection is closed
+    drop_quiet, ///< open connections are blocked for good, new ones work
 };
 
 template <>
@@ -44,7 +45,8 @@
 
 class fault_proxy : public std::enable_shared_from_this<fault_proxy> {
 public:
-    /// Listens on a free port of the loopback for connections to `target`.
+    /// Listens on a free loopback port and forwards connections to `target` ("host:port").
+    /// Errors: invalid_argument for a malformed target, unavailable if it can't listen.
     static result<std::shared_ptr<fault_proxy>> open(const boost::asio::any_io_executor& executor,
                                                      const std::string& target);
 
@@ -56,7 +58,7 @@
     struct tunnel {
         boost::asio::ip::tcp::socket client;
         boost::asio::ip::tcp::socket upstream;
-        bool blackholed = false; ///< passes nothing any more
+        bool blackholed = false; ///< forwards no more data
     };
     enum class direction { to_upstream, to_client };
 
@@ -69,7 +71,7 @@
                                                 std::shared_ptr<tunnel> connection);
     static boost::asio::awaitable<void> copy(std::shared_ptr<fault_proxy> self,
                                              std::shared_ptr<tunnel> connection, direction dir);
-    /// Waits until a piece may go on; false if it never may.
+    /// Waits until a chunk may be forwarded. False if the tunnel or the proxy was closed meanwhile.
     boost::asio::awaitable<bool> wait_until_allowed(std::shared_ptr<tunnel> connection,
                                                     direction dir);
     [[nodiscard]] bool is_blocked(direction dir) const;
--- a/soak/fault_soak_main.cc
+++ b/soak/fault_soak_main.cc
@@ -1,9 +1,10 @@
-// jaynotch-fault-soak: real daemons under random faults from outside, and the promises checked.
+// jaynotch-fault-soak: runs daemon processes under random injected faults and checks the guarantees
+// that callers rely on.
 //
 //   jaynotch-fault-soak --programs=build --seeds=1,2,3 --seconds=10
-//   jaynotch-fault-soak --from=100 --count=50                    # fifty fresh seeds
+//   jaynotch-fault-soak --from=100 --count=50                    # seeds 100 to 149
 //
-// Exit codes: 0 every promise was kept, 1 some was not, 2 usage.
+// Exit codes: 0 no violation, 1 a violation, 2 wrong usage.
 #include "absl/flags/flag.h"
 #include "absl/flags/parse.h"
 #include "absl/flags/usage.h"
@@ -15,15 +16,15 @@
 
 ABSL_FLAG(std::string, programs, "build", "folder of jaynotchd");
 ABSL_FLAG(std::string, logs, "build/soak", "folder for settings files and the daemons' logs");
-ABSL_FLAG(std::vector<std::string>, seeds, {}, "seeds to play, by commas");
-ABSL_FLAG(std::uint64_t, from, 1, "first seed, if --seeds names none");
-ABSL_FLAG(std::uint64_t, count, 1, "how many seeds, if --seeds names none");
-ABSL_FLAG(std::uint32_t, seconds, 10, "how long faults come, for each seed");
-ABSL_FLAG(double, faults, 1.2, "faults that begin each second");
-ABSL_FLAG(std::uint32_t, daemons, 4, "entry VMs");
-ABSL_FLAG(std::uint32_t, runners, 10, "model runners");
+ABSL_FLAG(std::vector<std::string>, seeds, {}, "seeds to run, separated by commas");
+ABSL_FLAG(std::uint64_t, from, 1, "first seed, if --seeds is empty");
+ABSL_FLAG(std::uint64_t, count, 1, "number of seeds, if --seeds is empty");
+ABSL_FLAG(std::uint32_t, seconds, 10, "how long faults are injected, for each seed");
+ABSL_FLAG(double, faults, 1.2, "mean number of faults started each second");
+ABSL_FLAG(std::uint32_t, daemons, 4, "number of entry VMs");
+ABSL_FLAG(std::uint32_t, runners, 10, "number of model runners");
 ABSL_FLAG(std::uint32_t, callers, 12, "callers");
-ABSL_FLAG(bool, story, false, "print each seed's faults, also if nothing broke");
+ABSL_FLAG(bool, story, false, "print each seed's faults, also without a violation");
 
 namespace jaynotch {
 namespace {
@@ -53,7 +54,7 @@
     return outcome.problems.empty();
 }
 
-/// Seeds to play; empty if one is no number.
+/// The seeds to run; empty if one is not a number.
 std::vector<std::uint64_t> parse_seeds()
 {
     std::vector<std::uint64_t> seeds;
@@ -61,7 +62,7 @@
         std::uint64_t seed = 0;
         const auto [end, failed] = std::from_chars(word.data(), word.data() + word.size(), seed);
         if (failed != std::errc{} || end != word.data() + word.size()) {
-            std::fprintf(stderr, "jaynotch-fault-soak: --seeds: \"%s\" is no number\n",
+            std::fprintf(stderr, "jaynotch-fault-soak: --seeds: \"%s\" is not a number\n",
                          word.c_str());
             return {};
         }
@@ -91,7 +92,7 @@
 
 int main(int argc, char** argv)
 {
-    absl::SetProgramUsageMessage("plays random faults: jaynotch-fault-soak [flags]");
+    absl::SetProgramUsageMessage("runs daemons under random faults: jaynotch-fault-soak [flags]");
     const auto set = jaynotch::read_environment("soak/fault_soak_main.cc");
     if (!set) {
         std::fprintf(stderr, "jaynotch-fault-soak: %s\n", to_string(set.error()).c_str());
--- a/soak/promise_book.cc
+++ b/soak/promise_book.cc
@@ -3,10 +3,10 @@
 #include <algorithm>
 #include <set>
 
-// Some promises hold always: an answer belongs to its request and is whole, "did not run" is true,
-// an order runs once. Others have a time bound, or concern planned work, and hold for nodes that
-// nothing harmed for a while before; they are checked only where the plan of faults left the node
-// alone.
+// Some guarantees hold at all times: an answer belongs to its request and is complete, a request
+// answered as not run has not run, and an order runs at most once. Others have a time bound or
+// concern planned maintenance. They hold only for nodes without a recent fault, and are checked
+// only for periods in which no fault affected the node.
 
 namespace jaynotch {
 
@@ -15,7 +15,7 @@
 constexpr std::uint32_t ok = 200;
 constexpr std::uint32_t unauthorized = 401;
 
-/// Statuses that promise that the request has not run and never will.
+/// Whether the status guarantees that the request has not run and never will.
 bool promises_not_run(std::uint32_t status)
 {
     constexpr std::array promises{408U, 421U, 429U, 503U};
@@ -92,10 +92,10 @@
     if (history.answer.status != ok)
         return;
     if (history.runs.empty())
-        out.push_back(describe(history.request) + ": a success, but no server ran it");
+        out.push_back(describe(history.request) + ": answered with success, but no server ran it");
     if (history.answer.id != history.request.id)
-        out.push_back(describe(history.request) + ": got the answer to " + history.answer.id);
-    // Several servers may have run a read; the answer is that of one of them.
+        out.push_back(describe(history.request) + ": received the answer to " + history.answer.id);
+    // A read may have run on several servers; the answer must be that of one of them.
     const bool matches_any_run =
         std::any_of(history.runs.begin(), history.runs.end(), [&](const run& each) {
             request_history with_single_run = history;
@@ -104,7 +104,7 @@
         });
     if (!matches_any_run)
         out.push_back(describe(history.request) +
-                      ": a success that is not its server's whole answer: \"" +
+                      ": a successful answer that is not the complete answer of its server: \"" +
                       history.answer.body + "\"");
 }
 
@@ -112,7 +112,7 @@
                                  std::vector<std::string>& out) const
 {
     if (history.request.id.empty()) {
-        out.push_back("a server ran a request that nobody sent");
+        out.push_back("a server ran a request that no caller sent");
         return;
     }
     if (history.request.kind == caller_request_kind::order && history.runs.size() > 1)
@@ -122,7 +122,7 @@
         out.push_back(describe(history.request) + ": answered " +
                       std::to_string(history.answer.status) + ", but it ran");
     if (history.ended && history.answer.status == unauthorized && !history.runs.empty())
-        out.push_back(describe(history.request) + ": refused for its key, but it ran");
+        out.push_back(describe(history.request) + ": refused because of its key, but it ran");
 }
 
 void promise_checker::check_servers(const request_history& history, std::vector<std::string>& out)
@@ -135,7 +135,7 @@
                       " servers, " + std::to_string(history.request.max_servers) + " are allowed");
 }
 
-/// A planned stop cuts nobody off: what has reached a server is answered.
+/// A planned stop truncates no answer: a request that has reached a server is answered.
 void promise_checker::check_planned_stop(const request_history& history,
                                          std::vector<std::string>& out) const
 {
@@ -143,7 +143,7 @@
         return;
     if (undisturbed(history.request.node, history.request.sent, history.ended_at, false))
         out.push_back(describe(history.request) +
-                      ": cut off though nothing but planned work went on");
+                      ": connection cut off, though only planned maintenance was under way");
 }
 
 void promise_checker::check_drain(const request_history& history,
@@ -157,11 +157,12 @@
         if (each.at > deadline && history.request.sent > deadline &&
             undisturbed(history.request.node, drain_started->second, each.at, true))
             out.push_back(describe(history.request) + ": sent to " + each.runner +
-                          " long after it began to leave");
+                          " after the time allowed for its drain");
     }
 }
 
-/// Keys of the last two versions are in force.
+/// The keys of the last two versions are valid: older ones must be refused and these accepted, each
+/// once the time allowed for applying a version has passed.
 void promise_checker::check_key(const request_history& history, std::vector<std::string>& out) const
 {
     if (!history.ended || history.request.key_version == 0)
@@ -174,7 +175,7 @@
     };
     const std::int64_t key = history.request.key_version;
     if (history.answer.status == ok && accepted_before(key + 2))
-        out.push_back(describe(history.request) + ": a key was taken that version " +
+        out.push_back(describe(history.request) + ": accepted a key that version " +
                       std::to_string(key + 2) + " had revoked");
     const bool may_be_revoked =
         m_accepted.contains(key + 2) && m_accepted.at(key + 2) <= history.ended_at;
@@ -183,8 +184,8 @@
                       " was refused");
 }
 
-/// Within one life of a node, versions never go back: once a key has worked, older ones that it has
-/// outlived don't, and it is known.
+/// A node's process never returns to an older configuration: once it has accepted a key, it accepts
+/// no key that was revoked by then, that is, one more than a version older.
 void promise_checker::check_versions(std::vector<std::string>& out) const
 {
     std::vector<const request_history*> by_end_time;
@@ -211,7 +212,7 @@
         const bool after = history->request.sent > newest_accepted.at;
         if (history->answer.status == ok) {
             if (after && history->request.key_version + 1 < newest_accepted.version)
-                out.push_back(describe(history->request) + ": took a key of version " +
+                out.push_back(describe(history->request) + ": accepted a key of version " +
                               std::to_string(history->request.key_version) + " after one of " +
                               std::to_string(newest_accepted.version));
             if (history->request.key_version > newest_accepted.version)
--- a/soak/promise_book.h
+++ b/soak/promise_book.h
@@ -1,11 +1,11 @@
-// The account of a soak: what callers asked and were answered, what runners ran, and which promises
-// that breaks. Pure: no sockets, no clock.
+// Records the requests, executions and faults of a soak run and reports each violation of the
+// guarantees that callers rely on. It uses neither sockets nor a clock.
 //
-//   promise_checker book;
-//   book.asked({.id = "c1-7", .kind = caller_request_kind::order, .node = "entry-1", .sent = now});
-//   book.ran("c1-7", now);                                  // by a runner
-//   book.answered("c1-7", {.status = 503, ...}, now);
-//   for (const std::string& broken : book.broken()) ...     // once everything has settled
+//   promise_checker checker{stream_events};
+//   checker.record_request({.id = "c1-7", .kind = caller_request_kind::order, ...});
+//   checker.record_run("c1-7", "a-1", now);                   // executed by runner a-1
+//   checker.record_answer("c1-7", {.status = 503, ...}, now);
+//   for (const std::string& violation : checker.violations()) ...   // after the run
 #pragma once
 
 #include "base/base.h"
@@ -19,41 +19,43 @@
 
 enum class caller_request_kind {
     stream, ///< may be resumed on another server
-    order,  ///< runs once at most
-    read,   ///< may be repeated
+    order,  ///< must run at most once
+    read,   ///< may be retried
 };
 
 struct request_record {
     std::string id;
     caller_request_kind kind = caller_request_kind::read;
     std::string node;
-    std::int64_t key_version = 0; ///< of the key that it bore; 0: none is needed
+    std::int64_t key_version = 0; ///< of the API key it was sent with; 0: needs no key
     time_point sent;
-    std::size_t max_servers = 1; ///< that may run it
+    std::size_t max_servers = 1; ///< on how many servers it may run
 };
 
-/// What a caller got. `status` is 0 if the connection ended without a whole answer.
+/// The answer that a caller received. `status` is 0 if the connection ended before the answer was
+/// complete.
 struct received_answer {
     std::uint32_t status = 0;
-    std::string id;   ///< as the answer names it
-    std::string body; ///< of a success
+    std::string id;   ///< request id in the answer
+    std::string body; ///< set for a successful answer
 };
 
-/// When a node or its links, or the store, were harmed on purpose.
+/// When a fault was injected into a node, its links or the store.
 struct fault_period {
-    std::string node; ///< empty: everything
+    std::string node; ///< empty: affects all nodes
     time_point from;
     time_point until = time_point::max();
-    bool planned = false; ///< a stop that was asked for, as opposed to a failure
+    bool planned = false; ///< maintenance such as a graceful stop, not a failure
 };
 
-/// Figures that the configuration's and drains' promises are made in.
+/// Time bounds that the guarantees for configuration changes and drains are checked against.
 struct promise_bounds {
     duration config_apply = std::chrono::milliseconds{2'000};
     duration drain = std::chrono::milliseconds{2'000};
-    duration recovery = std::chrono::milliseconds{3'000}; ///< after harm, before bounds hold again
-    /// A loaded machine runs a few busy processes besides: scheduling delays that are nobody's
-    /// fault.
+    duration recovery =
+        std::chrono::milliseconds{3'000}; ///< after a fault, until the bounds hold again
+    /// Added to the bounds: on a machine that also runs other busy processes, scheduling delays
+    /// are not the daemons' fault.
     duration slack = std::chrono::milliseconds{1'500};
 };
 
@@ -66,10 +68,11 @@
     void record_request(request_record request);
     void record_run(const std::string& id, const std::string& runner, time_point now);
     void record_answer(const std::string& id, received_answer answer, time_point now);
-    /// The store has accepted a version, with which `keys` are the keys in force: the last two.
+    /// The store accepted a configuration version. The keys of that version and of the one before
+    /// it are then valid.
     void record_version(std::int64_t version, time_point now) { m_accepted[version] = now; }
     void record_drain(const std::string& runner, time_point now) { m_draining[runner] = now; }
-    /// A node started: what it knew before is gone.
+    /// A node's process started, without the state of its previous process.
     void record_start(const std::string& node, time_point now) { m_starts[node].push_back(now); }
     std::size_t record_fault(fault_period period);
     void record_fault_end(std::size_t fault_period, time_point now)
@@ -77,7 +80,7 @@
         m_fault_periods[fault_period].until = now;
     }
 
-    /// Everything that breaks a promise, one line each.
+    /// One line for each violation.
     [[nodiscard]] std::vector<std::string> violations() const;
     [[nodiscard]] std::size_t requests() const { return m_requests.size(); }
     [[nodiscard]] std::size_t successes() const;
@@ -103,7 +106,7 @@
     void check_key(const request_history& history, std::vector<std::string>& out) const;
     void check_versions(std::vector<std::string>& out) const;
     [[nodiscard]] std::string expected_body(const request_history& history) const;
-    /// Whether the node and everything else was sound all the while.
+    /// Whether no fault that affects the node was active or within its recovery time.
     [[nodiscard]] bool undisturbed(const std::string& node, time_point from, time_point until,
                                    bool include_planned) const;
 
--- a/soak/soak_callers.cc
+++ b/soak/soak_callers.cc
@@ -12,9 +12,9 @@
 
 namespace {
 
-/// Beyond the route's timeout, so that a request that is never answered shows.
+/// Longer than the route's timeout, so that a request that the daemon never answers is detected.
 constexpr duration caller_timeout = std::chrono::seconds{7};
-constexpr std::int64_t max_pause_ms = 120; ///< of a caller between two requests
+constexpr std::int64_t max_pause_ms = 120; ///< between two requests of a caller
 
 caller_request_kind draw_kind(random_source& random)
 {
@@ -65,8 +65,8 @@
 asio::awaitable<void> soak_callers::run(std::size_t caller)
 {
     std::vector<http_client> clients;
-    for (const soak_daemon& one : m_site.daemons())
-        clients.emplace_back(m_io.get_executor(), one.listen, http_limits{});
+    for (const soak_daemon& daemon : m_site.daemons())
+        clients.emplace_back(m_io.get_executor(), daemon.listen, http_limits{});
     while (!m_stopped) {
         const std::size_t daemon = m_random.index(clients.size());
         co_await send_request(caller, daemon, clients[daemon]);
@@ -82,7 +82,7 @@
     request.id = "c" + std::to_string(caller) + "-" + std::to_string(++m_last_request);
     request.kind = draw_kind(m_random);
     request.node = m_site.daemons()[daemon].name;
-    // Mostly the newest key; sometimes one that has ended or is about to.
+    // Mostly the newest key; sometimes one that is revoked or about to be.
     constexpr double old_key_probability = 0.15;
     const std::int64_t newest = m_site.version();
     const std::int64_t versions_back =
--- a/soak/soak_callers.h
+++ b/soak/soak_callers.h
@@ -1,7 +1,7 @@
-// Callers of a soak: each keeps its connections to the daemons open and uses them until the process
-// at the other end is gone; every request and answer goes into the book.
+// The callers of a soak run. Each keeps a client with persistent connections to every daemon and
+// sends random requests; every request and answer is recorded in the promise_checker.
 //
-//   soak_callers callers{io, site, book, random_source{seed}};
+//   soak_callers callers{io, site, checker, random_source{seed}};
 //   callers.start(12);
 //   callers.stop();
 #pragma once
@@ -20,7 +20,7 @@
     {}
 
     void start(std::size_t count);
-    /// Those under way end first; `idle` then tells.
+    /// Sends no further requests. idle() is true once the pending ones have ended.
     void stop() { m_stopped = true; }
     [[nodiscard]] bool idle() const { return m_running == 0; }
 
--- a/soak/soak_run.cc
+++ b/soak/soak_run.cc
@@ -7,9 +7,9 @@
 
 #include <csignal>
 
-// Start, let groups form, begin to ask, harm, heal, ask on, stop. Each fault is a coroutine of its
-// own, which harms, waits and heals; the book is told of both. After the last fault everything must
-// serve again.
+// A run starts the site, waits until groups have formed, starts the callers, injects the planned
+// faults, waits for recovery, checks that requests succeed again, and stops. Each fault is a
+// coroutine that starts the fault, waits and ends it, and records both times in the checker.
 
 namespace jaynotch {
 
@@ -20,7 +20,7 @@
 constexpr duration max_start_time = std::chrono::seconds{20};
 constexpr duration max_stop_time = std::chrono::seconds{12};
 constexpr duration entry_lifetime = std::chrono::milliseconds{1'500}; ///< three heartbeats
-constexpr duration drain_time = std::chrono::milliseconds{4'000};     ///< then the server ends
+constexpr duration drain_time = std::chrono::milliseconds{4'000};     ///< then the server exits
 constexpr duration restart_delay = std::chrono::milliseconds{150};
 constexpr duration recovery_time = std::chrono::seconds{6};
 constexpr duration final_load_time = std::chrono::seconds{2};
@@ -38,17 +38,18 @@
     {
         m_site.start();
         if (!run_until([&] { return serving(); }, max_start_time))
-            return {{"no group serves " + std::to_string(max_start_time / poll_interval) +
-                     " looks after the start"},
+            return {{"fewer than two servers are ready " +
+                     std::to_string(max_start_time / poll_interval) +
+                     " poll intervals after the start"},
                     {},
                     0,
                     0};
         m_callers.start(m_settings.callers);
         soak_outcome outcome;
-        for (const planned_fault& one : plan()) {
-            outcome.faults.push_back(to_string(one));
+        for (const planned_fault& fault : plan()) {
+            outcome.faults.push_back(to_string(fault));
             ++m_active_faults;
-            asio::co_spawn(m_io, inject_planned(one), [this](std::exception_ptr failed) {
+            asio::co_spawn(m_io, inject_planned(fault), [this](std::exception_ptr failed) {
                 --m_active_faults;
                 if (failed)
                     std::rethrow_exception(failed);
@@ -57,15 +58,16 @@
         run_for(m_settings.length);
         run_until([&] { return m_active_faults == 0; }, max_start_time);
         if (m_active_faults != 0)
-            outcome.problems.push_back("a fault did not come to its end: a process did not stop");
+            outcome.problems.push_back(
+                "a fault did not end in time: a process may not have stopped");
         run_for(recovery_time);
         const std::size_t before = m_checker.successes();
         run_for(final_load_time);
         if (m_checker.successes() == before)
-            outcome.problems.push_back("nothing serves after everything was healed");
+            outcome.problems.push_back("no request succeeded after all faults had ended");
         m_callers.stop();
         if (!run_until([&] { return m_callers.idle(); }, max_start_time))
-            outcome.problems.push_back("callers still wait for answers");
+            outcome.problems.push_back("some callers are still waiting for answers");
         m_site.record_runs();
         for (std::string& end : m_site.unexpected_exits())
             outcome.problems.push_back(std::move(end));
@@ -106,19 +108,19 @@
     bool serving()
     {
         std::size_t open = 0;
-        for (const soak_runner& one : m_site.runners())
-            open += one.server->open() ? 1 : 0;
+        for (const soak_runner& runner : m_site.runners())
+            open += runner.server->open() ? 1 : 0;
         constexpr std::size_t enough = 2;
         return open >= enough;
     }
 
     asio::awaitable<void> pause(duration time) { return standin_sleep(m_io.get_executor(), time); }
 
-    asio::awaitable<void> inject_planned(planned_fault one)
+    asio::awaitable<void> inject_planned(planned_fault planned)
     {
-        co_await pause(one.at);
-        co_await std::visit([&](const auto& spec) { return inject(spec, one.active_for); },
-                            one.action);
+        co_await pause(planned.at);
+        co_await std::visit([&](const auto& spec) { return inject(spec, planned.active_for); },
+                            planned.action);
     }
 
     std::size_t begin_fault(const std::string& node, bool planned)
@@ -132,33 +134,34 @@
 
     asio::awaitable<void> inject(planned_daemon_fault spec, duration active_for)
     {
-        soak_daemon& one = m_site.daemons()[spec.daemon];
-        // One that is being stopped or restarted is left to that.
-        if (!one.process || one.stopping)
+        soak_daemon& daemon = m_site.daemons()[spec.daemon];
+        // Skips a daemon that is being stopped or restarted.
+        if (!daemon.process || daemon.stopping)
             co_return;
         const bool planned = spec.fault == daemon_fault::stop || spec.fault == daemon_fault::reload;
-        const std::size_t fault_index = begin_fault(one.name, planned);
+        const std::size_t fault_index = begin_fault(daemon.name, planned);
         switch (spec.fault) {
         case daemon_fault::kill:
-            one.stopping = true;
-            one.process->signal(SIGKILL);
+            daemon.stopping = true;
+            daemon.process->signal(SIGKILL);
             co_await end_and_restart(spec.daemon, false);
             break;
         case daemon_fault::pause:
-            one.process->signal(SIGSTOP);
+            daemon.process->signal(SIGSTOP);
             co_await pause(active_for);
-            if (one.process)
-                one.process->signal(SIGCONT);
+            if (daemon.process)
+                daemon.process->signal(SIGCONT);
             break;
         case daemon_fault::stop:
-            one.stopping = true;
-            one.process->signal(SIGTERM);
-            one.process->signal(SIGCONT); // one that was paused goes on, and ends
+            daemon.stopping = true;
+            daemon.process->signal(SIGTERM);
+            daemon.process->signal(
+                SIGCONT); // a paused process handles SIGTERM only once it continues
             co_await end_and_restart(spec.daemon, true);
             break;
         case daemon_fault::reload:
-            m_site.write_settings(one);
-            one.process->signal(SIGHUP);
+            m_site.write_settings(daemon);
+            daemon.process->signal(SIGHUP);
             break;
         }
         end_fault(fault_index);
@@ -166,17 +169,18 @@
 
     asio::awaitable<void> end_and_restart(std::size_t index, bool graceful)
     {
-        soak_daemon& one = m_site.daemons()[index];
+        soak_daemon& daemon = m_site.daemons()[index];
         const time_point until = runtime_clock::now() + max_stop_time;
         std::optional<int> code;
-        while (!(code = one.process->poll()) && runtime_clock::now() < until)
+        while (!(code = daemon.process->poll()) && runtime_clock::now() < until)
             co_await pause(poll_interval);
         if (!code) {
-            m_problems.push_back(one.name + " did not end within the time of a planned stop");
-            one.process->signal(SIGKILL);
+            m_problems.push_back(daemon.name +
+                                 " did not exit within the time allowed for a planned stop");
+            daemon.process->signal(SIGKILL);
         }
         else if (graceful && *code != 0)
-            m_problems.push_back(one.name + " ended a planned stop with code " +
+            m_problems.push_back(daemon.name + " exited from a planned stop with code " +
                                  std::to_string(*code));
         co_await pause(restart_delay);
         m_site.launch(index);
@@ -237,7 +241,7 @@
         replace(server);
     }
 
-    /// Another of its kind comes, with nothing on its host.
+    /// Adds a runner of the same service, zone and domain, with no model on its host.
     void replace(const runner_standin& replaced)
     {
         const runner_standin_settings& old_settings = replaced.settings();
@@ -268,12 +272,12 @@
         const std::size_t fault_index = begin_fault({}, false);
         if (spec.fault == link_fault::none)
             m_site.store().refuses = true;
-        for (soak_daemon& one : m_site.daemons())
-            one.store_link->set(spec.fault, std::chrono::milliseconds{300});
+        for (soak_daemon& daemon : m_site.daemons())
+            daemon.store_link->set(spec.fault, std::chrono::milliseconds{300});
         co_await pause(active_for);
         m_site.store().refuses = false;
-        for (soak_daemon& one : m_site.daemons())
-            one.store_link->set(link_fault::none);
+        for (soak_daemon& daemon : m_site.daemons())
+            daemon.store_link->set(link_fault::none);
         end_fault(fault_index);
     }
 
--- a/soak/soak_run.h
+++ b/soak/soak_run.h
@@ -1,7 +1,8 @@
-// One seed of the fault soak, from the start of the processes to the verdict.
+// Runs the fault soak for one seed: starts the processes, injects the planned faults under load and
+// returns what went wrong.
 //
-//   const soak_outcome seen = run_soak({.seed = 7, .site = {.folder = "build/soak/7"}});
-//   for (const std::string& problem : seen.problems) ...
+//   const soak_outcome outcome = run_soak({.seed = 7, .site = {.folder = "build/soak/7"}});
+//   for (const std::string& problem : outcome.problems) ...
 #pragma once
 
 #include "soak/fault_plan.h"
@@ -22,9 +23,9 @@
 
 struct soak_outcome {
     std::vector<std::string> problems;
-    std::vector<std::string> faults; ///< the faults, in order
+    std::vector<std::string> faults; ///< descriptions of the injected faults, in order of time
     std::size_t requests = 0;
-    std::size_t successes = 0; ///< answered with success
+    std::size_t successes = 0; ///< requests answered with success
 };
 
 soak_outcome run_soak(const soak_settings& settings);
--- a/soak/soak_site.cc
+++ b/soak/soak_site.cc
@@ -6,9 +6,9 @@
 #include <filesystem>
 #include <fstream>
 
-// A daemon keeps its addresses over its lives, as a VM does. Its own links lead through proxies: to
-// the store by its settings file, from its peers by the address that it tells them. Runners
-// register the address of the proxy before them.
+// A daemon keeps its addresses over restarts, as a VM does. Its links lead through proxies: the
+// settings file gives the proxy's address for the store, --peer_advertise gives the proxy's address
+// to its peers, and runners register the address of their proxy.
 
 namespace jaynotch {
 
@@ -16,7 +16,7 @@
 
 namespace {
 
-constexpr std::size_t max_seeds = 3; ///< as the platform gives
+constexpr std::size_t max_seeds = 3; ///< as many as the platform gives
 
 std::string zone_of(std::size_t index)
 {
@@ -61,31 +61,31 @@
     daemon.peer_link = fault_proxy::open(m_io.get_executor(), daemon.peer_listen).value();
 }
 
-void soak_site::write_settings(const soak_daemon& one) const
+void soak_site::write_settings(const soak_daemon& daemon) const
 {
     std::vector<std::string> seeds;
     for (const soak_daemon& seed : m_daemons) {
         if (seeds.size() < max_seeds)
             seeds.push_back(seed.peer_link->address());
     }
-    std::ofstream file{one.settings_file};
-    file << settings_text({one.name, one.domain, one.first_start, seeds, one.listen,
-                           one.ready_listen, one.peer_listen, one.store_link->address()});
+    std::ofstream file{daemon.settings_file};
+    file << settings_text({daemon.name, daemon.domain, daemon.first_start, seeds, daemon.listen,
+                           daemon.ready_listen, daemon.peer_listen, daemon.store_link->address()});
 }
 
 void soak_site::launch(std::size_t index)
 {
-    soak_daemon& one = m_daemons[index];
-    write_settings(one);
-    one.process =
-        child_process::start({m_settings.program, "--settings=" + one.settings_file,
-                              "--peer_advertise=" + one.peer_link->address(),
-                              "--admin_listen=" + one.admin_listen, "--balancer_wait_ms=300"},
-                             m_settings.folder + "/" + one.name + ".log")
+    soak_daemon& daemon = m_daemons[index];
+    write_settings(daemon);
+    daemon.process =
+        child_process::start({m_settings.program, "--settings=" + daemon.settings_file,
+                              "--peer_advertise=" + daemon.peer_link->address(),
+                              "--admin_listen=" + daemon.admin_listen, "--balancer_wait_ms=300"},
+                             m_settings.folder + "/" + daemon.name + ".log")
             .value();
-    one.first_start = false;
-    one.stopping = false;
-    m_checker.record_start(one.name, runtime_clock::now());
+    daemon.first_start = false;
+    daemon.stopping = false;
+    m_checker.record_start(daemon.name, runtime_clock::now());
 }
 
 void soak_site::add_runner(const std::string& service, const std::string& zone,
@@ -114,21 +114,22 @@
 
 void soak_site::record_runs()
 {
-    for (soak_runner& one : m_runners) {
-        for (; one.recorded_runs < one.server->ran.size(); ++one.recorded_runs)
-            m_checker.record_run(one.server->ran[one.recorded_runs].attempt, one.server->id(),
-                                 runtime_clock::now());
+    for (soak_runner& runner : m_runners) {
+        for (; runner.recorded_runs < runner.server->ran.size(); ++runner.recorded_runs)
+            m_checker.record_run(runner.server->ran[runner.recorded_runs].attempt,
+                                 runner.server->id(), runtime_clock::now());
     }
 }
 
 std::vector<std::string> soak_site::unexpected_exits()
 {
     std::vector<std::string> found;
-    for (soak_daemon& one : m_daemons) {
-        if (!one.process)
+    for (soak_daemon& daemon : m_daemons) {
+        if (!daemon.process)
             continue;
-        if (const std::optional<int> code = one.process->poll(); code && !one.stopping)
-            found.push_back(one.name + " ended by itself with code " + std::to_string(*code));
+        if (const std::optional<int> code = daemon.process->poll(); code && !daemon.stopping)
+            found.push_back(daemon.name + " exited unexpectedly with code " +
+                            std::to_string(*code));
     }
     return found;
 }
--- a/soak/soak_site.h
+++ b/soak/soak_site.h
@@ -1,10 +1,10 @@
-// What a soak runs on: the platform's store and runners as stand-ins in this process, the daemons
-// as processes of their own, and a fault_proxy on every link between them.
+// The system under test in a soak run: stand-ins for the platform's store and the runners in this
+// process, the daemons as child processes, and a fault_proxy on each link between them.
 //
-//   soak_site site{io, {.daemons = 4, .folder = "/tmp/soak-7"}, book};
+//   soak_site site{io, {.daemons = 4, .folder = "/tmp/soak-7"}, checker};
 //   site.start();
-//   site.daemon(0).signal(SIGKILL);   ...   site.launch(0);
-//   site.store_link(0).set(link_fault::silence);
+//   site.daemons()[0].process->signal(SIGKILL);   ...   site.launch(0);
+//   site.daemons()[0].store_link->set(link_fault::silence);
 #pragma once
 
 #include "scenarios/child_process.h"
@@ -25,12 +25,12 @@
     std::string program = "build/jaynotchd";
     std::string folder; ///< for settings files and logs
     std::size_t daemons = 4;
-    std::size_t runners = 10; ///< in two fabric domains
-    std::size_t servers = 3;  ///< plain ones
+    std::size_t runners = 10; ///< model runners, in two fabric domains
+    std::size_t servers = 3;  ///< plain backend servers
     std::size_t stream_events = 12;
 };
 
-/// One entry VM: its process over all its lives.
+/// One entry VM: its addresses and its current process.
 struct soak_daemon {
     std::string name;
     std::string domain;
@@ -40,36 +40,36 @@
     std::string admin_listen;
     std::string settings_file;
     std::shared_ptr<fault_proxy> store_link;
-    std::shared_ptr<fault_proxy> peer_link; ///< others reach it through this one
+    std::shared_ptr<fault_proxy> peer_link; ///< the other daemons reach it through this proxy
     std::optional<child_process> process;
     bool first_start = true;
-    bool stopping = false; ///< it was asked to
+    bool stopping = false; ///< the soak run stopped or killed it
 };
 
-/// One backend server and the link on which the daemons reach it.
+/// One backend server and the proxy through which the daemons reach it.
 struct soak_runner {
     std::shared_ptr<runner_standin> server;
     std::shared_ptr<fault_proxy> link;
-    std::size_t recorded_runs = 0; ///< of what it ran, requests that are in the book
+    std::size_t recorded_runs = 0; ///< how many of its runs the checker has
 };
 
 class soak_site {
 public:
     soak_site(boost::asio::io_context& io, soak_site_settings settings, promise_checker& checker);
 
-    /// Starts everything; daemons of the first start.
+    /// Starts the store, the runners and all daemons, each daemon with first_start set.
     void start();
-    /// Starts a daemon's process.
+    /// Starts a daemon's process with a new settings file.
     void launch(std::size_t index);
-    /// Its settings file is written anew, as platforms do; the daemon is told by SIGHUP.
-    void write_settings(const soak_daemon& one) const;
+    /// Rewrites a daemon's settings file, as the platform does. The caller then sends SIGHUP.
+    void write_settings(const soak_daemon& daemon) const;
     void add_runner(const std::string& service, const std::string& zone, const std::string& domain);
-    /// The operators' next version; the key of two versions ago ends with it.
+    /// Publishes the next configuration version. It revokes the key of two versions ago.
     void publish_version();
     [[nodiscard]] std::int64_t version() const { return m_version; }
-    /// Takes over what runners ran since the last call.
+    /// Records the requests that runners ran since the last call in the checker.
     void record_runs();
-    /// Daemons that ended though nobody ended them.
+    /// One line for each daemon that exited without having been stopped or killed.
     [[nodiscard]] std::vector<std::string> unexpected_exits();
 
     [[nodiscard]] std::vector<soak_daemon>& daemons() { return m_daemons; }
--- a/soak/soak_test.cc
+++ b/soak/soak_test.cc
@@ -21,7 +21,7 @@
     return {std::move(id), caller_request_kind::order, "entry-1", 0, at(sent)};
 }
 
-/// One request with a key of a version, sent and answered.
+/// Records one request with the key of a version, and its answer.
 void ask_with_key(promise_checker& checker, const std::string& id, std::int64_t key, duration sent,
                   std::uint32_t status)
 {
@@ -49,7 +49,7 @@
     checker.record_answer("1", {200, "1", "answer of a-1 to 1"}, at(5ms));
     checker.record_request({"2", caller_request_kind::stream, "entry-1", 0, at(0s), 2});
     checker.record_run("2", "m-1", at(1ms));
-    checker.record_run("2", "m-2", at(2ms)); // it was resumed
+    checker.record_run("2", "m-2", at(2ms)); // the stream was resumed there
     checker.record_answer("2", {200, "2", whole_stream}, at(5ms));
     checker.record_request(order("3"));
     checker.record_answer("3", {503, "3", ""}, at(5ms));
@@ -84,7 +84,7 @@
     promise_checker checker{events};
     checker.record_request(order("1"));
     checker.record_answer("1", {503, "1", ""}, at(5ms));
-    checker.record_run("1", "a-1", at(3s)); // later, behind a cut
+    checker.record_run("1", "a-1", at(3s)); // delayed by a partition
     assert_one(checker, "but it ran");
 }
 
@@ -94,21 +94,21 @@
     foreign.record_request(order("1"));
     foreign.record_run("1", "a-1", at(1ms));
     foreign.record_answer("1", {200, "2", "answer of a-1 to 1"}, at(5ms));
-    assert_one(foreign, "got the answer to 2");
+    assert_one(foreign, "received the answer to 2");
 
     promise_checker partial{events};
     partial.record_request({"1", caller_request_kind::stream, "entry-1", 0, at(0s), 2});
     partial.record_run("1", "m-1", at(1ms));
     partial.record_answer("1", {200, "1", "id: 2\ndata: e2\n\n"}, at(5ms));
-    assert_one(partial, "not its server's whole answer");
+    assert_one(partial, "not the complete answer of its server");
 
-    promise_checker smuggled{events};
-    smuggled.record_run("nobody's", "a-1", at(1ms));
-    assert_one(smuggled, "nobody sent");
+    promise_checker unsent{events};
+    unsent.record_run("nobody's", "a-1", at(1ms));
+    assert_one(unsent, "no caller sent");
 }
 
-// A daemon is stopped on purpose and cuts a request that has reached its server. Around a failure
-// the same is nobody's fault.
+// A planned stop of a daemon cuts the connection of a request that has reached its server: a
+// violation, unless a failure of the same node overlaps.
 Test(promise_checker, a_planned_stop_that_truncates_is_reported_unless_a_failure_overlaps)
 {
     for (const bool failure : {false, true}) {
@@ -138,7 +138,7 @@
     checker.record_request(order("2", 6s));
     checker.record_run("2", "a-1", at(6s));
     checker.record_answer("2", {200, "2", "answer of a-1 to 2"}, at(6100ms));
-    assert_one(checker, "long after it began to leave");
+    assert_one(checker, "after the time allowed for its drain");
 }
 
 Test(promise_checker, late_and_reverted_changes_are_reported)
@@ -168,8 +168,8 @@
 {
     const auto render = [](std::uint64_t seed) {
         std::string text;
-        for (const planned_fault& one : draw_plan({.seed = seed}))
-            text += to_string(one) + "\n";
+        for (const planned_fault& fault : draw_plan({.seed = seed}))
+            text += to_string(fault) + "\n";
         return text;
     };
     cr_assert_eq(render(5), render(5));
@@ -178,13 +178,13 @@
 
 Test(fault_plan, every_third_seed_has_maintenance_only)
 {
-    for (const planned_fault& one : draw_plan({.seed = 9, .length = 60s})) {
-        const auto* daemon = std::get_if<planned_daemon_fault>(&one.action);
-        const auto* runner = std::get_if<planned_runner_fault>(&one.action);
-        const bool planned = std::holds_alternative<configuration_change>(one.action) ||
+    for (const planned_fault& fault : draw_plan({.seed = 9, .length = 60s})) {
+        const auto* daemon = std::get_if<planned_daemon_fault>(&fault.action);
+        const auto* runner = std::get_if<planned_runner_fault>(&fault.action);
+        const bool planned = std::holds_alternative<configuration_change>(fault.action) ||
                              (daemon != nullptr && (daemon->fault == daemon_fault::stop ||
                                                     daemon->fault == daemon_fault::reload)) ||
                              (runner != nullptr && runner->fault == runner_fault::drain);
-        cr_assert(planned, "%s", to_string(one).c_str());
+        cr_assert(planned, "%s", to_string(fault).c_str());
     }
 }
