--- a/standins/engine_standin_test.cc
+++ b/standins/engine_standin_test.cc
@@ -18,7 +18,7 @@
 /// What a caller received from one stream.
 struct received_stream {
     http::status status = http::status::unknown;
-    std::string ran; ///< the header jaynotch-ran
+    std::string ran; ///< value of the header jaynotch-ran
     std::string text;
     bool done = false; ///< received the terminal [DONE] event
     bool cut = false;  ///< ended with an error
--- a/standins/fleet.h
+++ b/standins/fleet.h
@@ -53,6 +53,7 @@
     [[nodiscard]] plain_standin& plain(std::size_t index) { return *m_plain.at(index); }
     [[nodiscard]] const std::string& control_address() const { return m_control->address(); }
     /// Replaces an engine's address in the VM list, for example by that of a proxy in front of it.
+    /// Group members find the engine by either address.
     void advertise_engine_address(std::size_t index, const std::string& address);
     [[nodiscard]] fabric_domain_id fabric_domain_of(std::size_t index) const;
     [[nodiscard]] failure_domain_id failure_domain_of(std::size_t index) const;
--- a/standins/kv_standin.h
+++ b/standins/kv_standin.h
@@ -48,8 +48,10 @@
     [[nodiscard]] const kv_call_counts& counts() const { return m_counts; }
     /// Number of open watches.
     [[nodiscard]] std::size_t waiting_watches() const { return m_open_watches; }
+    /// Direct access to the data, without faults and rate limits.
     [[nodiscard]] kv_store& store() { return m_store; }
-    /// Expires a lease now and wakes the watches.
+    /// Expires a lease now and wakes the watches. To be called after direct changes of store() as
+    /// well, so that the watches report them at once.
     void expire_lease(lease_id lease);
 
 private:
--- a/standins/platform_forms.h
+++ b/standins/platform_forms.h
@@ -6,8 +6,8 @@
 //   client.call(caller_request({.id = "c1-7", .path = "/order/1", ...}), 7s);
 //
 // The configuration has three routes: /chat/ streams from the model service "llm" (one model in
-// groups of two runners), /order/ is not idempotent and /read/ is; both use the plain service
-// "app".
+// groups of two runners), /order/ is not idempotent and runs at most once, /read/ is idempotent and
+// may be repeated; both use the plain service "app".
 #pragma once
 
 #include "http/http_client.h"
--- a/standins/vm_list_standin.h
+++ b/standins/vm_list_standin.h
@@ -33,6 +33,7 @@
     void set_lag(duration lag) { m_lag = lag; }
     /// Adds a VM or replaces the one with the same name.
     void put(vm_entry entry);
+    /// Replaces the list.
     void put_all(std::vector<vm_entry> entries);
     void set_leaving(const vm_id& vm, std::int64_t leave_by_ms);
     void remove(const vm_id& vm);
