--- a/scenarios/child_process.cc
+++ b/scenarios/child_process.cc
@@ -23,16 +23,17 @@
     posix_spawn_file_actions_addopen(&actions, STDOUT_FILENO, log_file.c_str(),
                                      O_WRONLY | O_CREAT | O_APPEND, log_mode);
     posix_spawn_file_actions_adddup2(&actions, STDOUT_FILENO, STDERR_FILENO);
-    // A child that inherited a stand-in's listening socket would keep its port open after the
-    // stand-in's death: callers would hang instead of being refused, and it could not come back.
+    // A child that inherited a stand-in's listening socket would keep the port open after the
+    // stand-in has closed it: callers would hang instead of being refused, and the stand-in
+    // could not listen again.
     posix_spawn_file_actions_addclosefrom_np(&actions, STDERR_FILENO + 1);
     pid_t pid = 0;
     const int failed = posix_spawn(&pid, argv[0], &actions, nullptr, argv.data(), environ);
     posix_spawn_file_actions_destroy(&actions);
     if (failed != 0)
         return error{error_kind::invalid_argument,
-                     "can't start " + arguments.front() + ": " + std::strerror(failed),
-                     "build it first, and give its folder by --programs"};
+                     "cannot start " + arguments.front() + ": " + std::strerror(failed),
+                     "build it first and give its folder with --programs"};
     return child_process{pid};
 }
 
--- a/scenarios/cut_off_engines.lua
+++ b/scenarios/cut_off_engines.lua
@@ -1,5 +1,6 @@
--- The entry VM of one failure domain is cut off from the engines of the other. It can't see
--- whether their group is whole, so it may not send them anything, and serves with its own.
+-- The two failure domains are partitioned from each other, so each entry VM loses the engines of
+-- the other domain. It cannot tell whether their group is complete, so it must send them no request
+-- and serve from the group of its own domain.
 fleet{engines = 4, fabric_domains = 2, failure_domains = {"a", "b"}}
 daemon("entry-1", "a")
 daemon("entry-2", "b")
@@ -15,4 +16,4 @@
 end
 heal()
 wait_until(function() return complete_groups("entry-1") == 2 and complete_groups("entry-2") == 2 end, 30,
-           "both see both groups again")
+           "both entry VMs report two complete groups")
--- a/scenarios/cut_stream.lua
+++ b/scenarios/cut_stream.lua
@@ -1,6 +1,6 @@
--- An engine drops the connection in the middle of an answer, again and again, while its VM and
--- its reports look healthy. The caller gets one whole text, put together from the tokens already
--- given and the rest, or an end that shows that it is not whole.
+-- An engine repeatedly drops the connection in the middle of an answer while its VM and its reports
+-- look healthy. The caller must get either the complete text, made up of the tokens already sent
+-- and the rest from another group, or an answer that is marked as incomplete.
 fleet{engines = 4, fabric_domains = 1}
 daemon("entry-1", "a")
 apply_everywhere({"entry-1"}, tables_for{model = "router", replica_vms = 2, replicas = 2})
@@ -12,4 +12,4 @@
   check(answer.outcome ~= "wrong", "answer " .. index .. ": " .. answer.detail)
   if answer.outcome == "whole" then whole = whole + 1 end
 end
-check(whole >= 18, "only " .. whole .. " of 20 answers were whole")
+check(whole >= 18, "only " .. whole .. " of 20 answers were complete")
--- a/scenarios/dark_fabric.lua
+++ b/scenarios/dark_fabric.lua
@@ -1,6 +1,6 @@
--- A whole fabric domain goes dark at once. The group in it is withdrawn at once, and the group in
--- the other domain serves what it can: every caller gets a whole answer or a refusal that says
--- that nothing ran.
+-- All engines of a fabric domain fail at the same time. Its group must be withdrawn at once while
+-- the group in the other domain keeps serving: every caller gets a complete answer or a refusal as
+-- not run.
 fleet{engines = 8, fabric_domains = 2, failure_domains = {"a", "b"}}
 daemon("entry-1", "a")
 daemon("entry-2", "b")
@@ -13,10 +13,10 @@
 local report = finish(load)
 check(report.outcomes.whole > 0.5 * report.started,
       report.text)
-check(report.outcomes.refused_unknown == 0, report.outcomes.refused_unknown .. " model calls refused as unknown")
+check(report.outcomes.refused_unknown == 0, report.outcomes.refused_unknown .. " model calls were refused with unknown outcome")
 wait_until(function()
   for _, group in ipairs(groups("entry-1")) do
     if group.complete and group.fabric_domain ~= dark then return true end
   end
   return false
-end, 20, "a complete group outside the dark domain")
+end, 20, "a complete group outside the failed domain")
--- a/scenarios/entry_killed.lua
+++ b/scenarios/entry_killed.lua
@@ -1,6 +1,5 @@
--- An entry VM dies in the middle of a standing order that the app has begun to book. The farmer
--- asks again through another entry VM, which can't know what the dead one did: the order must not
--- be booked a second time.
+-- An entry VM is killed while a backend server runs keyed orders for it. The caller repeats them
+-- through another entry VM, which cannot know how far the first one got: no order may run twice.
 local place = fleet{engines = 0, plain = {"orders-1"}, plain_work_ms = 600}
 daemon("entry-1", "a")
 daemon("entry-2", "a")
@@ -9,9 +8,9 @@
 wait(0.5)
 kill("entry-1")
 local report = finish(load)
-check(report.outcomes.whole < report.started, "the entry VM died too late to matter")
+check(report.outcomes.whole < report.started, "all orders were answered before the entry VM was killed")
 local began = #account().plain
-check(began > 0, "no order had begun")
+check(began > 0, "no order had started")
 for index = 0, report.started - 1 do
   local key = "load-9-" .. index
   local again = order("entry-2", {key = key, body = '{"order":"9-' .. index .. '"}'})
--- a/scenarios/forwarder.cc
+++ b/scenarios/forwarder.cc
@@ -13,8 +13,8 @@
 #include <fstream>
 #include <sstream>
 
-// Whose connection it is shows in the kernel's tables: /proc/net/tcp gives the inode of the socket
-// with the client's port, and the process that holds the inode stands in /proc/<pid>/fd.
+// The process that opened a connection is found in the kernel's tables: /proc/net/tcp gives the
+// inode of the socket with the client's port, and /proc/<pid>/fd lists the sockets of a process.
 
 namespace jaynotch {
 
@@ -27,14 +27,14 @@
 constexpr duration cut_poll_interval = std::chrono::milliseconds{5};
 constexpr std::size_t copy_bytes = 16 * 1024;
 
-/// A forwarder that failed would look like a partition, so its failure ends the scenario.
+/// A failed forwarder would look like a partition, so its failure ends the scenario.
 void rethrow(std::exception_ptr failed)
 {
     if (failed)
         std::rethrow_exception(failed);
 }
 
-/// "0100007F:1F90", as /proc/net/tcp writes a port of 127.0.0.1.
+/// 127.0.0.1 and a port in the format of /proc/net/tcp, such as "0100007F:1F90".
 std::string proc_address(std::uint16_t port)
 {
     std::array<char, 16> text{};
@@ -87,17 +87,17 @@
 result<std::string> loopback_network::forward(const std::string& name, const std::string& target)
 {
     BOOST_OUTCOME_TRY(const tcp::endpoint remote, parse_endpoint(target));
-    auto at = std::make_shared<forwarder>(forwarder{name, remote, tcp::acceptor{m_executor}});
+    auto listener = std::make_shared<forwarder>(forwarder{name, remote, tcp::acceptor{m_executor}});
     error_code ec;
     const tcp::endpoint any{asio::ip::address_v4::loopback(), 0};
-    at->acceptor.open(any.protocol(), ec);
-    at->acceptor.bind(any, ec);
-    at->acceptor.listen(asio::socket_base::max_listen_connections, ec);
+    listener->acceptor.open(any.protocol(), ec);
+    listener->acceptor.bind(any, ec);
+    listener->acceptor.listen(asio::socket_base::max_listen_connections, ec);
     if (ec)
-        return error{error_kind::unavailable, "can't listen: " + ec.message(), ""};
-    m_forwarders.push_back(at);
-    asio::co_spawn(m_executor, accept_loop(shared_from_this(), at), rethrow);
-    return "127.0.0.1:" + std::to_string(at->acceptor.local_endpoint().port());
+        return error{error_kind::unavailable, "forwarder cannot listen: " + ec.message(), ""};
+    m_forwarders.push_back(listener);
+    asio::co_spawn(m_executor, accept_loop(shared_from_this(), listener), rethrow);
+    return "127.0.0.1:" + std::to_string(listener->acceptor.local_endpoint().port());
 }
 
 void loopback_network::cut(const std::string& one, const std::string& other)
@@ -108,9 +108,9 @@
 
 void loopback_network::close()
 {
-    for (const auto& at : m_forwarders) {
+    for (const auto& listener : m_forwarders) {
         error_code ignored;
-        at->acceptor.close(ignored);
+        listener->acceptor.close(ignored);
     }
 }
 
@@ -137,20 +137,21 @@
 }
 
 awaitable<void> loopback_network::accept_loop(std::shared_ptr<loopback_network> self,
-                                              std::shared_ptr<forwarder> at)
+                                              std::shared_ptr<forwarder> listener)
 {
     for (;;) {
         error_code ec;
         tcp::socket client =
-            co_await at->acceptor.async_accept(asio::redirect_error(asio::use_awaitable, ec));
-        if (!at->acceptor.is_open())
+            co_await listener->acceptor.async_accept(asio::redirect_error(asio::use_awaitable, ec));
+        if (!listener->acceptor.is_open())
             co_return;
         if (ec)
             continue;
         std::string from = self->find_source(client);
-        auto connection = std::make_shared<tunnel>(
-            tunnel{std::move(client), tcp::socket{self->m_executor}, std::move(from), at->name});
-        asio::co_spawn(self->m_executor, connect(self, connection, at->target), asio::detached);
+        auto connection = std::make_shared<tunnel>(tunnel{
+            std::move(client), tcp::socket{self->m_executor}, std::move(from), listener->name});
+        asio::co_spawn(self->m_executor, connect(self, connection, listener->target),
+                       asio::detached);
     }
 }
 
--- a/scenarios/forwarder.h
+++ b/scenarios/forwarder.h
@@ -1,13 +1,13 @@
-// A network that can be cut: daemons reach everything through loopback forwarders, which know from
-// which daemon a connection comes and stop passing bytes between names that are cut off.
+// Simulates network partitions between processes on the loopback interface. Daemons reach every
+// service through a forwarder, which identifies the process that opened each connection and stops
+// forwarding between names that are cut off from each other.
 //
 //   loopback_network network{executor};
-//   std::string address = network.forward("kv", kv_address).value();   // give this to the daemons
+//   std::string address = network.forward("kv", kv_address).value();   // for the daemons
 //   network.add_process("entry-1", pid);
 //   network.cut("entry-1", "kv");
 //
-// A cut is a black hole, as a network partition is: nothing is closed or refused, bytes just do not
-// arrive until the cut is healed.
+// As in a real partition, no connection is closed or refused: data is held back until heal().
 #pragma once
 
 #include "base/base.h"
@@ -30,11 +30,12 @@
         : m_executor{std::move(executor)}
     {}
 
-    /// Opens a forwarder to `target`; returns its address.
+    /// Opens a forwarder to `target` ("host:port") and returns its address. Errors:
+    /// invalid_argument for a malformed target, unavailable if it can't listen.
     result<std::string> forward(const std::string& name, const std::string& target);
-    /// Says which process bears a name, so that its connections are known.
+    /// Sets the process that a name stands for, so that its connections are identified.
     void add_process(const std::string& name, int pid) { m_processes[name] = pid; }
-    /// Cuts two names off each other, in both directions.
+    /// Blocks data between two names in both directions.
     void cut(const std::string& one, const std::string& other);
     void heal() { m_cuts.clear(); }
     void close();
@@ -53,7 +54,7 @@
     };
 
     static awaitable<void> accept_loop(std::shared_ptr<loopback_network> self,
-                                       std::shared_ptr<forwarder> at);
+                                       std::shared_ptr<forwarder> listener);
     static awaitable<void> connect(std::shared_ptr<loopback_network> self,
                                    std::shared_ptr<tunnel> connection,
                                    boost::asio::ip::tcp::endpoint target);
@@ -62,7 +63,7 @@
                                 boost::asio::ip::tcp::socket& from,
                                 boost::asio::ip::tcp::socket& to);
     [[nodiscard]] bool is_cut(const tunnel& connection) const;
-    /// Name of the process at the other end of an accepted connection; empty if it is not known.
+    /// Name of the process that opened an accepted connection; empty if unknown.
     [[nodiscard]] std::string find_source(const boost::asio::ip::tcp::socket& client) const;
 
     boost::asio::any_io_executor m_executor;
--- a/scenarios/free_address.cc
+++ b/scenarios/free_address.cc
@@ -4,10 +4,11 @@
 #include <boost/asio/ip/tcp.hpp>
 #include <unistd.h>
 
-// A port that the kernel hands out for outgoing connections may be taken by one while the program
-// that was told to listen there restarts: "address already in use", at random. Linux hands out
-// ports from 32768 on, so these lie below. Several test programs run at once; each starts at a
-// place of its own, and looks before it takes.
+// If the port were in the kernel's range for outgoing connections, a connection could take it while
+// the program that listens on it restarts, which then fails at random with "address already in
+// use". Linux uses ports from 32768 on for outgoing connections, so these ports lie below. Several
+// test programs run at once: each process starts at a different port and checks that a port is free
+// before it returns it.
 
 namespace jaynotch {
 
@@ -15,7 +16,7 @@
 {
     constexpr unsigned lowest = 12'000;
     constexpr unsigned highest = 32'000;
-    constexpr unsigned stride = 977; ///< between two processes' first ports
+    constexpr unsigned stride = 977; ///< distance of the first ports of consecutive process ids
     static unsigned next = lowest + static_cast<unsigned>(::getpid()) * stride % (highest - lowest);
     boost::asio::io_context io;
     for (;;) {
--- a/scenarios/free_address.h
+++ b/scenarios/free_address.h
@@ -1,12 +1,13 @@
-// Addresses for programs that are told where to listen.
+// Loopback addresses for test programs that listen on a given address.
 #pragma once
 
 #include <string>
 
 namespace jaynotch {
 
-/// "127.0.0.1:PORT" of a port that nobody listens on and that no connection is given by the kernel,
-/// so that a program which ends can listen on it again. Never the same twice in one process.
+/// "127.0.0.1:PORT" with an unused port outside the kernel's range for outgoing connections, so
+/// that a restarted program can listen on it again. A process gets the same port again only after
+/// the whole range (12000 to 31999) has been used.
 std::string free_address();
 
 } // namespace jaynotch
--- a/scenarios/fresh_node_dark_platform.lua
+++ b/scenarios/fresh_node_dark_platform.lua
@@ -1,8 +1,7 @@
--- The platform's key-value service is down, and during the outage an entry VM is replaced.
--- The balancer sends callers to the fresh VM. Its daemon can read neither the tables nor the
--- records of the fabric domains, so without its peers it would know no route and no group and
--- refuse everybody, though every group serves. It has to take both from a peer, the platform
--- still down, and serve whole answers.
+-- An entry VM is replaced while the platform's key-value service is down. The new daemon can read
+-- neither the tables nor the records of the fabric domains there, so without its peers it would
+-- know no route and no group and refuse every request. It must get both from a peer during the
+-- outage and give complete answers.
 local place = fleet{engines = 4, fabric_domains = 1, failure_domains = {"a"}, plain = {"app"}}
 daemon("entry-1", "a")
 daemon("entry-2", "a")
@@ -18,16 +17,16 @@
 local took = wait_until(function() return ready("entry-3") end, 15, "entry-3 ready")
 note("ready after " .. took .. " s")
 took = wait_until(function() return complete_groups("entry-3") == 2 end, 15,
-                  "two groups on entry-3, the platform down")
+                  "two groups on entry-3 during the outage")
 note("two groups after " .. took .. " s more")
 for i = 1, 20 do
   local answer = ask("entry-3", {model = "m", prompt = "which ducts cross here? " .. i, tokens = 20})
-  check(answer.outcome == "whole", "call " .. i .. " was answered: " .. answer.outcome)
+  check(answer.outcome == "whole", "call " .. i .. " ended as " .. answer.outcome)
   wait(0.25)
 end
 wait_until(function() return status("entry-3").platform == "dark" end, 10,
-           "the fresh node says that the platform is dark")
+           "entry-3 reports the platform as dark")
 
 fault("kv", {kill = false})
-wait_until(function() return status("entry-3").platform == "reachable" end, 30, "platform seen again")
-check(complete_groups("entry-3") == 2, "the groups stay complete")
+wait_until(function() return status("entry-3").platform == "reachable" end, 30, "entry-3 reports the platform as reachable")
+check(complete_groups("entry-3") == 2, "the groups did not stay complete")
--- a/scenarios/invariants.cc
+++ b/scenarios/invariants.cc
@@ -2,9 +2,9 @@
 
 #include <map>
 
-// Calls are known by key where they have one, otherwise by the digest of their body, which every
-// scenario makes unique. A key that several calls used is told apart by the outcomes of all: only
-// if each of them was refused as not run must nothing have run.
+// Calls are identified by their idempotency key or, without one, by the digest of their body, which
+// is unique in a scenario. Calls with the same key are checked together: nothing may have run only
+// if every one of them was refused as not run.
 
 namespace jaynotch {
 
@@ -48,10 +48,10 @@
     std::vector<std::string> problems;
     if (records.partial_answers > 0)
         problems.push_back(std::to_string(records.partial_answers) +
-                           " answers came from a group that was not whole");
+                           " answers came from an incomplete group");
     if (records.wrong_answers > 0)
         problems.push_back(std::to_string(records.wrong_answers) +
-                           " answers looked whole and were not the caller's");
+                           " answers looked complete but were not the caller's");
     std::map<std::string, call_counts> rows;
     for (const auto& record : records.calls) {
         if (record.call.method == "GET" || record.call.method == "HEAD")
@@ -67,9 +67,9 @@
         if (row.runs > 1)
             problems.push_back(name + " ran " + std::to_string(row.runs) + " times");
         if (row.runs > 0 && row.calls > 0 && row.refused_not_run == row.calls)
-            problems.push_back(name + " ran although its caller was told that it did not");
+            problems.push_back(name + " ran although it was refused as not run");
         if (row.runs == 0 && row.whole > 0)
-            problems.push_back(name + " was answered and never ran");
+            problems.push_back(name + " was answered but never ran");
     }
     return problems;
 }
--- a/scenarios/invariants.h
+++ b/scenarios/invariants.h
@@ -1,5 +1,5 @@
-// What must hold after every scenario, whatever it did: judged from the accounts of the stand-ins
-// and of the callers, never from what a daemon says of itself.
+// The invariants that are checked after every scenario. They are checked against the records of the
+// stand-ins and of the callers, never against what a daemon reports about itself.
 #pragma once
 
 #include "load/load.h"
@@ -10,16 +10,16 @@
 
 namespace jaynotch {
 
-/// One run of a request by a plain service.
+/// One execution of a request by a plain service.
 struct plain_run {
     std::string key;
     std::string digest;
 };
 
-/// The accounts of both sides.
+/// The records of the callers and of the services.
 struct scenario_records {
-    std::vector<plain_record> calls; ///< by callers
-    std::vector<plain_run> runs;     ///< by plain services, of requests other than GET and HEAD
+    std::vector<plain_record> calls; ///< the callers' requests and answers
+    std::vector<plain_run> runs;     ///< by plain services; without GET and HEAD
     std::uint64_t partial_answers = 0;
     std::uint64_t wrong_answers = 0;
 };
@@ -27,12 +27,12 @@
 scenario_records collect_records(standin_fleet& fleet, std::vector<plain_record> calls,
                                  std::uint64_t wrong_answers);
 
-/// What is violated, in words; empty if all holds:
-/// - no answer was finished by a group that was not whole;
-/// - no caller got an answer that was not its own, or not whole but looked so;
-/// - no call that may not be repeated ran twice;
-/// - no call that was told "did not run" ran;
-/// - every call that got its answer ran.
+/// Describes each violation; empty if all invariants hold:
+/// - no answer was finished by an incomplete group;
+/// - no caller got another caller's answer, or a truncated answer framed as complete;
+/// - no call that must not be repeated ran twice;
+/// - no call that was refused as not run has run;
+/// - every call that got an answer has run.
 std::vector<std::string> find_violations(const scenario_records& records);
 
 } // namespace jaynotch
--- a/scenarios/lagging_list.lua
+++ b/scenarios/lagging_list.lua
@@ -1,5 +1,5 @@
--- The VM list lags by seconds: a dead VM stays listed as live. Nobody may be sent to its group
--- meanwhile, and the group is made whole with a VM that lives.
+-- The VM list is four seconds old, so a VM that died stays listed as live. No request may be sent
+-- to its group meanwhile, and the group must be completed with a live VM.
 fleet{engines = 5, fabric_domains = 1, vm_lag_ms = 4000}
 daemon("entry-1", "a")
 apply_everywhere({"entry-1"}, tables_for{model = "router", replica_vms = 2, replicas = 2})
--- a/scenarios/leaving_vm.lua
+++ b/scenarios/leaving_vm.lua
@@ -1,5 +1,5 @@
--- The platform takes a VM away for maintenance and says so a minute ahead. A planned stop cuts off
--- nobody: the group gets another member before the leaving one goes, and every answer is whole.
+-- The platform announces a minute ahead that it removes a VM for maintenance. The VM must be
+-- replaced in its group before it goes, and every answer must be complete.
 fleet{engines = 5, fabric_domains = 1, step_us = 8000}
 daemon("entry-1", "a")
 apply_everywhere({"entry-1"}, tables_for{model = "router", replica_vms = 2, replicas = 2})
--- a/scenarios/lua_host.cc
+++ b/scenarios/lua_host.cc
@@ -4,8 +4,9 @@
 
 #include <cmath>
 
-// liblua raises errors by longjmp, which skips destructors. So C++ work is done in functions that
-// return whether they failed, and lua_error is called only where no object is alive.
+// liblua raises errors with longjmp, which skips destructors. Therefore the C++ work is done in
+// functions that return whether they succeeded, and lua_error is called only where no object with a
+// destructor is alive.
 
 namespace jaynotch {
 
@@ -17,7 +18,7 @@
 
 json::value to_json(lua_State* lua, int index, int depth);
 
-/// A table with element 1 is a list, any other an object.
+/// A table with an element 1 becomes an array, any other table an object.
 json::value table_to_json(lua_State* lua, int index, int depth)
 {
     const int table = lua_absindex(lua, index);
@@ -44,7 +45,8 @@
 json::value to_json(lua_State* lua, int index, int depth)
 {
     if (depth > max_table_depth)
-        throw exception{{error_kind::invalid_argument, "a table is nested too deep", ""}};
+        throw exception{
+            {error_kind::invalid_argument, "a Lua table is nested more than 16 levels deep", ""}};
     switch (lua_type(lua, index)) {
     case LUA_TBOOLEAN:
         return lua_toboolean(lua, index) != 0;
@@ -99,7 +101,7 @@
         lua_pushnil(lua);
 }
 
-/// Pushes the result of a call or the message of its failure; whether it went well.
+/// Pushes the result of a call, or the message of the exception it threw. True on success.
 bool call_and_push(lua_State* lua, const lua_host::operation& call)
 {
     try {
@@ -153,7 +155,8 @@
     if (failed == LUA_OK)
         return success();
     const char* message_text = lua_tostring(m_lua, -1);
-    const std::string message = message_text == nullptr ? "unknown failure" : message_text;
+    const std::string message =
+        message_text == nullptr ? "Lua error without a message" : message_text;
     lua_pop(m_lua, 1);
     return error{error_kind::internal, message, ""};
 }
--- a/scenarios/lua_host.h
+++ b/scenarios/lua_host.h
@@ -1,10 +1,10 @@
-// Runs a Lua script whose calls into C++ all take one table and give one value back, carried as
-// JSON values between the two:
+// Runs Lua scripts that call into C++ through one function, op(name, arguments). The argument table
+// and the result are converted from and to JSON values:
 //
 //   lua_host host{[](std::string_view name, const json::object& arguments) { ... }};
 //   result<void> ran = host.run(script_text, "drain.lua");
 //
-// In Lua: op("load", {rate = 20}). An exception that a call throws becomes a Lua error.
+// In Lua: op("start_load", {rate = 20}). An exception thrown by the operation becomes a Lua error.
 #pragma once
 
 #include "base/base.h"
--- a/scenarios/lying_member.lua
+++ b/scenarios/lying_member.lua
@@ -1,6 +1,7 @@
--- A member reports that it is ready although it has loaded nothing, and the engine of rank 0 asks
--- nobody. The stand-ins' account then shows any answer that a partial group gave: whatever the
--- entry VM can learn from the reports must keep requests away.
+-- A restarted member falsely reports that it is ready although it has loaded nothing, and the
+-- engine of rank 0 does not check its members. Only the entry VM can keep requests away, from what
+-- the reports show. Any answer of an incomplete group appears in the records of the stand-ins and
+-- fails the scenario.
 fleet{engines = 4, fabric_domains = 1}
 daemon("entry-1", "a")
 apply_everywhere({"entry-1"}, tables_for{model = "router", replica_vms = 2, replicas = 2})
@@ -13,5 +14,5 @@
 for index = 1, 20 do
   local answer = ask("entry-1", {model = "router", prompt = "trench " .. index, tokens = 15})
   check(answer.outcome == "whole" or answer.outcome == "refused_not_run",
-        "answer " .. index .. " is " .. answer.outcome .. " " .. answer.detail)
+        "answer " .. index .. " ends as " .. answer.outcome .. " " .. answer.detail)
 end
--- a/scenarios/paused_manager.lua
+++ b/scenarios/paused_manager.lua
@@ -1,7 +1,7 @@
--- The entry VM that manages a fabric domain is paused long enough for its lease to lapse. Another
--- one takes over and repairs a group meanwhile. When the paused one returns it still believes that
--- it manages the domain; its late orders must not break up the new group or make a partial one
--- serve, on engines that check fencing numbers and on engines that do not.
+-- The entry VM that manages a fabric domain is paused until its lease expires, and another one
+-- takes over and repairs a group. When the paused one resumes, it still takes itself for the
+-- manager. Its late orders must neither break up the new group nor make an incomplete one serve,
+-- here on engines that do not check fencing numbers.
 fleet{engines = 6, fabric_domains = 1, check_fencing = false}
 daemon("entry-1", "a")
 daemon("entry-2", "a")
@@ -10,7 +10,7 @@
 groups_serve({"entry-1", "entry-2"}, 2)
 local manager, other = "entry-1", "entry-2"
 if #(status("entry-2").managing or {}) > 0 then manager, other = other, manager end
-check(#(status(manager).managing or {}) > 0, "nobody manages the fabric domain")
+check(#(status(manager).managing or {}) > 0, "no entry VM manages the fabric domain")
 pause(manager)
 local victim = groups(other)[1].members[2].vm
 fault(victim, {kill = true})
@@ -23,4 +23,4 @@
 check(report.outcomes.wrong == 0, "wrong answers")
 check(report.outcomes.whole > 0.9 * report.started,
       report.text)
-wait_until(function() return complete_groups(other) == 2 end, 20, "two complete groups after the return")
+wait_until(function() return complete_groups(other) == 2 end, 20, "two complete groups after the pause")
--- a/scenarios/prelude.lua
+++ b/scenarios/prelude.lua
@@ -1,7 +1,7 @@
--- The words that scenarios are told in. Each is a thin cover of one operation of the runner
--- (scenarios/world.h), which carries tables to C++ and back.
+-- The functions that scenarios call. Most wrap one operation of scenario_world (scenarios/world.h);
+-- tables are converted to C++ and back.
 
--- check(holds, what): counts a check; "what" says what is wrong if it does not hold.
+-- check(holds, what): counts a check and reports `what` as a problem if it does not hold.
 function check(holds, what)
   op("check", {holds = holds and true or false, what = what})
 end
@@ -10,25 +10,25 @@
 function wait(seconds) op("wait", {seconds = seconds}) end
 function now() return op("now", {}) end
 
--- wait_until(condition, seconds, what): polls; fails the scenario if it never holds. Returns how
--- long it took, in seconds.
+-- wait_until(condition, seconds, what): polls the condition and fails the scenario if it does not
+-- hold in time. Returns the time it took, in seconds.
 function wait_until(condition, seconds, what)
   local began = now()
   while not condition() do
     if now() - began > seconds then
-      error("after " .. seconds .. " s still not: " .. what, 2)
+      error("not reached within " .. seconds .. " s: " .. what, 2)
     end
     wait(0.02)
   end
   return now() - began
 end
 
--- The platform and backend VMs, as stand-ins: engines, fabric_domains, failure_domains, plain
--- (names), plain_work_ms, weight_rate, weight_bytes, step_us, max_batch, check_fencing, vm_lag_ms,
--- kv_writes, kv_reads. Returns {plain = {name = address}}.
+-- Starts stand-ins for the platform and the backend VMs. Settings: engines, fabric_domains,
+-- failure_domains, plain (names), plain_work_ms, weight_rate, weight_bytes, step_us, max_batch,
+-- check_fencing, vm_lag_ms, kv_writes, kv_reads. Returns {plain = {name = address}}.
 function fleet(settings) return op("fleet", settings) end
 
--- An entry VM's daemon: a process of its own. flags: further flags of jaynotchd.
+-- Starts the daemon of an entry VM as a child process. flags: additional flags of jaynotchd.
 function daemon(name, failure_domain, flags)
   return op("daemon", {name = name, failure_domain = failure_domain, flags = flags})
 end
@@ -37,11 +37,12 @@
 function kill(name) op("signal", {name = name, signal = "kill"}) end
 function pause(name) op("signal", {name = name, signal = "stop"}) end
 function resume(name) op("signal", {name = name, signal = "cont"}) end
--- Asks for a graceful stop; await_exit tells its exit code.
+-- Requests a graceful stop; await_exit waits for it and returns the exit code.
 function stop(name) op("signal", {name = name, signal = "term"}) end
 function await_exit(name, seconds) return op("await_exit", {name = name, seconds = seconds}) end
 
--- {status, body, json, ran, retry_after}; status 0 if no answer came.
+-- Send an HTTP request and return {status, body, json, ran, retry_after}; status is 0 if no answer
+-- was received.
 function get(name, path) return op("http", {to = name, path = path}) end
 function admin(name, page) return op("http", {to = name, port = "admin", path = "/admin/v1/" .. page}) end
 function http(arguments) return op("http", arguments) end
@@ -53,7 +54,7 @@
 end
 function ready(name) return get(name, "/readyz").status == 200 end
 
--- Groups of a pool that a daemon calls complete.
+-- Number of groups that a daemon reports as complete; pool: only groups of that pool.
 function complete_groups(name, pool)
   local count = 0
   for _, group in ipairs(groups(name)) do
@@ -62,17 +63,17 @@
   return count
 end
 
--- Waits until each of `names` sees `count` complete groups and a request through it is answered.
+-- Waits until each daemon in `names` reports `count` complete groups and answers a request.
 function groups_serve(names, count, model)
   for _, name in ipairs(names) do
-    wait_until(function() return complete_groups(name) == count end, 40, name .. " sees " .. count .. " complete groups")
+    wait_until(function() return complete_groups(name) == count end, 40, name .. " has " .. count .. " complete groups")
     wait_until(function() return ask(name, {model = model or "router", tokens = 1}).outcome == "whole" end, 10,
                name .. " serves")
   end
 end
 
 local changes = 0
--- Puts two tables in force through one daemon: {status, json, ...}.
+-- Applies a routes table and a pools table through one daemon; returns the answer, as http does.
 function apply(name, tables)
   changes = changes + 1
   local body = op("json", {
@@ -83,11 +84,11 @@
                      headers = {["Content-Type"] = "application/json"}, body = body})
 end
 
--- Applies and waits until each of `names` has it in force.
+-- Applies tables through the first daemon in `names`; waits until each of them is ready.
 function apply_everywhere(names, tables)
   local answer = apply(names[1], tables)
   if answer.status ~= 200 then
-    error("apply was refused: " .. answer.status .. " " .. tostring(answer.body), 2)
+    error("apply failed with status " .. answer.status .. " " .. tostring(answer.body), 2)
   end
   for _, name in ipairs(names) do
     wait_until(function() return ready(name) end, 20, name .. " ready")
@@ -95,7 +96,7 @@
   return answer
 end
 
--- One model and, if addresses are given, one plain service.
+-- Tables with a route and a pool for options.model, and for a plain service at options.servers.
 function tables_for(options)
   local routes = 'deployment = "test"\n'
   local pools = 'deployment = "test"\n'
@@ -161,19 +162,21 @@
   return {routes = routes, pools = pools}
 end
 
--- fault("vm-3", {pause = true}): targets are kv, vms, weights, a VM or a plain service.
+-- fault("vm-3", {pause = true}): the target is kv, vms, weights, a VM or a plain service.
 function fault(target, change) op("fault", {target = target, change = change}) end
 function fault_fabric(domain, change) op("fault_fabric", {domain = domain, change = change}) end
 function leaving(vm, in_seconds) op("change_vm", {vm = vm, state = "leaving", in_seconds = in_seconds}) end
 function gone(vm) op("change_vm", {vm = vm, state = "gone"}) end
--- Cuts two sets of names off each other: daemons, VMs, services, failure domains, "platform".
+-- Partitions two sets of names from each other: daemons, VMs, services, failure domains,
+-- "platform".
 function partition(one, other) op("cut", {one = one, other = other}) end
 function heal() op("heal", {}) end
--- Ends the leases of all keys under a prefix; returns how many.
+-- Expires the leases of all keys with a prefix; returns how many.
 function lapse(prefix) return op("lapse", {prefix = prefix}) end
 function kv_entries(prefix) return op("kv_entries", {prefix = prefix}) end
 
--- One call: {outcome, status, detail, record, version, first_token_ms, total_ms}.
+-- Send one model call or one plain call; return {outcome, status, detail, record, version, tokens,
+-- retry_after, first_token_ms, total_ms}.
 function ask(name, options)
   return op("ask", {to = name, model = options.model, prompt = options.prompt or "a question",
                     tokens = options.tokens, stream = options.stream,
@@ -184,7 +187,7 @@
                       path = options.path, method = options.method})
 end
 
--- A load beside the scenario; finish returns its report.
+-- Starts a load generator that runs concurrently; finish waits for its end and returns its report.
 function start_load(names, options)
   options.to = names
   return op("start_load", options)
@@ -204,7 +207,8 @@
   return report
 end
 
--- What the stand-ins saw: {finished, partial, stale_orders, running, plain = {{service, key}}}.
+-- The records of the stand-ins: {finished, partial, stale_orders, running,
+-- plain = {{service, method, key, digest}}}.
 function account() return op("account", {}) end
 function runs_of(key)
   local count = 0
--- a/scenarios/scenario_main.cc
+++ b/scenarios/scenario_main.cc
@@ -1,8 +1,8 @@
-// jaynotch-scenario: plays scenarios and says what each showed.
+// jaynotch-scenario: runs scenarios and prints the result of each.
 //
-//   jaynotch-scenario --programs=build scenarios/lost_reply.lua ...
+//   jaynotch-scenario --programs=build scenarios/lost_claim.lua ...
 //
-// Exit codes: 0 all went well, 1 a scenario failed, 2 usage.
+// Exit codes: 0 all scenarios passed, 1 a scenario failed, 2 wrong usage.
 #include "absl/flags/flag.h"
 #include "absl/flags/parse.h"
 #include "absl/flags/usage.h"
@@ -13,7 +13,7 @@
 
 ABSL_FLAG(std::string, programs, "build", "folder of jaynotchd");
 ABSL_FLAG(std::string, logs, "build/scenarios", "folder for the daemons' logs");
-ABSL_FLAG(bool, notes, false, "print the notes that scenarios make on their way");
+ABSL_FLAG(bool, notes, false, "print the notes that scenarios make while they run");
 
 namespace jaynotch {
 namespace {
@@ -35,7 +35,7 @@
 int run_files(const std::vector<char*>& arguments)
 {
     if (arguments.size() < 2) {
-        std::fprintf(stderr, "jaynotch-scenario: name the scenarios' files\n");
+        std::fprintf(stderr, "jaynotch-scenario: give the scenario files\n");
         return 2;
     }
     const scenario_options options{absl::GetFlag(FLAGS_programs), absl::GetFlag(FLAGS_logs),
@@ -53,7 +53,7 @@
 
 int main(int argc, char** argv)
 {
-    absl::SetProgramUsageMessage("plays scenarios: jaynotch-scenario [flags] FILE.lua ...");
+    absl::SetProgramUsageMessage("runs scenarios: jaynotch-scenario [flags] FILE.lua ...");
     const auto set = jaynotch::read_environment("scenarios/scenario_main.cc");
     if (!set) {
         std::fprintf(stderr, "jaynotch-scenario: %s\n", to_string(set.error()).c_str());
--- a/scenarios/scenarios.cc
+++ b/scenarios/scenarios.cc
@@ -16,14 +16,14 @@
 {
     std::ifstream file{path};
     if (!file)
-        throw exception{
-            {error_kind::not_found, "can't read " + path.string(), "give the path of a scenario"}};
+        throw exception{{error_kind::not_found, "cannot read " + path.string(),
+                         "give the path of a scenario file"}};
     std::ostringstream text;
     text << file.rdbuf();
     return text.str();
 }
 
-/// The comment at the top of a scenario.
+/// The comment at the head of a scenario, without the comment marks.
 std::string read_head_comment(const std::string& script)
 {
     std::istringstream lines{script};
@@ -37,7 +37,7 @@
 void check_invariants(scenario_world& world)
 {
     for (const auto& name : world.unexpected_exits())
-        world.add_problem(name + " ended by itself");
+        world.add_problem(name + " exited unexpectedly");
     auto* fleet = const_cast<standin_fleet*>(world.fleet());
     if (fleet == nullptr)
         return;
--- a/scenarios/scenarios_test.cc
+++ b/scenarios/scenarios_test.cc
@@ -8,7 +8,7 @@
 using namespace jaynotch;
 namespace json = boost::json;
 
-// The invariants are what every scenario stands on: each must be seen to fail.
+// Every scenario relies on the invariants, so each of them must be reported when it is violated.
 
 namespace {
 
@@ -88,8 +88,8 @@
     cr_assert(broken.error().message.starts_with("broken.lua:2:"));
 }
 
-// A cut between two names must hold bytes back without closing anything, and let them through once
-// healed; others are not touched.
+// A cut between two names must hold data back without closing a connection and forward it once
+// healed. Connections between other names must not be affected.
 Test(network, a_cut_blocks_bytes_until_it_is_healed)
 {
     test_runtime runtime;
@@ -112,8 +112,8 @@
     cr_assert(ask(std::chrono::seconds{2}));
 }
 
-// A service behind the network dies and comes back. Connections must fail at once meanwhile, as
-// they do without the network, and work again afterwards.
+// A service behind a forwarder stops and restarts. While it is down, connections must fail at once,
+// as they do without the forwarder; afterwards they must work again.
 Test(network, connections_to_a_stopped_service_fail_until_it_restarts)
 {
     test_runtime runtime;
--- a/scenarios/slow_platform.lua
+++ b/scenarios/slow_platform.lua
@@ -1,5 +1,5 @@
--- The key-value service answers each call after most of a second, for as long as the scenario
--- lasts. Model traffic doesn't wait for it; orders take longer, and none is booked twice.
+-- The key-value service delays each reply by 700 ms throughout the scenario. Model calls must not
+-- wait for it; orders take longer, and none may run twice.
 local place = fleet{engines = 2, fabric_domains = 1, plain = {"orders-1", "orders-2"}}
 daemon("entry-1", "a")
 apply_everywhere({"entry-1"}, tables_for{model = "router", replica_vms = 2, replicas = 1, timeout_ms = 10000,
--- a/scenarios/whole_answer.lua
+++ b/scenarios/whole_answer.lua
@@ -1,6 +1,6 @@
--- A foreman asks for a route summary before the backhoe arrives. Two entry VMs stand before four
--- engines; a replica takes two of them. The tables are applied, groups form and load, and each
--- caller gets the whole of its own answer, streamed or not, through either entry VM.
+-- The basic case without a fault: two entry VMs and four engines, two engines for each replica.
+-- After the tables are applied and the groups have formed, each caller must get its own complete
+-- answer, streamed or not, through either entry VM.
 fleet{engines = 4, fabric_domains = 1}
 daemon("entry-1", "a")
 daemon("entry-2", "a")
@@ -8,9 +8,9 @@
 groups_serve({"entry-1", "entry-2"}, 2)
 for _, name in ipairs{"entry-1", "entry-2"} do
   local streamed = ask(name, {model = "router", prompt = "trench 7", tokens = 40})
-  check(streamed.outcome == "whole", name .. ": streamed answer is " .. streamed.outcome .. " " .. streamed.detail)
+  check(streamed.outcome == "whole", name .. ": a streamed call ends as " .. streamed.outcome .. " " .. streamed.detail)
   local buffered = ask(name, {model = "router", prompt = "trench 8", tokens = 40, stream = false})
-  check(buffered.outcome == "whole", name .. ": buffered answer is " .. buffered.outcome .. " " .. buffered.detail)
+  check(buffered.outcome == "whole", name .. ": a buffered call ends as " .. buffered.outcome .. " " .. buffered.detail)
 end
 local unknown = ask("entry-1", {model = "no-such-model", prompt = "x"})
-check(unknown.outcome == "refused_not_run", "an unknown model is " .. unknown.outcome)
+check(unknown.outcome == "refused_not_run", "a call for an unknown model ends as " .. unknown.outcome)
--- a/scenarios/world.cc
+++ b/scenarios/world.cc
@@ -50,7 +50,7 @@
         if (row.name == name)
             return (this->*row.handler)(arguments);
     }
-    throw exception{{error_kind::invalid_argument, "no operation " + std::string{name},
+    throw exception{{error_kind::invalid_argument, "unknown operation " + std::string{name},
                      "see scenarios/prelude.lua"}};
 }
 
--- a/scenarios/world.h
+++ b/scenarios/world.h
@@ -1,5 +1,6 @@
-// What a scenario acts on: a fleet of stand-ins in this process, daemons as processes of their
-// own, the network between them, and the loads that run. One instance for each scenario.
+// The system under test of a scenario and the operations that scripts call: stand-ins in this
+// process, daemons as child processes, the network between them, and load generators. Each scenario
+// has its own instance.
 #pragma once
 
 #include "load/load.h"
@@ -19,20 +20,20 @@
 
 namespace jaynotch {
 
-/// One daemon of a scenario, over all its restarts.
+/// One daemon of a scenario: its addresses and its current process.
 struct scenario_daemon {
     std::string name;
     std::string failure_domain;
     std::string listen;
     std::string peer_listen;
     std::string admin_listen;
-    std::string peer_advertise; ///< its forwarder
+    std::string peer_advertise; ///< address of its forwarder
     std::vector<std::string> command_line;
     std::optional<child_process> process;
     bool end_expected = false; ///< the scenario stopped or killed it
 };
 
-/// A load that runs beside the scenario.
+/// A load generator that runs concurrently with the scenario. The report is set once it ends.
 struct running_load {
     std::optional<load_report> report;
 };
@@ -44,7 +45,7 @@
     scenario_world(const scenario_world&) = delete;
     scenario_world& operator=(const scenario_world&) = delete;
 
-    /// Carries out one operation of the script; throws if it can't.
+    /// Executes one operation of the script; throws if it fails.
     boost::json::value call(std::string_view name, const boost::json::object& arguments);
 
     [[nodiscard]] std::uint64_t checks() const { return m_checks; }
@@ -54,7 +55,7 @@
     [[nodiscard]] std::uint64_t wrong_answers() const { return m_wrong_answers; }
     [[nodiscard]] const std::vector<std::string>& wrong_details() const { return m_wrong_details; }
     [[nodiscard]] const standin_fleet* fleet() const { return m_fleet.get(); }
-    /// Names of daemons that ended although the scenario did not end them.
+    /// Names of daemons that exited without having been stopped or killed by the scenario.
     std::vector<std::string> unexpected_exits();
 
 private:
@@ -66,7 +67,7 @@
     };
     static const std::vector<operation_row>& operations();
 
-    // World (world.cc).
+    // Checks, time and records (world.cc).
     boost::json::value check(const arguments_type& arguments);
     boost::json::value render(const arguments_type& arguments);
     boost::json::value note(const arguments_type& arguments);
@@ -107,8 +108,8 @@
     test_runtime m_runtime;
     std::shared_ptr<standin_fleet> m_fleet;
     std::shared_ptr<loopback_network> m_network;
-    std::string m_kv_address;  ///< through the network
-    std::string m_vms_address; ///< through the network
+    std::string m_kv_address;  ///< of its forwarder
+    std::string m_vms_address; ///< of its forwarder
     std::map<std::string, scenario_daemon> m_daemons;
     std::vector<std::shared_ptr<running_load>> m_loads;
     std::vector<plain_record> m_plain_calls;
--- a/scenarios/world_daemons.cc
+++ b/scenarios/world_daemons.cc
@@ -6,8 +6,9 @@
 
 #include <csignal>
 
-// A daemon keeps its ports over restarts, as a VM keeps its address. Its platform and its peers are
-// reached through the network's forwarders, so that a scenario can cut them off.
+// A daemon keeps its ports over restarts, as a VM keeps its address. Daemons reach the platform,
+// the backend servers and each other through the network's forwarders, so that a scenario can cut
+// them off.
 
 namespace jaynotch {
 
@@ -65,7 +66,7 @@
     if (name == "cont")
         return SIGCONT;
     throw exception{
-        {error_kind::invalid_argument, "unknown signal " + name, "write term, kill, stop or cont"}};
+        {error_kind::invalid_argument, "unknown signal " + name, "use term, kill, stop or cont"}};
 }
 
 awaitable<result<http_response>> send(boost::asio::any_io_executor executor, std::string address,
@@ -100,7 +101,8 @@
 {
     const auto found = m_daemons.find(name);
     if (found == m_daemons.end())
-        throw exception{{error_kind::not_found, "no daemon " + name, "start it first"}};
+        throw exception{
+            {error_kind::not_found, "unknown daemon " + name, "start it with daemon() first"}};
     return found->second;
 }
 
@@ -125,7 +127,8 @@
         if (m_runtime.run(send(m_runtime.executor(), daemon.admin_listen, request)))
             return;
         if (daemon.process->poll() || std::chrono::steady_clock::now() > deadline)
-            throw exception{{error_kind::unavailable, daemon.name + " did not start",
+            throw exception{{error_kind::unavailable,
+                             daemon.name + " exited at start or did not answer within 15 s",
                              "read its log in " + m_options.logs}};
         m_runtime.run_for(std::chrono::milliseconds{20});
     }
@@ -194,7 +197,7 @@
         std::chrono::duration<double>{fields.real("seconds")});
     const auto ended = [&] { return daemon.process->poll().has_value(); };
     if (!m_runtime.run_until(ended, timeout))
-        throw exception{{error_kind::deadline_exceeded, daemon.name + " did not end in time",
+        throw exception{{error_kind::deadline_exceeded, daemon.name + " did not exit in time",
                          "read its log in " + m_options.logs}};
     return *daemon.process->poll();
 }
--- a/scenarios/world_faults.cc
+++ b/scenarios/world_faults.cc
@@ -11,7 +11,7 @@
 {
     const json::object* change = fields.object("change");
     if (change == nullptr)
-        throw exception{{error_kind::invalid_argument, "a fault without a change", ""}};
+        throw exception{{error_kind::invalid_argument, "the fault names no change", ""}};
     return parse_fault(json::serialize(*change)).value();
 }
 
--- a/scenarios/world_load.cc
+++ b/scenarios/world_load.cc
@@ -159,7 +159,7 @@
     const auto load = m_loads.at(fields.count("id", m_loads.size()));
     constexpr std::chrono::seconds timeout{60};
     if (!m_runtime.run_until([&] { return load->report.has_value(); }, timeout))
-        throw exception{{error_kind::deadline_exceeded, "the load did not end", ""}};
+        throw exception{{error_kind::deadline_exceeded, "the load did not end within 60 s", ""}};
     const load_report& report = *load->report;
     m_wrong_answers += report.of(call_outcome::wrong);
     m_wrong_details.insert(m_wrong_details.end(), report.faults.begin(), report.faults.end());
