--- a/scenarios/invariants.h
+++ b/scenarios/invariants.h
@@ -18,12 +18,13 @@
 
 /// The records of the callers and of the services.
 struct scenario_records {
-    std::vector<plain_record> calls; ///< the callers' requests and answers
-    std::vector<plain_run> runs;     ///< by plain services; without GET and HEAD
-    std::uint64_t partial_answers = 0;
-    std::uint64_t wrong_answers = 0;
+    std::vector<plain_record> calls;   ///< callers' requests to plain services
+    std::vector<plain_run> runs;       ///< by plain services; without GET and HEAD
+    std::uint64_t partial_answers = 0; ///< finished by engines of an incomplete group
+    std::uint64_t wrong_answers = 0;   ///< received by callers
 };
 
+/// Combines the callers' records with those of the fleet's engines and plain services.
 scenario_records collect_records(standin_fleet& fleet, std::vector<plain_record> calls,
                                  std::uint64_t wrong_answers);
 
--- a/scenarios/lua_host.h
+++ b/scenarios/lua_host.h
@@ -28,6 +28,8 @@
     lua_host(const lua_host&) = delete;
     lua_host& operator=(const lua_host&) = delete;
 
+    /// Runs a script; `name` appears in error messages. Errors: internal, with Lua's message, which
+    /// begins with the name and line.
     result<void> run(const std::string& script, const std::string& name);
 
 private:
--- a/scenarios/paused_manager.lua
+++ b/scenarios/paused_manager.lua
@@ -1,5 +1,5 @@
 -- The entry VM that manages a fabric domain is paused until its lease expires, and another one
--- takes over and repairs a group. When the paused one resumes, it still takes itself for the
+-- takes over and repairs a group. When the paused one resumes, it still considers itself the
 -- manager. Its late orders must neither break up the new group nor make an incomplete one serve,
 -- here on engines that do not check fencing numbers.
 fleet{engines = 6, fabric_domains = 1, check_fencing = false}
--- a/scenarios/world.h
+++ b/scenarios/world.h
@@ -67,6 +67,8 @@
     };
     static const std::vector<operation_row>& operations();
 
+    // The operations; scenarios/prelude.lua documents their arguments and results.
+
     // Checks, time and records (world.cc).
     boost::json::value check(const arguments_type& arguments);
     boost::json::value render(const arguments_type& arguments);
@@ -83,6 +85,7 @@
     boost::json::value signal(const arguments_type& arguments);
     boost::json::value await_exit(const arguments_type& arguments);
     boost::json::value http(const arguments_type& arguments);
+    /// Starts the daemon's process and waits until its admin address answers.
     void launch(scenario_daemon& daemon);
     scenario_daemon& find_daemon(const std::string& name);
 
@@ -93,6 +96,7 @@
     boost::json::value cut(const arguments_type& arguments);
     boost::json::value heal(const arguments_type& arguments);
     boost::json::value lapse(const arguments_type& arguments);
+    /// Replaces failure domains and "platform" with the names of the processes in them.
     std::vector<std::string> expand_names(const std::vector<std::string>& names) const;
 
     // Load (world_load.cc).
@@ -100,7 +104,7 @@
     boost::json::value order(const arguments_type& arguments);
     boost::json::value start_load(const arguments_type& arguments);
     boost::json::value finish_load(const arguments_type& arguments);
-    void record_wrong_answer(const call_result& result, std::string_view what);
+    void record_wrong_answer(const call_result& result, std::string_view call_kind);
     std::string listen_address_of(const std::string& name);
 
     std::string m_name;
--- a/scenarios/world_load.cc
+++ b/scenarios/world_load.cc
@@ -90,13 +90,13 @@
 
 } // namespace
 
-void scenario_world::record_wrong_answer(const call_result& result, std::string_view what)
+void scenario_world::record_wrong_answer(const call_result& result, std::string_view call_kind)
 {
     if (result.outcome != call_outcome::wrong)
         return;
     ++m_wrong_answers;
     if (m_wrong_details.size() < max_wrong_details)
-        m_wrong_details.push_back(std::string{what} + ": " + result.detail);
+        m_wrong_details.push_back(std::string{call_kind} + ": " + result.detail);
 }
 
 json::value scenario_world::ask(const arguments_type& arguments)
--- a/soak/fault_plan.cc
+++ b/soak/fault_plan.cc
@@ -116,7 +116,7 @@
                                       ? "refuses"
                                       : std::string{to_name(planned.fault)});
     }
-    std::string operator()(const configuration_change& /*one*/) const
+    std::string operator()(const configuration_change& /*planned*/) const
     {
         return "configuration changes";
     }
--- a/soak/promise_book.cc
+++ b/soak/promise_book.cc
@@ -68,8 +68,9 @@
         m_fault_periods.begin(), m_fault_periods.end(), [&](const fault_period& period) {
             const bool same_node = period.node.empty() || period.node == node;
             const bool is_counted = include_planned || !period.planned;
-            const bool overlaps = period.from <= until && (period.until == time_point::max() ||
-                                                           period.until + m_times.recovery >= from);
+            const bool overlaps =
+                period.from <= until &&
+                (period.until == time_point::max() || period.until + m_bounds.recovery >= from);
             return same_node && is_counted && overlaps;
         });
 }
@@ -153,7 +154,7 @@
         const auto drain_started = m_draining.find(each.runner);
         if (drain_started == m_draining.end())
             continue;
-        const time_point deadline = drain_started->second + m_times.drain + m_times.slack;
+        const time_point deadline = drain_started->second + m_bounds.drain + m_bounds.slack;
         if (each.at > deadline && history.request.sent > deadline &&
             undisturbed(history.request.node, drain_started->second, each.at, true))
             out.push_back(describe(history.request) + ": sent to " + each.runner +
@@ -167,7 +168,7 @@
 {
     if (!history.ended || history.request.key_version == 0)
         return;
-    const duration applied = m_times.config_apply + m_times.slack;
+    const duration applied = m_bounds.config_apply + m_bounds.slack;
     const auto accepted_before = [&](std::int64_t version) {
         const auto found = m_accepted.find(version);
         return found != m_accepted.end() && history.request.sent > found->second + applied &&
--- a/soak/promise_book.h
+++ b/soak/promise_book.h
@@ -52,17 +52,18 @@
 struct promise_bounds {
     duration config_apply = std::chrono::milliseconds{2'000};
     duration drain = std::chrono::milliseconds{2'000};
-    duration recovery =
-        std::chrono::milliseconds{3'000}; ///< after a fault, until the bounds hold again
+    /// From the end of a fault until the bounds hold again.
+    duration recovery = std::chrono::milliseconds{3'000};
     /// Added to the bounds: on a machine that also runs other busy processes, scheduling delays
     /// are not the daemons' fault.
     duration slack = std::chrono::milliseconds{1'500};
 };
 
+/// promise_book.cc says at its head which guarantees hold at all times and which have conditions.
 class promise_checker {
 public:
-    explicit promise_checker(std::size_t stream_events, promise_bounds times = {})
-        : m_stream_events{stream_events}, m_times{times}
+    explicit promise_checker(std::size_t stream_events, promise_bounds bounds = {})
+        : m_stream_events{stream_events}, m_bounds{bounds}
     {}
 
     void record_request(request_record request);
@@ -74,10 +75,11 @@
     void record_drain(const std::string& runner, time_point now) { m_draining[runner] = now; }
     /// A node's process started, without the state of its previous process.
     void record_start(const std::string& node, time_point now) { m_starts[node].push_back(now); }
+    /// Returns the index of the fault, for record_fault_end().
     std::size_t record_fault(fault_period period);
-    void record_fault_end(std::size_t fault_period, time_point now)
+    void record_fault_end(std::size_t fault_index, time_point now)
     {
-        m_fault_periods[fault_period].until = now;
+        m_fault_periods[fault_index].until = now;
     }
 
     /// One line for each violation.
@@ -111,10 +113,10 @@
                                    bool include_planned) const;
 
     std::size_t m_stream_events;
-    promise_bounds m_times;
+    promise_bounds m_bounds;
     std::map<std::string, request_history> m_requests;
-    std::map<std::int64_t, time_point> m_accepted;
-    std::map<std::string, time_point> m_draining;
+    std::map<std::int64_t, time_point> m_accepted; ///< by configuration version
+    std::map<std::string, time_point> m_draining;  ///< start of the drain, by runner
     std::map<std::string, std::vector<time_point>> m_starts;
     std::vector<fault_period> m_fault_periods;
 };
--- a/soak/soak_run.cc
+++ b/soak/soak_run.cc
@@ -105,13 +105,14 @@
         run_until([&] { return runtime_clock::now() >= until; }, time);
     }
 
+    /// Whether at least two servers accept requests.
     bool serving()
     {
         std::size_t open = 0;
         for (const soak_runner& runner : m_site.runners())
             open += runner.server->open() ? 1 : 0;
-        constexpr std::size_t enough = 2;
-        return open >= enough;
+        constexpr std::size_t min_open = 2;
+        return open >= min_open;
     }
 
     asio::awaitable<void> pause(duration time) { return standin_sleep(m_io.get_executor(), time); }
@@ -155,8 +156,8 @@
         case daemon_fault::stop:
             daemon.stopping = true;
             daemon.process->signal(SIGTERM);
-            daemon.process->signal(
-                SIGCONT); // a paused process handles SIGTERM only once it continues
+            // A paused process handles SIGTERM only after SIGCONT.
+            daemon.process->signal(SIGCONT);
             co_await end_and_restart(spec.daemon, true);
             break;
         case daemon_fault::reload:
@@ -167,6 +168,8 @@
         end_fault(fault_index);
     }
 
+    /// Waits for the exit of a daemon that was signalled, with SIGKILL as a last resort, and
+    /// restarts it.
     asio::awaitable<void> end_and_restart(std::size_t index, bool graceful)
     {
         soak_daemon& daemon = m_site.daemons()[index];
@@ -281,7 +284,7 @@
         end_fault(fault_index);
     }
 
-    asio::awaitable<void> inject(configuration_change /*what*/, duration /*lasts*/)
+    asio::awaitable<void> inject(configuration_change /*spec*/, duration /*active_for*/)
     {
         m_site.publish_version();
         co_return;
--- a/soak/soak_site.h
+++ b/soak/soak_site.h
@@ -63,6 +63,7 @@
     void launch(std::size_t index);
     /// Rewrites a daemon's settings file, as the platform does. The caller then sends SIGHUP.
     void write_settings(const soak_daemon& daemon) const;
+    /// Starts a runner and the proxy before it.
     void add_runner(const std::string& service, const std::string& zone, const std::string& domain);
     /// Publishes the next configuration version. It revokes the key of two versions ago.
     void publish_version();
