--- a/soak/soak_run.cc
+++ b/soak/soak_run.cc
@@ -18,7 +18,7 @@
 namespace {
 
 constexpr duration max_start_time = std::chrono::seconds{20};
-constexpr duration max_stop_time = std::chrono::seconds{12};
+constexpr duration longest_stop = std::chrono::seconds{12};
 constexpr duration entry_lifetime = std::chrono::milliseconds{1'500}; ///< three heartbeats
 constexpr duration drain_time = std::chrono::milliseconds{4'000};     ///< then the server exits
 constexpr duration restart_delay = std::chrono::milliseconds{150};
@@ -173,7 +173,7 @@
     asio::awaitable<void> end_and_restart(std::size_t index, bool graceful)
     {
         soak_daemon& daemon = m_site.daemons()[index];
-        const time_point until = runtime_clock::now() + max_stop_time;
+        const time_point until = runtime_clock::now() + longest_stop;
         std::optional<int> code;
         while (!(code = daemon.process->poll()) && runtime_clock::now() < until)
             co_await pause(poll_interval);
