--- a/scenarios/world_load.cc
+++ b/scenarios/world_load.cc
@@ -90,13 +90,13 @@
 
 } // namespace
 
-void scenario_world::record_wrong_answer(const call_result& result, std::string_view what)
+void scenario_world::record_wrong_answer(const call_result& result, std::string_view call_kind)
 {
     if (result.outcome != call_outcome::wrong)
         return;
     ++m_wrong_answers;
     if (m_wrong_details.size() < max_wrong_details)
-        m_wrong_details.push_back(std::string{what} + ": " + result.detail);
+        m_wrong_details.push_back(std::string{call_kind} + ": " + result.detail);
 }
 
 json::value scenario_world::ask(const arguments_type& arguments)
@@ -159,7 +159,7 @@
     const auto load = m_loads.at(fields.count("id", m_loads.size()));
     constexpr std::chrono::seconds timeout{60};
     if (!m_runtime.run_until([&] { return load->report.has_value(); }, timeout))
-        throw exception{{error_kind::deadline_exceeded, "the load did not end", ""}};
+        throw exception{{error_kind::deadline_exceeded, "the load did not end within 60 s", ""}};
     const load_report& report = *load->report;
     m_wrong_answers += report.count_of(call_outcome::wrong);
     m_wrong_details.insert(m_wrong_details.end(), report.faults.begin(), report.faults.end());
