--- a/base/log.h
+++ b/base/log.h
@@ -49,7 +49,7 @@
 void log_event(log_level level, std::string_view kind, std::initializer_list<log_field> fields);
 
 /// From now on lines of level info stay buffered until flush_log, which the process calls several
-/// times a second, or until the buffer is worth a write. Warnings and errors are written at once.
+/// times a second, or until 8 KiB are buffered. Warnings and errors are written at once.
 void defer_routine_log_lines();
 /// Writes as much as standard output accepts without blocking. If lines were dropped, a line that
 /// counts them by kind is added first.
--- a/base/mechanisms.h
+++ b/base/mechanisms.h
@@ -4,8 +4,8 @@
 //   BOOST_OUTCOME_TRY(const mechanism_set on, mechanism_set::all_except({"newest_first"}));
 //   if (on.has(mechanism::warm_spares)) ...
 //
-// What guarantees depend on is not listed and is always on: completeness, fencing, leases, claims,
-// drains, budgets.
+// Mechanisms that guarantees depend on are not listed and are always on: completeness, fencing,
+// leases, claims, drains, budgets.
 #pragma once
 
 #include "base/error.h"
@@ -20,7 +20,7 @@
 
 enum class mechanism {
     // Requests.
-    late_gives_way,      ///< late requests leave part of the places to those that can be in time
+    late_gives_way,      ///< late requests leave some places free for those that can be in time
     returning_gives_way, ///< requests sent again after a refusal count as late
     newest_first,        ///< newest waiting request first, where the engines' speed is known
     sure_places,         ///< guarantees each node places, even in a group that seems full
--- a/daemon/daemon.h
+++ b/daemon/daemon.h
@@ -57,7 +57,7 @@
     void on_superseded(std::function<void()> handler);
 
     /// Whether the load balancer may send callers here: a configuration is installed, complete
-    /// groups are known or were waited for, and no stop has begun.
+    /// groups are known or the wait for them is over, and no stop has begun.
     [[nodiscard]] bool ready() const;
     [[nodiscard]] config_revision revision() const;
     [[nodiscard]] std::uint16_t listen_port() const;
--- a/daemon/formation_driver.h
+++ b/daemon/formation_driver.h
@@ -2,8 +2,8 @@
 // passes them changes of the registry and executes their commands.
 //
 //   formation_driver managers{io, settings, kv, peers, registry};
-//   managers.runner_updated(row);        // after the registry was updated
-//   managers.tick();                  // after each batch, and at least ten times a second
+//   managers.runner_updated(row);  // after the registry was updated
+//   managers.tick();               // after each batch, and at least ten times a second
 #pragma once
 
 #include "base/base.h"
--- a/daemon/sse.h
+++ b/daemon/sse.h
@@ -32,7 +32,7 @@
     std::size_t m_limit;
     std::string m_buffer;
     std::size_t m_event_start = 0; ///< where the next event starts
-    std::size_t m_scanned = 0;     ///< up to here no unread event ends
+    std::size_t m_scanned = 0;     ///< where the search for the next event's end resumes
 };
 
 /// The values of an event's data lines, joined by line feeds; empty if it has none.
--- a/groups/election.h
+++ b/groups/election.h
@@ -2,10 +2,10 @@
 // held by one daemon and watched by all. The key's revision is the term, which the manager's orders
 // carry as their fencing number.
 //
-//   election vote{{.key = manager_key, .self = node}};
-//   vote.key_updated(entry, now);        // from the watch; nullopt: the key does not exist
-//   vote.tick(claim_delay, now, out);    // claims a key that has been missing for `claim_delay`
-//   if (vote.leading(now)) order(vote.term());
+//   election lease_election{{.key = manager_key, .self = node}};
+//   lease_election.key_updated(entry, now);     // from the watch; nullopt: the key does not exist
+//   lease_election.tick(claim_delay, now, out); // claims a key missing for `claim_delay`
+//   if (lease_election.leading(now)) order(lease_election.term());
 //
 // Unlike `leadership` it never polls the platform for the current leader: every node watches the
 // key anyway, so polling would cost one call per node and period without benefit.
--- a/groups/formation.h
+++ b/groups/formation.h
@@ -78,7 +78,7 @@
 struct outage_confirmed {
     time_point asked;
 };
-/// This node has told a peer that the store does not answer it.
+/// This node has answered a peer that the store does not answer this node.
 struct outage_reported {};
 /// Answer to request_runner_report.
 struct runner_reported {
--- a/groups/manager.h
+++ b/groups/manager.h
@@ -29,15 +29,15 @@
     std::string deployment;
     node_id self;
     fabric_domain_id domain;
-    /// Of the manager's key.
+    /// Time to live of the lease on the manager's key.
     std::chrono::seconds lease{10};
     /// The manager stops leading this long before its lease expires.
     duration lease_margin = 2s;
-    /// Between two reads of the manager's key by a candidate.
+    /// Interval between two reads of the manager's key by a candidate.
     duration campaign_period = 2s;
     /// A call without an answer after this time counts as lost.
     duration call_timeout = 2s;
-    /// Between two probes of one VM.
+    /// Interval between two probes of one VM.
     duration probe_period = 1s;
     /// Maximum age of a report; an older one is not used.
     duration report_horizon = 3s;
@@ -45,7 +45,7 @@
     duration order_horizon = 8s;
     /// An order not sent within this time is dropped.
     duration order_timeout = 2s;
-    /// Before an order without effect is sent again.
+    /// Delay before an order without effect is sent again.
     duration order_retry = 4s;
     /// Orders without effect after which the VM is quarantined.
     std::uint32_t order_attempts = 5;
@@ -64,13 +64,13 @@
     duration platform_timeout = 12s;
     /// How long a reason to move groups between domains must persist.
     duration reassign_delay = 30s;
-    /// Between two writes of the record.
+    /// Minimum interval between two writes of the record.
     duration min_write_interval = 500ms;
-    /// VMs that load at a time; a single group may always load all its members.
+    /// Maximum number of VMs that load at a time; a single group may always load all its members.
     std::uint32_t loads_at_once = 8;
-    /// Of one member, to compare the costs of repairs.
+    /// Expected time for one member to load, to compare the costs of repairs.
     duration expected_load_time = 90s;
-    /// Of a lost VM by the platform, to compare the costs of repairs.
+    /// Expected time for the platform to replace a lost VM, to compare the costs of repairs.
     duration expected_replacement_time = 600s;
 };
 
--- a/groups/plan.h
+++ b/groups/plan.h
@@ -44,12 +44,12 @@
 public:
     /// The next record. Equal to `in.record`, apart from `change`, if nothing has to change.
     domain_record next(const plan_input& in, std::vector<notice>& notices);
-    /// State of the record's groups at the last call of next() or look().
+    /// State of the record's groups at the last call of next() or assess().
     [[nodiscard]] const std::map<group_id, group_health>& health_by_group() const
     {
         return m_health_by_group;
     }
-    /// Updates sights() without planning, for a manager that may not write.
+    /// Updates health_by_group() without planning, for a manager that may not write.
     void assess(const plan_input& in);
 
 private:
--- a/groups/vm_table.h
+++ b/groups/vm_table.h
@@ -37,7 +37,7 @@
     time_point leaves_at;
     std::optional<member_report> report;
     time_point reported_at; ///< when the request of `report` was sent
-    /// Receipt of the first report that showed its present group, or none.
+    /// When the first report arrived that showed its present group, or that it is in none.
     time_point same_group_since;
     /// When its last good report was requested, or when it was first listed.
     time_point unresponsive_since;
--- a/http/http_client.h
+++ b/http/http_client.h
@@ -36,7 +36,7 @@
 struct http_limits {
     std::size_t header_bytes = 16 * 1024;
     std::size_t body_bytes = 8 * 1024 * 1024; ///< of one buffered response; streams are unlimited
-    std::size_t idle_connections = 4;         ///< most that are kept open
+    std::size_t idle_connections = 4;         ///< maximum number kept open
     duration idle_connection_timeout = std::chrono::seconds{20}; ///< older ones are not reused
     duration connect_timeout = duration::max();                  ///< part of a call's timeout
     /// Accept responses with neither Content-Length nor chunked encoding, which end when the
--- a/http/http_server.h
+++ b/http/http_server.h
@@ -1,7 +1,8 @@
 // An HTTP/1.1 server. The port for callers and the admin port are one instance each.
 //
-//   auto server = http_server::open(io, "127.0.0.1:0", settings, [](http_exchange& exchange)
-//       -> net::awaitable<void> { co_await exchange.answer(http::status::ok, "text/plain", "hi");
+//   auto server = http_server::open(
+//       io, "127.0.0.1:0", settings, [](http_exchange& exchange) -> net::awaitable<void> {
+//           co_await exchange.answer(http::status::ok, "text/plain", "hi");
 //       });
 //   server.value()->start();
 //
--- a/outside/runner.h
+++ b/outside/runner.h
@@ -87,7 +87,7 @@
     std::string model;
     std::vector<vm_id> members; ///< by rank
     /// If set, the runner answers `misfit` unless it has begun exactly this many orders since its
-    /// start. So a join that arrives late, or was ordered on stale state, moves no runner.
+    /// start. A join that arrives late, or was ordered on stale state, thus has no effect.
     std::optional<std::int64_t> expected_order_count;
 };
 /// Makes a head whose members are all ready start to serve.
--- a/peers/membership.h
+++ b/peers/membership.h
@@ -6,8 +6,8 @@
 //   run(core.frame_received(now, name_in_certificate, bytes));
 //   // run() sends the frames of send_frame and passes the other commands to their handlers
 //
-// Bytes per second, calculated for 410 nodes in 5 failure domains with 200 groups; the test of
-// bytes per second in membership_test.cc checks the total:
+// Bytes per second, calculated for 410 nodes in 5 failure domains with 200 groups. The test of
+// bytes per second in membership_test.cc checks the total.
 //
 //   frame head (version, deployment, names, boot, sequence, digests)      ~65 B
 //   length, TLS record, TCP and IP headers                               ~106 B
--- a/routing/claim_manager.h
+++ b/routing/claim_manager.h
@@ -107,7 +107,7 @@
         waiting,  ///< not claimed yet
         claiming, ///< in a claim transaction
         polling,  ///< claimed by another process; read periodically
-        owned,    ///< claimed by this process: the owner may be sent
+        owned,    ///< claimed by this process: the owner's request may be sent
         storing,  ///< owned: the outcome is being written
         deleting, ///< owned, abandoned before it was sent: being deleted at its revision
         cleaning, ///< abandoned while it was unknown whether our claim had been created
--- a/routing/target_table.h
+++ b/routing/target_table.h
@@ -89,7 +89,7 @@
     bool free = true;             ///< the row is not in use
     bool present = false;         ///< in the current list of groups or servers
     bool marked_leaving = false;  ///< by a target_leaving event
-    bool release_due = false;     ///< a `released` command is due once nothing is in flight
+    bool release_due = false;     ///< a `target_released` command is due once nothing is in flight
     bool rate_limit_reached = false;  ///< this node's share of the server's rate limit is used up
     std::uint32_t own = 0;            ///< this node's attempts in flight
     std::uint32_t pending_tokens = 0; ///< of the prompts of attempts without a first event
--- a/services/kv.h
+++ b/services/kv.h
@@ -95,9 +95,9 @@
     bool outage = false;              ///< every call fails without effect
     bool unresponsive = false;        ///< calls time out without effect
     duration delay{0};                ///< before a call takes effect
-    std::uint32_t lost_replies = 0;   ///< so many next writes take effect but get no response
-    std::uint32_t late_effects = 0;   ///< so many next writes take effect after timing out
-    std::uint32_t failed_watches = 0; ///< so many next watches end at once
+    std::uint32_t lost_replies = 0;   ///< number of next writes that take effect but get no reply
+    std::uint32_t late_effects = 0;   ///< number of next writes that take effect after timing out
+    std::uint32_t failed_watches = 0; ///< number of next watches that end at once
 };
 
 /// An in-process key-value service that several memory_kv clients share.
--- a/standins/faults.h
+++ b/standins/faults.h
@@ -23,8 +23,9 @@
     std::optional<bool> stall = {};     ///< accept requests but make no progress
     std::optional<bool> outage = {};    ///< answer 503 to each request without executing it
     std::optional<duration> delay = {}; ///< before each response
-    std::optional<std::uint32_t> lose_replies = {}; ///< executed requests that get no reply
-    std::optional<double> straggle = {};            ///< factor on the duration of each step
+    /// Number of next requests that are executed but get no reply.
+    std::optional<std::uint32_t> lose_replies = {};
+    std::optional<double> straggle = {};         ///< factor on the duration of each step
     std::optional<std::uint32_t> cut_after = {}; ///< tokens after which each stream is cut; 0: off
     std::optional<bool> answer_twice = {};       ///< send each response twice
     std::optional<bool> wrong_length = {};       ///< send a Content-Length above the body's size
--- a/tables/tables.h
+++ b/tables/tables.h
@@ -103,7 +103,7 @@
     bool resumable = false;              ///< such a stream may be resumed on another server
     bool retry_server_errors = false;    ///< a server's 500 is retried on another server
     std::uint32_t most_servers = 0;      ///< servers that may run one request; 0: see `retries`
-    /// Latency target until the answer begins, after which it is worth less; 0: none.
+    /// Latency target until the answer begins; a later answer has less value. 0: none.
     std::chrono::milliseconds first_target{0};
     /// The same for the pause between two events.
     std::chrono::milliseconds gap_target{0};
