--- a/base/base.h
+++ b/base/base.h
@@ -1,5 +1,5 @@
-// Public header of the base library: errors, results, names of enumerators, time, random
-// numbers, hashes, identifiers and JSON-line logs. Include this header, not the individual ones.
+// Public header of the base library: errors, results, names of enumerators, time, random numbers,
+// hashes, identifiers and JSON-line logs. Include this header, not the individual ones.
 #pragma once
 
 #include "base/address.h"
--- a/base/hash.h
+++ b/base/hash.h
@@ -18,8 +18,8 @@
 std::string content_digest(std::string_view bytes);
 
 /// Indices of the `count` candidates that rank highest for `key`, best first. Adding or removing a
-/// candidate changes only the selections that include it (highest random weight hashing, Thaler
-/// and Ravishankar 1998).
+/// candidate changes only the selections that include it (highest random weight hashing, Thaler and
+/// Ravishankar 1998).
 std::vector<std::size_t> rendezvous(std::string_view key, std::span<const std::string> candidates,
                                     std::size_t count);
 
--- a/base/json_fields.h
+++ b/base/json_fields.h
@@ -64,8 +64,8 @@
         return success();
     }
     void require(std::string_view name);
-    /// The enumerator named by the member, or `default_value` if the member is missing. An
-    /// unknown name is an error.
+    /// The enumerator named by the member, or `default_value` if the member is missing. An unknown
+    /// name is an error.
     template <class Enum>
     Enum enumerator(std::string_view name, Enum default_value)
     {
--- a/base/log_buffer.h
+++ b/base/log_buffer.h
@@ -3,7 +3,7 @@
 //
 //   log_buffer lines{log_limits{}};
 //   lines.add(log_level::info, "request_sent", text, now);   // false: dropped, and counted by kind
-//   const std::string_view next = lines.front(4096);          // next bytes to write
+//   const std::string_view next = lines.front(4096);         // next bytes to write
 //   lines.consume(written);
 //
 // Warnings and errors are written before routine lines and have space and rate of their own, which
--- a/config/store.h
+++ b/config/store.h
@@ -42,8 +42,8 @@
     read_tables(const head_record& head, const std::map<std::string, std::string>& known);
     /// Reads the record of a kept revision. Errors: not_found if it is not kept.
     boost::asio::awaitable<result<head_record>> read_revision(config_revision revision);
-    /// Accepts an edit that was made on revision `base`. Retries if another editor was faster
-    /// or a call failed. Errors: conflict, invalid_table, too_large, invalid_argument, unavailable,
+    /// Accepts an edit that was made on revision `base`. Retries if another editor was faster or a
+    /// call failed. Errors: conflict, invalid_table, too_large, invalid_argument, unavailable,
     /// unknown_outcome (apply again with the same change id).
     boost::asio::awaitable<result<committed_change>>
     commit_edit(config_revision base, const edit& wanted,
--- a/daemon/daemon.h
+++ b/daemon/daemon.h
@@ -2,7 +2,7 @@
 //
 //   boost::asio::io_context io;
 //   result<std::unique_ptr<daemon>> made = daemon::create(io, settings);
-//   made.value()->start();                       // serves once a configuration is installed
+//   made.value()->start();                        // serves once a configuration is installed
 //   co_spawn(io, made.value()->stop(), detached); // graceful: finishes everything in flight
 //   io.run();
 //
@@ -48,8 +48,8 @@
     void start();
 
     /// Graceful stop: reports not ready, waits for the load balancer to notice, finishes all
-    /// requests in flight and leaves the membership. Completes when nothing is running any more,
-    /// or after the time limit for a stop.
+    /// requests in flight and leaves the membership. Completes when nothing is running any more, or
+    /// after the time limit for a stop.
     boost::asio::awaitable<void> stop();
 
     /// `handler` is called when a process that started later runs under the same node name; this
--- a/groups/orders.h
+++ b/groups/orders.h
@@ -2,7 +2,7 @@
 // the record with the engines' reports, so an order that was lost, refused or ignored is sent
 // again.
 //
-//   order_book orders{"node-1"};                     // prefix of the order names
+//   order_book orders{"node-1"};                      // prefix of the order names
 //   orders.send(input, vms, next_token, commands);    // at each tick
 #pragma once
 
--- a/outside/call_facts.h
+++ b/outside/call_facts.h
@@ -38,8 +38,8 @@
     bool sealed = false;         ///< has the server's seal, so it comes from no other process
     std::optional<std::uint32_t> running; ///< requests running there; reported with `waiting`
     std::uint32_t waiting = 0;            ///< requests queued there
-    /// Requests per second that the server accepts from all entry VMs together, in force as long
-    /// as its answers state it.
+    /// Requests per second that the server accepts from all entry VMs together, in force as long as
+    /// its answers state it.
     std::optional<double> rate_limit;
     std::string unreadable_limit; ///< text of a rate limit that is not a number, or empty
     /// Time after which the server closes an idle connection.
--- a/peers/payload.h
+++ b/peers/payload.h
@@ -42,8 +42,7 @@
     friend bool operator==(const demand&, const demand&) = default;
 };
 
-/// A backend server ("address:port") or VM that must get no new requests. Published
-/// without delay.
+/// A backend server ("address:port") or VM that must get no new requests. Published without delay.
 struct leaving {
     std::string server;
     duration age{0};
--- a/routing/caller_timeout_estimate.h
+++ b/routing/caller_timeout_estimate.h
@@ -29,8 +29,9 @@
     /// Relative change of the median per request: it takes some hundred requests to adapt to
     /// callers with another timeout.
     static constexpr double step = 0.005;
-    /// Of the median. Timeouts of one route's callers vary slightly, while a returning caller has
-    /// already spent its first wait and the pause before its retry.
+    /// Below this fraction of the median, a request counts as returning. Timeouts of one route's
+    /// callers vary slightly, while a returning caller has already spent its first wait and the
+    /// pause before its retry.
     static constexpr double returning_fraction = 0.85;
 
     double m_median_ms = 0.0; ///< running estimate; its steps don't depend on outliers' size
--- a/routing/request_events.h
+++ b/routing/request_events.h
@@ -62,8 +62,8 @@
     std::string idempotency_key; ///< empty for none
     /// Digest over method, path with query, and body; required with an idempotency key.
     std::string body_digest;
-    /// Chained hashes of the prompt's blocks: element i covers blocks 0..i. Only the first 64
-    /// are used.
+    /// Chained hashes of the prompt's blocks: element i covers blocks 0..i. Only the first 64 are
+    /// used.
     std::vector<std::uint64_t> prefix_blocks;
     std::uint32_t prompt_tokens = 0; ///< estimate
     std::uint32_t answer_tokens = 0; ///< estimate, for example max_tokens
