--- a/config/test_fleet.h
+++ b/config/test_fleet.h
@@ -25,7 +25,7 @@
     bool watch_silent = false;         ///< the watch delivers nothing, without an error
     bool platform_unreachable = false; ///< calls of this node on the platform fail
     std::uint64_t calls = 0;           ///< made on the platform
-    std::int64_t highest = 0;          ///< revision installed last
+    std::int64_t highest = 0;          ///< revision installed last; 0: none
     std::map<std::int64_t, time_point> installed_at;
     std::size_t members_seen = 0;    ///< members at the last domain_changed; 0: they changed since
     bool revision_decreased = false; ///< an installed revision was not above the previous one
--- a/daemon/daemon.h
+++ b/daemon/daemon.h
@@ -56,8 +56,9 @@
     /// daemon must stop then.
     void on_superseded(std::function<void()> handler);
 
-    /// Whether the load balancer may send callers here: a configuration is installed, complete
-    /// groups are known or the wait for them is over, and no stop has begun.
+    /// Whether the load balancer may send callers here: no stop has begun, a configuration is
+    /// installed and, if it has model pools, complete groups are known or the wait for them is
+    /// over.
     [[nodiscard]] bool ready() const;
     [[nodiscard]] config_revision revision() const;
     [[nodiscard]] std::uint16_t listen_port() const;
--- a/daemon/formation_driver.h
+++ b/daemon/formation_driver.h
@@ -51,8 +51,8 @@
     void traffic_started();
     /// Requests that this node sent to a group's head get no response.
     void report_unresponsive_head(const vm_id& head);
-    /// Sets the function that tells whether a runner has responded to this node's requests
-    /// recently; used to answer other nodes that probe a runner through this one.
+    /// Sets the function that returns whether a runner has recently responded to this node's
+    /// requests. It is used to answer other nodes that probe a runner through this one.
     void set_response_check(std::function<bool(const vm_id&)> responded_recently);
     /// `handler` is called when a runner's group changed according to the runner itself, while the
     /// store is down and the registry can't be updated.
--- a/daemon/outage_inquiry.h
+++ b/daemon/outage_inquiry.h
@@ -25,9 +25,10 @@
 namespace jaynotch {
 
 struct outage_hooks {
-    /// No node reaches the store; the round in which all said so started at `asked`.
+    /// All nodes asked have answered that they do not reach the store. The round started at
+    /// `asked`.
     std::function<void(const failure_domain_id&, time_point asked)> on_confirmed;
-    /// This node has told the manager of the domain that it does not reach the store.
+    /// This node answers the domain's manager that it does not reach the store.
     std::function<void(const failure_domain_id&)> on_outage_reported;
     /// Whether this node itself manages the domain.
     std::function<bool(const failure_domain_id&)> manages;
--- a/peers/key_relay.h
+++ b/peers/key_relay.h
@@ -8,12 +8,13 @@
 //   run(relay.notice_received(now, notice));       // rumor of a peer
 //   run(relay.message_received(now, message));     // request, reply or push of a peer
 //
-// The assignment records of the fabric domains are distributed this way. If every node watched
-// them, the number of calls to the platform would grow with the fleet, and a node that starts
-// during an outage of the platform would know no groups although its peers know them all.
+// The assignment records of the fabric domains (daemon/record_feed.h) and the documents of the
+// registry (daemon/registry_feed.h) are distributed this way. If every node watched them, the
+// number of calls to the platform would grow with the fleet, and a node that starts during an
+// outage of the platform would know no groups although its peers know them all.
 //
-// The highest revision of each key replaces the others. Keys are never removed, since records are
-// never deleted.
+// The highest revision of each key replaces the others. Keys are never removed: record_feed ignores
+// deletions, and registry_feed passes a deletion on as an empty value with a higher revision.
 #pragma once
 
 #include "base/base.h"
--- a/peers/membership.h
+++ b/peers/membership.h
@@ -106,7 +106,7 @@
 
     /// Pings `nodes`. Their acks carry the revision that they have installed.
     membership_commands ping_nodes(time_point now, const std::vector<node_id>& nodes);
-    /// Tells some peers that this node leaves, and stops probing.
+    /// Announces to some peers that this node leaves, and stops probing.
     membership_commands leave(time_point now);
     void add_seeds(const std::vector<std::string>& addresses);
 
--- a/peers/payload.h
+++ b/peers/payload.h
@@ -30,7 +30,7 @@
     friend bool operator==(const ticket_digest&, const ticket_digest&) = default;
 };
 
-/// Requests of one workspace in one pool that a node has in flight and receives.
+/// Demand of one workspace for one pool at a node: requests in flight or queued, and arrivals.
 struct demand {
     std::uint32_t node = 0;      ///< wire_key of the node; set by membership_core::publish
     std::uint32_t pool = 0;      ///< wire_key of the pool
--- a/peers/peers.h
+++ b/peers/peers.h
@@ -55,7 +55,7 @@
 
     /// Runs until leave() completes or stop() is called.
     boost::asio::awaitable<void> run();
-    /// Tells the peers that this node leaves, so that they need not detect it, then stops.
+    /// Announces that this node leaves, so that its peers need not detect it, then stops.
     boost::asio::awaitable<void> leave();
     void stop();
 
