--- a/daemon/daemon.h
+++ b/daemon/daemon.h
@@ -2,7 +2,7 @@
 //
 //   boost::asio::io_context io;
 //   result<std::unique_ptr<daemon>> made = daemon::create(io, settings);
-//   made.value()->start();                       // serves once a configuration is installed
+//   made.value()->start();                        // serves once a configuration is installed
 //   co_spawn(io, made.value()->stop(), detached); // graceful: finishes everything in flight
 //   io.run();
 //
@@ -48,16 +48,17 @@
     void start();
 
     /// Graceful stop: reports not ready, waits for the load balancer to notice, finishes all
-    /// requests in flight and leaves the membership. Completes when nothing is running any more,
-    /// or after the time limit for a stop.
+    /// requests in flight and leaves the membership. Completes when nothing is running any more, or
+    /// after the time limit for a stop.
     boost::asio::awaitable<void> stop();
 
     /// `handler` is called when a process that started later runs under the same node name; this
     /// daemon must stop then.
     void on_superseded(std::function<void()> handler);
 
-    /// Whether the load balancer may send callers here: a configuration is installed, complete
-    /// groups are known or were waited for, and no stop has begun.
+    /// Whether the load balancer may send callers here: no stop has begun, a configuration is
+    /// installed and, if it has model pools, complete groups are known or the wait for them is
+    /// over.
     [[nodiscard]] bool ready() const;
     [[nodiscard]] config_revision revision() const;
     [[nodiscard]] std::uint16_t listen_port() const;
