--- a/groups/domain_shares.cc
+++ b/groups/domain_shares.cc
@@ -37,7 +37,8 @@
     std::stable_sort(needs.begin(), needs.end(), [](const need& left, const need& right) {
         return left.missing < right.missing;
     });
-    // Groups that miss the fewest VMs are completed first. The VMs of one that can't be are free.
+    // Groups that miss the fewest VMs are completed first. The VMs of a group that can't be
+    // completed are free.
     for (const need& one : needs) {
         if (one.missing > counted.free) {
             counted.free += one.group->members.size() - one.missing;
--- a/groups/fake_registry.cc
+++ b/groups/fake_registry.cc
@@ -1,6 +1,6 @@
 // Time advances in steps of 10 ms. An order is executed and answered in the step after it was sent;
 // a lost one is executed 2 to 12 s later, regardless of other orders in between. If there is no
-// answer, the manager is told that the order is lost after the time for which its node waits.
+// answer, the manager's node reports the order as lost to the manager after `answer_wait`.
 #include "groups/fake_registry.h"
 
 #include <algorithm>
--- a/groups/fake_world.cc
+++ b/groups/fake_world.cc
@@ -320,7 +320,7 @@
         engine.row.leaves_in = std::chrono::seconds{60};
         break;
     case 8:
-        // Listed with another fabric domain as well.
+        // The VM list names the VM in a second fabric domain as well.
         m_extra_rows = {engine.row};
         m_extra_rows.front().fabric_domain = m_domains[m_random.index(m_domains.size())];
         break;
--- a/groups/formation.cc
+++ b/groups/formation.cc
@@ -258,7 +258,8 @@
     const bool accepted = answer.reply == order_reply::begun || answer.reply == order_reply::holds;
     if (answer.reply == order_reply::outdated && lease_election.leading(now)) {
         add_notice(log_level::warning, "manager_outdated", answer.vm.value(),
-                   "a runner knows a newer term than " + std::to_string(lease_election.term()));
+                   "the runner refused an order: it knows a newer term than " +
+                       std::to_string(lease_election.term()));
         lease_election.outdated(now);
         return;
     }
--- a/groups/formation_histories_test.cc
+++ b/groups/formation_histories_test.cc
@@ -138,7 +138,8 @@
     assert_invariants_hold(31, late_orders | outages);
 }
 
-// No combination of faults may put a runner into two groups or open a group too early.
+// No combination of faults may put a runner into two groups, or open a group before all its members
+// are ready.
 Test(formation, random_histories_violate_no_invariant)
 {
     constexpr std::uint64_t seeds = 6;
--- a/groups/formation_orders_test.cc
+++ b/groups/formation_orders_test.cc
@@ -174,7 +174,7 @@
 }
 
 // Guards against a runner that is never used again because its manager counted an order that the
-// runner did not count.
+// runner did not count: joins then carry a wrong order count, and the runner refuses them all.
 Test(formation, a_runner_that_refused_a_join_is_asked_and_joined_again)
 {
     single_manager manager;
--- a/groups/formation_outage_test.cc
+++ b/groups/formation_outage_test.cc
@@ -84,8 +84,9 @@
     cr_assert_eq(world.leaders(), 0U);
 }
 
-// Entries reach a manager in batches. So an entry can arrive after the reply to a later order, and
-// some arrive only after an outage of the store that began in between.
+// Guards against a runner in two groups because the manager relies on outdated entries. Entries
+// reach a manager in batches, so an entry can arrive after the reply to a later order, and some
+// arrive only after an outage of the store that began in between.
 Test(formation, late_entries_and_outages_put_no_runner_into_two_groups)
 {
     for (std::uint64_t seed = 1; seed <= 60; ++seed) {
--- a/groups/formation_test.cc
+++ b/groups/formation_test.cc
@@ -194,7 +194,8 @@
     assert_no_violations(world);
 }
 
-// All runners of a fabric domain restart with the weights still staged on their hosts.
+// All runners of a fabric domain restart with the weights still staged on their hosts. The groups
+// must be formed again from these weights within four seconds.
 Test(formation, a_restarted_domain_recovers_within_four_seconds)
 {
     fake_registry world = serving_fleet({.domains = 1, .runners = 9});
--- a/groups/groups_test.cc
+++ b/groups/groups_test.cc
@@ -64,9 +64,9 @@
 
 } // namespace
 
-// Guards against a replica that stays down although a VM is idle: a member dies
-// while the platform is unreachable, so no record can be written to replace it.
-// The group must switch to the standby that was bound before.
+// Guards against a replica that stays down although a VM is idle: a member dies while the platform
+// is unreachable, so no record can be written to replace it. The group must switch to the standby
+// that was bound before.
 Test(group_repair, a_bound_standby_replaces_a_member_while_the_platform_is_unreachable)
 {
     fake_world world{{.nodes = 2, .domains = 1, .vms_per_domain = 3}, 3};
@@ -92,9 +92,8 @@
     expect_no_violations(world);
 }
 
-// A member does not respond for ten seconds and then continues. The group must be
-// complete again at once and the loading standby be released, without a second
-// interruption by a switch.
+// A member does not respond for ten seconds and then continues. The group must be complete again at
+// once and the loading standby be released, without a second interruption by a switch.
 Test(group_repair, a_member_back_from_a_pause_keeps_its_place)
 {
     fake_world world{{.nodes = 2, .domains = 1, .vms_per_domain = 3}, 4};
@@ -114,8 +113,8 @@
     expect_no_violations(world);
 }
 
-// A new version is rolled out. There must be a complete group at every step: the
-// old one serves until the new one has loaded.
+// A new version is rolled out. There must be a complete group at every step: the old one serves
+// until the new one has loaded.
 Test(group_repair, the_old_version_serves_until_the_new_one_is_complete)
 {
     fake_world world{{.nodes = 1, .domains = 1, .vms_per_domain = 4}, 5};
@@ -135,8 +134,8 @@
     expect_no_violations(world);
 }
 
-// A VM is announced to leave. There must be a complete group at every step: a new
-// one is built before the VM leaves.
+// A VM is announced to leave. There must be a complete group at every step: a new one is built
+// before the VM leaves.
 Test(group_repair, a_leaving_vm_is_replaced_before_it_leaves)
 {
     fake_world world{{.nodes = 1, .domains = 1, .vms_per_domain = 5}, 6};
@@ -154,9 +153,8 @@
     expect_no_violations(world);
 }
 
-// An engine accepts every order and executes none. Its group must not wait
-// forever: the VM is quarantined after several orders without effect, and another
-// VM replaces it.
+// An engine accepts every order and executes none. Its group must not wait forever: the VM is
+// quarantined after several orders without effect, and another VM replaces it.
 Test(group_repair, an_engine_that_ignores_accepted_orders_is_replaced)
 {
     fake_world world{{.nodes = 1, .domains = 1, .vms_per_domain = 3}, 7};
--- a/groups/manager.cc
+++ b/groups/manager.cc
@@ -132,7 +132,8 @@
     if (!is_record_key(settings.deployment, entry.key))
         return;
     if (entry.mod_revision == 0) {
-        // Never written. Only a read of this domain's own key can return such an entry.
+        // The record has never been written. Only a read of this domain's own key can return such
+        // an entry.
         record_read = record_read || entry.key == record_key(settings.deployment, settings.domain);
         return;
     }
--- a/groups/plan.cc
+++ b/groups/plan.cc
@@ -1,11 +1,10 @@
-// The planner runs a fixed sequence of passes over a copy of the record. Each
-// pass is level-triggered: it depends on the current state, not on the events
-// that led to it. So a plan that was lost, written by a manager that has died
-// since, or executed in part by the engines is simply continued by the next run.
+// The planner runs a fixed sequence of passes over a copy of the record. Each pass is
+// level-triggered: it depends on the current state, not on the events that led to it. So a plan
+// that was lost, written by a manager that has died since, or executed in part by the engines is
+// simply continued by the next run.
 //
-// No pass can put a VM into two groups: VMs enter the record only through
-// take_spare and take_vm, which remove them from the spares or from the group
-// that they were bound to.
+// No pass can put a VM into two groups: VMs enter the record only through take_spare and take_vm,
+// which remove them from the spares or from the group that they were bound to.
 #include "groups/plan.h"
 
 #include "groups/plan_pass.h"
@@ -14,8 +13,8 @@
 
 namespace {
 
-/// A group with a leaving member is switched even if it is busy once the member
-/// has at most this time left.
+/// A group with a leaving member is switched even if it is busy once the member has at most this
+/// time left.
 constexpr duration forced_switch_lead = 5s;
 
 std::set<vm_id> all_assigned(const record_map& records, const domain_record& next)
@@ -29,8 +28,8 @@
                 assigned.insert(one.vm);
         }
     };
-    // Includes other domains' records, because the VM list may show a VM in this
-    // domain that another domain's record still names.
+    // Includes other domains' records, because the VM list may show a VM in this domain that
+    // another domain's record still names.
     for (const auto& [domain, record] : records) {
         if (domain != next.domain)
             add(record);
@@ -109,15 +108,15 @@
         const pool* row = pool_of(group);
         if (!group.retiring && (row == nullptr || !allowed_in(*row, next.domain)))
             start_drain(group, true, "pool removed or moved to other domains");
-        // The group that it was built to replace is gone, so it counts like any
-        // other group.
+        // The group that this one was built to replace no longer exists, so this one counts like
+        // any other.
         if (find(group.replaces) == nullptr)
             group.replaces = group_id{};
     }
     for (const pool* row : pools_by_rank(in.tables)) {
         const pool_share share = shares.share(row->name);
-        // Another domain's manager may see the list or a record later than this
-        // one, so only a lasting difference is a reason to dissolve a group.
+        // Another domain's manager may see the list or a record later than this one, so only a
+        // lasting difference is a reason to dissolve a group.
         const bool surplus =
             self.m_since.held_for("surplus " + row->name.value(), share.surplus > 0, in.now) >
             in.settings.reassign_delay;
@@ -174,8 +173,8 @@
         if (group.retiring)
             continue;
         if (!seen.can_switch && !seen.switched) {
-            // The reason to drain may have ceased, because the member that was to
-            // be replaced is back.
+            // The reason to drain may have ceased, because the member that was to be replaced is
+            // back.
             group.draining = group.draining && outdated(group);
             continue;
         }
@@ -185,8 +184,7 @@
             must_switch_now = must_switch_now || (view != nullptr && view->leaving &&
                                                   view->leaves_at - in.now <= forced_switch_lead);
         }
-        // A switch ends the requests in flight, so a planned one waits until there
-        // are none.
+        // A switch ends the requests in flight, so a planned one waits until there are none.
         if (seen.complete && !seen.switched && !must_switch_now) {
             if (being_replaced(group.group))
                 continue;
@@ -262,8 +260,8 @@
 
 bool planner::pass::drained(const group_assignment& group)
 {
-    // Measured from the written record, not from the plan: a group still gets
-    // requests until its draining has been written.
+    // Measured from the written record, not from the plan: a group still gets requests until its
+    // draining has been written.
     const auto written = std::find_if(in.record.groups.begin(), in.record.groups.end(),
                                       [&](const auto& one) { return one.group == group.group; });
     const bool draining = written != in.record.groups.end() && written->draining;
--- a/groups/rollout.cc
+++ b/groups/rollout.cc
@@ -1,16 +1,14 @@
-// Rollout of new models, versions, adapters and group sizes. A group never mixes
-// two of them: its record names one, and a ticket requires that every member
-// reports that one.
+// Rollout of new models, versions, adapters and group sizes. A group never mixes two of them: its
+// record names one, and a ticket requires that every member reports that one.
 //
-// With enough free VMs a new group is built while the old one serves, and
-// replaces it once it is complete. Otherwise one group at a time is drained and
-// loads the new version on its own VMs, while the pool's other groups serve the
-// old one; domains do so one after another, in the order of their names.
+// With enough free VMs a new group is built while the old one serves, and replaces it once it is
+// complete. Otherwise one group at a time is drained and loads the new version on its own VMs,
+// while the pool's other groups serve the old one; domains do so one after another, in the order of
+// their names.
 //
-// A group with a member that is about to leave is replaced in the same way: with
-// enough free VMs a complete new group is built first, so that no request has to
-// wait for a switch. A standby is loaded for the member's place as well, in case
-// the VM leaves before the new group is complete.
+// A group with a member that is about to leave is replaced in the same way: with enough free VMs a
+// complete new group is built first, so that no request has to wait for a switch. A standby is
+// loaded for the member's place as well, in case the VM leaves before the new group is complete.
 #include "groups/plan_pass.h"
 
 namespace jaynotch::groups {
@@ -65,8 +63,8 @@
     for (group_assignment& group : next.groups) {
         const group_assignment* old = find(group.replaces);
         const bool ready = old != nullptr && complete(group);
-        // A group that is complete by the manager's reports may not have a ticket
-        // yet: the watchers need another probe.
+        // A group that is complete by the manager's reports may not have a ticket yet: the watchers
+        // need another probe.
         if (held_for("ready", group.group, ready) < in.settings.report_horizon || !ready)
             continue;
         // The new group takes over, and the old one finishes its requests in flight.
@@ -102,8 +100,7 @@
         }
         std::erase_if(
             old, [&](const group_id& id) { return find(id) == nullptr || !outdated(*find(id)); });
-        // An incomplete group serves no requests, so its change costs nothing and
-        // comes first.
+        // An incomplete group serves no requests, so its change costs nothing and comes first.
         const auto first = std::stable_partition(
             old.begin(), old.end(), [&](const group_id& id) { return !complete(*find(id)); });
         const bool one_draining = std::any_of(
--- a/groups/runner_registry_test.cc
+++ b/groups/runner_registry_test.cc
@@ -123,7 +123,8 @@
 }
 
 // A new manager gives each composition time to become complete, counted from when it was first
-// seen. That time must not move with later changes of its entries.
+// seen. If later changes of its entries restarted that time, a group that never becomes complete
+// might be kept forever.
 Test(runner_registry, a_composition_keeps_the_time_at_which_it_was_first_seen)
 {
     runner_registry registry;
@@ -138,7 +139,8 @@
     cr_assert(registry.find(vm_id{"a"}) == nullptr);
 }
 
-// A runner that restarts under its old id must not keep state of its previous start.
+// A runner restarts under its old id while the registry still holds its old entry. State of the
+// previous start must not be kept: the runner has no warm model any more and heads no group.
 Test(runner_registry, a_restarted_runner_keeps_no_state)
 {
     runner_registry registry;
--- a/routing/claim_manager.cc
+++ b/routing/claim_manager.cc
@@ -145,7 +145,7 @@
         m_resolutions.emplace_back(claim_granted{owner.request});
         return;
     }
-    // The reply came after the request's deadline: it must not be sent any more.
+    // The claim was confirmed after the request's deadline, so the request must not be sent.
     m_resolutions.emplace_back(claim_store_unavailable{owner.request});
     abandon(owner.request, now);
 }
@@ -289,7 +289,7 @@
         free_item(number);
         return;
     default:
-        return; // claiming: see on_claimed; the other states need no requester
+        return; // `claiming` is handled in on_claimed(); the other states need no requester
     }
     enqueue_for_state(number);
 }
--- a/routing/claim_manager_kv.cc
+++ b/routing/claim_manager_kv.cc
@@ -251,7 +251,7 @@
         item& claimed = m_items[number];
         claimed.state = item_state::waiting;
         if (!outcome) {
-            // The transaction may have taken effect; reading the record will tell.
+            // The transaction may have taken effect; a read of the record will show whether it has.
             claimed.maybe_created = true;
             continue;
         }
--- a/routing/keyed_test.cc
+++ b/routing/keyed_test.cc
@@ -42,7 +42,7 @@
 }
 
 // Guards against waiting for the outcome of a claim whose process no longer exists, because the
-// entry VM restarted during the call. A repeat and a status query must be told at once that the
+// entry VM restarted during the call. A repeat and a status query must be answered at once: the
 // outcome is unknown.
 Test(keyed, a_claim_from_before_a_restart_is_unknown)
 {
@@ -63,7 +63,7 @@
 }
 
 // Guards against waiting for the outcome of a claim whose entry VM has died. Once that VM has left
-// the membership, a repeat is told at once that the outcome is unknown; before that the repeat
+// the membership, a repeat is answered at once that the outcome is unknown; before that the repeat
 // waits, since the call may still be running.
 Test(keyed, a_claim_of_a_node_that_left_is_unknown)
 {
--- a/routing/modelled_test.cc
+++ b/routing/modelled_test.cc
@@ -104,8 +104,8 @@
     cr_assert(!last_command<send_attempt>(sim.fail_attempt(*second)));
 }
 
-// Guards against a node that gets no places because the other nodes seem to fill every group: each
-// node has guaranteed places.
+// Guards against a node that sends nothing because, by the load reports, the other nodes fill every
+// group: each node has guaranteed places.
 Test(modelled, each_node_has_guaranteed_places_in_a_full_group)
 {
     world sim{1};
@@ -283,8 +283,8 @@
     cr_assert_neq(last_command<send_attempt>(sim.submit())->target.value(), "g1");
 }
 
-// Guards against a move in the request log that shows neither its reason nor how many servers the
-// request has used.
+// Guards against a request log that can't explain a move to another server: each attempt must
+// record how many servers the request has used, and each cancellation its reason.
 Test(modelled, a_move_records_its_reason_and_the_servers_used)
 {
     world sim{2};
--- a/routing/overload_test.cc
+++ b/routing/overload_test.cc
@@ -275,9 +275,9 @@
     cr_assert(refusal->retry_after.has_value());
 }
 
-// Guards against queues in which every request waits until it is just late. The demand is two and a
-// half times the capacity for several seconds, as in a burst while groups are repaired; first come,
-// first served would then serve almost no request in time.
+// Guards against queues in which every request waits until it just misses its target. The demand is
+// two and a half times the capacity for several seconds, as in a burst while groups are repaired;
+// first come, first served would then serve almost no request in time.
 Test(modelled, most_served_requests_meet_their_target_under_overload)
 {
     overload_simulation sim{{.prompt = 1'000}};
--- a/routing/rate_limits.cc
+++ b/routing/rate_limits.cc
@@ -6,8 +6,8 @@
 // Bound: a limit of L requests a second is split into min(nodes, 2 + floor(L)) shares of equal
 // rate, with buckets that hold 2 + L requests together. In a window of w seconds the server thus
 // gets at most w * L + L + 2 requests, regardless of the number of nodes. When a share passes to
-// another node, its bucket starts empty. A node that is no longer heard of keeps its share for a
-// while, since it may be partitioned and still send.
+// another node, its bucket starts empty. A node that is no longer listed as live keeps its share
+// for a while, since it may be partitioned and still send.
 //
 // Nodes without a share learn from the others that a limit was lifted. In case all nodes with a
 // share have left, each other node sends a trial request after a silence that increases with its
@@ -21,7 +21,8 @@
 
 namespace {
 
-/// A member that is not heard of may still send requests, so it keeps its share this long.
+/// A member that is not listed as live may be partitioned and still send requests, so it keeps its
+/// share this long.
 constexpr std::chrono::seconds silent_member_retention{15};
 /// Lower bound on the effective limit, requests a second: without any request, no node would learn
 /// that the limit was lifted.
--- a/routing/rate_limits_test.cc
+++ b/routing/rate_limits_test.cc
@@ -1,5 +1,5 @@
 // Simulates fleets of entry nodes in front of one server that names a rate limit. Responses, gossip
-// and membership views arrive late; there is no network and the clock is simulated.
+// and membership views are delayed; there is no network and the clock is simulated.
 #include "routing/rate_limits.h"
 
 #include <criterion/criterion.h>
@@ -94,7 +94,7 @@
         bool alive = true;
         int partition = 0;
         double wanted = 0.0;
-        std::map<std::size_t, time_point> last_seen; ///< when each node was last heard of
+        std::map<std::size_t, time_point> last_seen; ///< when each node was last reachable
         time_point view_updated_at{};
         std::optional<time_point> limit_named_at; ///< when a response first reached the node
     };
@@ -216,8 +216,8 @@
 
 } // namespace
 
-// Guards against shares that are each rounded up to a whole request, and against unused capacity of
-// the server.
+// Guards against shares that are each rounded up to one request a second, which exceeds the limit
+// in a large fleet, and against shares that leave much of the limit unused.
 Test(rate_limits, total_rate_stays_within_the_limit_at_every_fleet_size)
 {
     constexpr double demand = 20.0;
@@ -234,7 +234,8 @@
     }
 }
 
-// Guards against shares that are assigned twice while the nodes' membership views differ.
+// Guards against exceeding the limit because two nodes take the same share: while nodes restart or
+// pause, or a domain is cut off, the nodes' membership views differ.
 Test(rate_limits, total_rate_stays_within_the_limit_during_faults)
 {
     for (const std::size_t nodes : {4U, 35U, 117U}) {
@@ -269,7 +270,8 @@
     }
 }
 
-// Guards against nodes that keep enforcing a limit that the server no longer names.
+// Guards against nodes that keep enforcing a limit that the server no longer names: nodes without a
+// share send nothing to the server and learn this from the others.
 Test(rate_limits, a_lifted_limit_reaches_all_nodes_promptly)
 {
     fleet sim{117, 1.9, 6.0, 3};
@@ -280,8 +282,8 @@
         cr_assert(sim.at(at).empty(), "node %zu", at);
 }
 
-// Guards against a node without a share that never sends again because no node is left to report a
-// lifted limit.
+// Guards against a node without a share that never sends again because no other node reports to it
+// that the limit was lifted. It must send occasional trial requests.
 Test(rate_limits, a_node_without_updates_sends_trial_requests)
 {
     const node_id self{"node-0"};
--- a/routing/request_arrival.cc
+++ b/routing/request_arrival.cc
@@ -209,10 +209,10 @@
     return now + first_target - std::chrono::duration_cast<duration>(first);
 }
 
-/// Whether the caller is likely to have been refused before, in which case the request's first
-/// target has already passed. With newest-first queueing it would be served before requests that
-/// can still be in time; those would be refused and return in turn, so that under overload no
-/// request would be in time.
+/// Whether the caller is likely to have been refused before, in which case the latency target for
+/// the first event has already been missed. With newest-first queueing the request would be served
+/// before requests that can still be in time; those would be refused and return in turn, so that
+/// under overload no request would be in time.
 bool request_core::state::is_returning_caller(const request_row& row, time_point now)
 {
     const bool has_target = row.terms.first_target.count() > 0 && row.info.deadline;
@@ -273,7 +273,7 @@
     }
     const double weight = pool.weight_of(row.info.workspace, row.terms.priority);
     // If all groups are full, first-come-first-served would make every request wait for as long as
-    // its first target allows and then begin too late. With newest first, the requests that are
+    // its latency target allows and then begin too late. With newest first, the requests that are
     // served are in time.
     const bool newest_first = pool.modelled() && settings.mechanisms.has(mechanism::newest_first);
     const queue_end end = newest_first ? queue_end::front : queue_end::back;
--- a/routing/request_dispatch.cc
+++ b/routing/request_dispatch.cc
@@ -14,7 +14,8 @@
 
 constexpr std::size_t max_tried_targets = 4;
 /// A queued request is refused when the time left before its deadline falls below this many typical
-/// times to the first token, since it would be processed in vain.
+/// times to the first token: its answer would probably come too late, and the engine's work would
+/// be wasted.
 constexpr double reserved_first_token_times = 2.0;
 
 duration from_seconds(double span)
--- a/routing/request_limits_test.cc
+++ b/routing/request_limits_test.cc
@@ -59,7 +59,9 @@
 
 } // namespace
 
-// Guards against a limited server that gets its usual share of the requests, or none.
+// Guards against a server that is overrun because target selection ignores its limit, and against
+// one that gets no requests at all. It must get about this node's share of its limit, and the other
+// servers the rest.
 Test(request_limits, excess_over_a_server_limit_goes_to_other_servers)
 {
     world here{3};
@@ -70,7 +72,9 @@
     cr_assert_geq(sent.at("g2") + sent.at("g3"), 560);
 }
 
-// Guards against requests that wait for a server whose limit leaves this node no share.
+// Guards against requests that wait for a server whose limit leaves this node no share, as happens
+// with 60 nodes and a low limit. They must be refused at once as not run, with a short Retry-After,
+// since another node may have a share.
 Test(request_limits, a_node_without_a_share_refuses_at_once)
 {
     world here{1};
@@ -91,7 +95,8 @@
     cr_assert_geq(refused, 38, "either refused at once or, rarely, sent");
 }
 
-// Guards against a server that stays limited although its answers no longer state a limit.
+// Guards against a server that stays limited after its limit was lifted: once its answers no longer
+// state a limit, it must get its usual share of the requests again.
 Test(request_limits, a_lifted_limit_restores_normal_use)
 {
     world here{1};
@@ -101,7 +106,8 @@
     cr_assert_geq(sent.at("g1"), 150);
 }
 
-// Guards against ignoring a limit reported by a peer.
+// Guards against exceeding a limit that only a peer has seen: the limit must apply, and be lifted,
+// by the peer's report alone.
 Test(request_limits, a_limit_reported_by_a_peer_holds)
 {
     world here{1};
