--- a/config/config_service_test.cc
+++ b/config/config_service_test.cc
@@ -122,6 +122,8 @@
 
 } // namespace
 
+// A single node accepts the first tables. It has no peers to get them from, so it must install what
+// it wrote itself.
 Test(config_service, one_node_installs_what_it_accepted)
 {
     fixture test;
@@ -133,6 +135,8 @@
     cr_assert_eq(node.config->current()->pools.size(), 1U);
 }
 
+// Two nodes accept changes in turn. Each must install the change of the other, and must learn that
+// the other has installed it; otherwise operators could not see when a change is in force.
 Test(config_service, a_second_node_installs_from_its_peers)
 {
     fixture test;
--- a/daemon/daemon.cc
+++ b/daemon/daemon.cc
@@ -117,8 +117,8 @@
 }
 
 // A node that has just started gets the tables at once but the tickets of groups a little later. If
-// it reported ready in between, the load balancer would send it callers that it must refuse while
-// all other nodes serve. The wait is bounded, since there may be no complete group at all.
+// it reported ready in between, it would have to refuse callers that any other node could serve.
+// The wait is bounded, since there may be no complete group at all.
 bool daemon::impl::warming_up() const
 {
     const auto tables = config->current();
--- a/daemon/flags.cc
+++ b/daemon/flags.cc
@@ -131,12 +131,13 @@
         chosen.seed_peers = site.seed_peers;
     chosen.first_start = site.first_start;
     chosen.site = site.bounds;
-    // The platform kills the process at its time limit for a stop. Requests still in flight shortly
-    // before that are closed in an orderly way.
+    // The platform kills the process when its time limit for a stop has passed. Requests that are
+    // still in flight are closed in an orderly way this long before that.
     constexpr std::chrono::milliseconds before_kill{500};
     chosen.timeouts.max_stop_time =
         std::min(chosen.timeouts.max_stop_time, site.bounds.stop - before_kill);
-    // Servers are about a millisecond away; an unreachable one delays its caller by this much.
+    // Bounds the delay that an unreachable server causes its caller. Reachable servers are about a
+    // millisecond away.
     constexpr std::chrono::milliseconds max_connect_time{400};
     chosen.timeouts.connect = std::min(chosen.timeouts.connect, max_connect_time);
     return success();
--- a/daemon/formation_driver.cc
+++ b/daemon/formation_driver.cc
@@ -23,9 +23,10 @@
 constexpr duration order_timeout = std::chrono::milliseconds{300};
 /// A reachable runner answers within a few milliseconds; an unreachable one never does.
 constexpr duration probe_timeout = std::chrono::milliseconds{200};
-/// Number of nodes that are asked whether an unresponsive runner answers them. A network partition
-/// may leave only a tenth of the nodes on the runner's side. Six nodes then include none of these
-/// in about half of all cases, and the rule for heads that may still be alive is not applied.
+/// Number of nodes that are asked whether an unresponsive runner answers them. If a network
+/// partition leaves only a tenth of the nodes on the runner's side, six nodes include none of these
+/// in about half of all cases (0.9^6). The runner then counts as dead although it is alive, and the
+/// rule for heads that may still be alive is not applied.
 constexpr std::size_t max_peers_asked = 6;
 
 } // namespace
@@ -113,7 +114,7 @@
         return rows;
     }
 
-    /// A question from another node, or an answer to one of ours.
+    /// A question from another node, or an answer to a question of this node.
     void handle_message(const server_message& message)
     {
         if (!stopped)
@@ -164,7 +165,7 @@
     void receive(const node_id& from, const store_answer& answer) { outage->receive(from, answer); }
     void receive(const node_id& /*from*/, const runner_word& word)
     {
-        // Nodes that reach the store get newer data from it.
+        // Otherwise this node reaches the store, whose data are newer.
         if (outage->recently_reported_outage())
             apply_runner_word(word);
     }
@@ -173,8 +174,8 @@
         const auto found = m_awaited_answers.find(answer.vm);
         if (found == m_awaited_answers.end() || found->second.erase(from) == 0)
             return;
-        // One node that the runner answers is enough. That it answers none is known only once every
-        // node asked has said so.
+        // The first positive answer shows that the runner is alive. It counts as dead only after
+        // all nodes asked have answered that they can't reach it.
         if (!answer.answers && !found->second.empty())
             return;
         log_event(log_level::info, "peers_word",
--- a/daemon/metrics_test.cc
+++ b/daemon/metrics_test.cc
@@ -1,4 +1,3 @@
-// Tests of the /metrics page.
 #include "daemon/metrics.h"
 
 #include <criterion/criterion.h>
@@ -15,6 +14,8 @@
 
 } // namespace
 
+// Guards against events that the /metrics page does not count, or counts under a name or label
+// other than the one that operators look up.
 Test(metrics, the_page_counts_requests_by_outcome_and_reason)
 {
     metrics exported_metrics;
--- a/daemon/registry_daemon.cc
+++ b/daemon/registry_daemon.cc
@@ -41,7 +41,8 @@
     return made;
 }
 
-/// The platform's operators limit retries of all nodes together, whatever the reason for the retry.
+/// Settings of the request core with the operators' limit on retries, which applies to all nodes
+/// together and counts every retry, whatever its reason.
 core_settings bounded_core_settings(const daemon_settings& settings, std::uint64_t incarnation)
 {
     core_settings made = core_settings_of(settings, incarnation);
--- a/daemon/registry_daemon_test.cc
+++ b/daemon/registry_daemon_test.cc
@@ -198,6 +198,8 @@
 
 } // namespace
 
+// Groups form from registered servers, and a caller streams an answer. It must get the complete
+// stream, sealed by a server of the model.
 Test(registry_daemon, forms_groups_and_serves_a_stream)
 {
     registry_fleet fleet;
@@ -209,6 +211,9 @@
     cr_assert(answer.headers.find("seal-m-") != std::string::npos);
 }
 
+// A caller sends its key and a forged tenant header. The server must get the workspace that the key
+// belongs to instead of the forged one, the caller's other headers, a deadline limited by the
+// route's timeout, and not the key.
 Test(registry_daemon, a_server_receives_the_workspace_and_never_the_key)
 {
     registry_fleet fleet;
@@ -230,6 +235,8 @@
     cr_assert(left > 0 && left <= 2000, "the route's timeout must limit the deadline: %d", left);
 }
 
+// Requests with an unknown key or route must be refused and must not reach a server. A route that
+// needs no key must be served whatever key is sent.
 Test(registry_daemon, unknown_keys_and_routes_are_refused)
 {
     registry_fleet fleet;
@@ -298,6 +305,8 @@
     cr_assert_eq(total_executions(fleet.apps), 1U);
 }
 
+// Every server answers that it did not run the request. The caller must get a 503 with Retry-After,
+// so that it knows that it may send the request again and when.
 Test(registry_daemon, a_request_that_no_server_ran_gets_retry_after)
 {
     registry_fleet fleet;
@@ -324,6 +333,8 @@
     cr_assert_eq(total_executions(fleet.apps), 1U);
 }
 
+// One of two servers answers 500 to every request. Reads may be repeated, so callers must get the
+// answer of the other server.
 Test(registry_daemon, a_failed_read_is_retried_on_another_server)
 {
     registry_fleet fleet;
@@ -333,6 +344,8 @@
         cr_assert_eq(fleet.ask("/read/1").status, 200);
 }
 
+// A server starts to drain. Half a second later it must get no new requests, and callers must be
+// served by the other server.
 Test(registry_daemon, a_draining_server_gets_no_new_requests)
 {
     registry_fleet fleet;
--- a/daemon/relay_attempt.cc
+++ b/daemon/relay_attempt.cc
@@ -58,7 +58,8 @@
         return std::nullopt;
     std::uint64_t number = 0;
     const auto [end, failed] = std::from_chars(text.data(), text.data() + text.size(), number);
-    // Text that is not a number can't be an attempt of this node; 0 is never used as an id.
+    // A header that is not a number names no attempt of this node. It is returned as 0, which no
+    // attempt has as its id.
     if (failed != std::errc{} || end != text.data() + text.size())
         return attempt_id{0};
     return attempt_id{number};
@@ -316,8 +317,8 @@
         co_await pause.async_wait(net::use_awaitable);
     }
     m_writing = true;
-    // Tells the core that the caller is waited for, so that a caller that reads slowly isn't
-    // mistaken for a stalled backend server.
+    // Reports to the core that the attempt waits for the caller. Otherwise a caller that reads
+    // slowly would be mistaken for a stalled backend server.
     if (!attempt.cancelled)
         m_services.driver.handle(
             attempt_writing_to_caller{m_inbox->id(), attempt.send_command.attempt});
--- a/daemon/target_view.cc
+++ b/daemon/target_view.cc
@@ -1,6 +1,6 @@
 // The group's manager opens the head only when every member is ready with the same group name,
-// epoch and member list. So a group whose head is open was complete at that time, and it only has
-// to be checked here whether it still is.
+// epoch and member list. So a group whose head is open was complete when it was opened. What is
+// checked here is that it has lost no member since; if it has, it gets no new requests.
 #include "daemon/target_view.h"
 
 #include <algorithm>
--- a/peers/key_relay.cc
+++ b/peers/key_relay.cc
@@ -18,9 +18,9 @@
 
 namespace {
 
-/// One of so many requests goes to a watcher.
+/// One of this many consecutive requests goes to a watcher.
 constexpr std::size_t requests_per_watcher_request = 3;
-/// After so many requests only the comparisons continue. A value that no node has (its origin
+/// After this many requests only the comparisons continue. A value that no node has (its origin
 /// failed after sending the notice, or the notice was forged) must not be requested for ever.
 constexpr std::size_t max_failed_requests = 12;
 constexpr std::size_t entry_overhead = 16; ///< approximate, bytes per entry
@@ -137,7 +137,7 @@
 {
     m_pushing = false;
     m_unpushed.clear();
-    ++m_push_number; // marks the entries missing from pushes as a gap
+    ++m_push_number; // skips a number, so that receivers detect that entries were not pushed
 }
 
 key_relay_commands key_relay_core::notice_received(time_point now, const key_notice& notice)
--- a/peers/key_relay_test.cc
+++ b/peers/key_relay_test.cc
@@ -169,6 +169,8 @@
 
 } // namespace
 
+// Exactly two nodes of each failure domain must watch the platform. Otherwise the number of calls
+// to the platform would grow with the fleet.
 Test(key_relay, two_nodes_of_each_domain_watch_at_any_size)
 {
     for (const std::size_t nodes : {2U, 4U, 12U, 60U, 410U}) {
@@ -179,6 +181,8 @@
     }
 }
 
+// A fifth of all messages is lost while a value is written. Most nodes must get it within two
+// seconds, and the rest after the loss ends.
 Test(key_relay, a_value_reaches_most_nodes_within_two_seconds_despite_message_loss)
 {
     for (std::uint64_t seed = 0; seed < 20; ++seed) {
@@ -291,6 +295,9 @@
     cr_assert(after - before < 4 * (2 * 12 + 2 * 8), "%zu messages", after - before);
 }
 
+// Random sequences of message loss, outages of the platform, partitions, crashes and writes. No
+// node's revision of a key may decrease, and after all faults end, every node must get the newest
+// value of each key.
 Test(key_relay, random_histories_never_lower_revisions_and_converge)
 {
     for (std::uint64_t seed = 0; seed < 40; ++seed) {
--- a/peers/membership_probe.cc
+++ b/peers/membership_probe.cc
@@ -30,7 +30,7 @@
 constexpr duration seed_interval = std::chrono::seconds{2};
 constexpr duration relayed_ping_timeout = std::chrono::seconds{2};
 constexpr std::size_t max_relayed_pings = 256;
-constexpr std::size_t probes_per_dead_probe = 10; ///< one of so many probes is to a dead member
+constexpr std::size_t probes_per_dead_probe = 10; ///< one of this many probes is to a dead member
 
 } // namespace
 
--- a/peers/store_followers.cc
+++ b/peers/store_followers.cc
@@ -1,6 +1,7 @@
-// That a neighbour is alive does not show that it reaches the store: it may be partitioned from it,
-// its call may hang, or it may only repeat what it has. So each push contains the time since the
-// store answered its sender, and only that decides whether the sender is fresh.
+// A neighbour that is alive and pushes may still be out of date: it may be partitioned from the
+// store, its call to the store may hang, or it may only repeat what it already has. So each push
+// contains the time since the store answered its sender, and only that time decides whether the
+// sender is fresh.
 //
 // All nodes calculate the same ranks, by rendezvous hashing over the live members. A stand-in
 // starts when no push has been fresh for the freshness period plus a delay proportional to its
--- a/peers/store_followers_test.cc
+++ b/peers/store_followers_test.cc
@@ -173,6 +173,8 @@
 
 } // namespace
 
+// Without faults exactly two nodes must follow the store, whatever the size of the domain, so that
+// the number of calls does not grow with it. A change must reach all nodes within 100 ms.
 Test(store_followers, two_nodes_follow_at_any_domain_size)
 {
     for (const std::size_t size : sizes) {
@@ -205,6 +207,7 @@
     }
 }
 
+// Both followers crash. Stand-ins must take over in time for a change to reach all nodes.
 Test(store_followers, a_change_reaches_all_nodes_when_all_followers_are_dead)
 {
     for (const std::size_t size : sizes) {
@@ -217,7 +220,9 @@
     }
 }
 
-// The store rejects the third of the nodes with the lowest ranks.
+// The store rejects calls of the third of the nodes with the lowest ranks, which includes both
+// followers and, in larger domains, the first stand-ins. Another node must stand in before a change
+// is overdue, and the rejected nodes must not overload the store with retries.
 Test(store_followers, a_change_reaches_all_nodes_when_the_first_third_is_refused)
 {
     for (const std::size_t size : sizes) {
