--- a/daemon/group_driver.cc
+++ b/daemon/group_driver.cc
@@ -49,8 +49,8 @@
     made.self = settings.node;
     made.ticket_horizon = ticket_horizon;
     made.settling_time = settings.timeouts.order_horizon;
-    // A VM without a report for the time `settled` counts as moved to another group, so it is
-    // probed several times within that time.
+    // A VM without a report for `settling_time` counts as moved to another group, so it is probed
+    // several times within that time.
     made.probe_period = std::min<duration>(made.probe_period, made.settling_time / 4);
     return made;
 }
--- a/daemon/registry_feed.cc
+++ b/daemon/registry_feed.cc
@@ -36,7 +36,7 @@
 constexpr duration min_retry_interval = std::chrono::milliseconds{50};
 constexpr duration max_retry_interval = std::chrono::milliseconds{800};
 constexpr duration watch_wait = std::chrono::seconds{10};
-/// Between two pushes of a follower that has no changes to send.
+/// Time between two pushes of a follower that has no changes to send.
 constexpr duration push_interval = std::chrono::milliseconds{400};
 /// Each call costs the store the same whatever it returns, so changes are collected into batches.
 /// The delay is short compared with the time within which a change must be in force.
