--- a/peers/peer_service.cc
+++ b/peers/peer_service.cc
@@ -164,7 +164,7 @@
     {
         return error{error_kind::invalid_argument,
                      "node, failure domain and deployment must be named",
-                     "set --node, --failure-domain and --deployment"};
+                     "set --node, --failure_domain and --deployment"};
     }
     if (settings.boot == 0)
         settings.boot = static_cast<std::uint64_t>(wall_time_ms());
--- a/peers/transport.cc
+++ b/peers/transport.cc
@@ -389,7 +389,7 @@
     if (failed) {
         return error{error_kind::unavailable,
                      "can't listen for peers on " + settings.listen + ": " + failed.message(),
-                     "choose a free port with --peer-listen"};
+                     "choose a free port with --peer_listen"};
     }
     auto shared_state =
         std::make_shared<state>(io, std::move(acceptor), std::move(keys), settings.max_inbound);
