--- a/base/base_test.cc
+++ b/base/base_test.cc
@@ -51,6 +51,8 @@
     cr_assert(fired);
 }
 
+// When one of a key's selected candidates is removed, the other one must stay selected; otherwise
+// removing one server would also move keys between the remaining ones.
 Test(hash, rendezvous_keeps_the_remaining_choices)
 {
     const std::vector<std::string> all{"a", "b", "c", "d", "e"};
--- a/base/log.cc
+++ b/base/log.cc
@@ -11,8 +11,8 @@
 
 // Lines of this program and, through a LogSink, those that libraries write with glog go into one
 // bounded buffer, which is written to standard output as far as that is possible without blocking.
-// A pipe that poll reports as writable accepts PIPE_BUF bytes at once (POSIX, write). So O_NONBLOCK
-// is not needed, which would affect other processes that share the descriptor's flags.
+// A pipe that poll reports as writable accepts PIPE_BUF bytes without blocking (POSIX, write), so
+// O_NONBLOCK is not needed. Setting it would also affect other processes that share the open file.
 
 namespace jaynotch {
 
--- a/base/log_test.cc
+++ b/base/log_test.cc
@@ -64,6 +64,8 @@
     cr_assert_eq(lines.dropped(), 90U);
 }
 
+// A node produces routine lines faster than its limit. The excess must be dropped, and urgent
+// lines, which have a limit of their own, must still be accepted.
 Test(log_buffer, routine_lines_are_rate_limited)
 {
     log_buffer lines{{.routine_bytes_s = 1'000.0, .burst_s = 2.0}};
--- a/cli/cli_test.cc
+++ b/cli/cli_test.cc
@@ -167,6 +167,8 @@
     cr_assert(to_exit_code(code.error().kind) == exit_code::outcome_unknown);
 }
 
+// Invalid tables must be refused before any daemon is called. The configured address has no
+// listener, so a call would fail with another kind of error.
 Test(apply, invalid_tables_are_not_sent)
 {
     const scratch_folder folder;
--- a/http/connection.cc
+++ b/http/connection.cc
@@ -16,8 +16,9 @@
 constexpr std::size_t small_read_bytes = 2 * 1024;  // buffer of an idle connection
 constexpr std::size_t large_read_bytes = 16 * 1024; // after a read that filled its buffer
 constexpr std::size_t max_unread_bytes = 64 * 1024; // pipelined bytes buffered per connection
-/// Most bytes that close() discards. A caller whose upload is refused usually sends all of it
-/// before it reads the response. Discarded bytes use no memory, and `linger` bounds the time.
+/// Maximum number of bytes that close() discards. A caller whose upload is refused usually sends
+/// all of it before it reads the response. Discarded bytes use no memory, and `linger` bounds the
+/// time.
 constexpr std::size_t max_drained_bytes = 64 * 1024 * 1024;
 
 } // namespace
--- a/http/http_client.cc
+++ b/http/http_client.cc
@@ -14,7 +14,8 @@
 // One timer bounds every wait on the socket by closing it. All pending operations then fail, and a
 // flag distinguishes the timeout from a failure of the connection. The kind of the error depends on
 // what had been sent: `unavailable` before the first byte; after it, `unknown_outcome` for a
-// request that is not repeatable, since the server may have read and executed it.
+// request that is not repeatable, since the server may have read and executed it, and
+// `deadline_exceeded` or `unavailable` for a repeatable one.
 //
 // The server may close an idle connection just before its next use. is_usable() detects most such
 // cases; a repeatable request that fails in the remaining window is sent once more on a new
--- a/services/engine.cc
+++ b/services/engine.cc
@@ -1,7 +1,8 @@
 #include "services/engine.h"
 
 // Orders are idempotent, so they are sent as repeatable requests: if the response is lost, the call
-// fails with deadline_exceeded and the sender may send the order again.
+// fails with deadline_exceeded or unavailable instead of unknown_outcome, and the sender may send
+// the order again.
 
 namespace jaynotch {
 
--- a/services/memory_kv.cc
+++ b/services/memory_kv.cc
@@ -15,7 +15,7 @@
 
 namespace {
 
-/// From a client's timeout to the late effect of its write.
+/// Time between a client's timeout and the delayed effect of its write.
 constexpr duration late_effect_delay = std::chrono::milliseconds{200};
 
 awaitable<void> wait_for(asio::any_io_executor executor, duration step)
--- a/standins/engine_batch.cc
+++ b/standins/engine_batch.cc
@@ -2,10 +2,10 @@
 
 #include <algorithm>
 
-// A sequence is admitted if its prompt and its complete output fit into the KV cache beside what
-// the running sequences use now. Admission stops at the first sequence that does not fit, so that
-// smaller ones behind it don't overtake it. An empty batch admits any sequence, even one larger
-// than the cache, so that none waits forever.
+// A sequence is admitted if its prompt and its complete output fit into the part of the KV cache
+// that the running sequences do not use now. Admission stops at the first sequence that does not
+// fit, so that smaller ones behind it don't overtake it. An empty batch admits any sequence, even
+// one larger than the cache, so that none waits forever.
 
 namespace jaynotch {
 
--- a/standins/engine_serving.cc
+++ b/standins/engine_serving.cc
@@ -116,7 +116,7 @@
 
 group_health engine_standin::check_local_member(const engine_standin& member) const
 {
-    // The report may claim a state that isn't true, so the actual state replaces it.
+    // A fault can make the report state a wrong engine state, so the actual state replaces it.
     engine_report truth = member.report();
     truth.state = member.m_state;
     if (member.m_faults.kill || check_report(truth) == group_health::broken)
--- a/standins/engine_standin_test.cc
+++ b/standins/engine_standin_test.cc
@@ -206,7 +206,7 @@
 }
 
 // One of four members dies. The other three must not continue without it: the running stream is cut
-// without its terminal event, and new requests are rejected as not run.
+// without its terminal event, and new requests are rejected with "jaynotch-ran: no".
 Test(engine, a_group_that_lost_a_member_cuts_its_stream_and_refuses)
 {
     engine_group group{4};
@@ -321,6 +321,8 @@
     cr_assert(!group.fleet->engine(0).executions().at(0).finished);
 }
 
+// An engine is released from its group while it sends a stream. It must complete the stream before
+// it becomes idle.
 Test(engine, a_release_waits_for_the_answers_in_flight)
 {
     engine_group group{1};
--- a/standins/kv_adapters_test.cc
+++ b/standins/kv_adapters_test.cc
@@ -38,6 +38,8 @@
 
 } // namespace
 
+// Two clients create the same key. The second one must fail and get the existing entry, with its
+// binary value unchanged and its revision, to see which claim holds.
 Test(etcd_gateway, only_one_create_succeeds_and_the_other_gets_the_entry)
 {
     served_kv served;
@@ -92,6 +94,8 @@
     }));
 }
 
+// The service's process has died, so the connection is refused. Nothing was sent, so the write must
+// fail as unavailable instead of with an unknown outcome, and can be repeated safely.
 Test(etcd_gateway, a_refused_connection_sent_nothing)
 {
     served_kv served;
@@ -101,6 +105,8 @@
     cr_assert(served.put("a", "1"));
 }
 
+// During an outage the service answers 503, which does not show whether a write took effect, so its
+// outcome must be reported as unknown. A write over the rate limit was certainly not executed.
 Test(etcd_gateway, an_outage_and_a_rate_limit_are_distinguished)
 {
     served_kv served;
@@ -112,6 +118,8 @@
     cr_assert(served.put("a", "2").error().kind == error_kind::rate_limited);
 }
 
+// The service sends a malformed response, or one shorter than its Content-Length. Neither may be
+// taken as the result of a call; after a write the outcome is unknown.
 Test(etcd_gateway, malformed_and_cut_answers_are_never_an_outcome)
 {
     served_kv served;
@@ -206,6 +214,8 @@
     cr_assert_eq(batch.value().events.at(0).entry.value, "1");
 }
 
+// A client destroys a watch. If its request stayed open, abandoned watches would accumulate at the
+// service.
 Test(etcd_gateway, a_dropped_watch_stops_waiting_at_the_service)
 {
     served_kv served;
--- a/tables/tables_test.cc
+++ b/tables/tables_test.cc
@@ -183,6 +183,8 @@
     cr_assert_eq(read_tables(routes, good_pools).problems.size(), max_problems);
 }
 
+// With two routes that match the same requests, the tables do not say which of them applies. The
+// problem must name the other route.
 Test(check, two_routes_that_match_the_same_requests_are_refused)
 {
     const std::string routes = std::string{good_routes} +
@@ -226,6 +228,8 @@
     }
 }
 
+// Nodes fetch only pages with new digests. If one changed row gave several new pages, each change
+// would transfer more data than necessary.
 Test(pages, one_changed_row_changes_one_page)
 {
     for (std::uint64_t seed = 0; seed < 50; ++seed) {
@@ -297,6 +301,8 @@
     cr_assert(!refused && refused.error().kind == error_kind::invalid_table);
 }
 
+// For random edits of two operators, the merge must fail exactly if they conflict, and must
+// otherwise contain the edits of both.
 Test(merge, agrees_with_applying_diffs_one_after_another)
 {
     for (std::uint64_t seed = 0; seed < 200; ++seed) {
